--- /dev/null
+++ b/tests/wire_format_test.cpp
@@ -0,0 +1,2023 @@
+// The wire format, message by message: each test compares with a literal string or with literal bytes, so that a change of
+// internals which alters what other programs read or write cannot pass.
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <array>
+#include <cstdio>
+#include <fstream>
+#include <limits>
+#include <map>
+#include <optional>
+#include <stdexcept>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "ledger/tail.hpp"
+#include "protocol/digest.hpp"
+#include "protocol/intake_messages.hpp"
+#include "protocol/messages.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/rollout_messages.hpp"
+#include "protocol/settings.hpp"
+#include "rollout/levels.hpp"
+#include "transport/frames.hpp"
+#include "transport/socket.hpp"
+
+namespace thistle {
+namespace {
+
+// ---- helpers
+
+// The text of the error that `action` ends with; "no error" without one.
+template <class Action>
+std::string error_of(Action action) {
+  try {
+    action();
+  } catch (const std::exception& e) {
+    return e.what();
+  }
+  return "no error";
+}
+
+// `text` with `part`, which it must contain, replaced by `replacement`.
+std::string replaced(std::string text, std::string_view part, std::string_view replacement) {
+  const auto at = text.find(part);
+  EXPECT_NE(at, std::string::npos) << part;
+  if (at != std::string::npos) text.replace(at, part.size(), replacement);
+  return text;
+}
+std::string without(std::string text, std::string_view part) {
+  return replaced(std::move(text), part, "");
+}
+
+std::string hex_of(std::string_view bytes) {
+  constexpr std::string_view digits = "0123456789abcdef";
+  std::string out;
+  for (const char byte : bytes) {
+    const auto value = static_cast<unsigned char>(byte);
+    out += digits[value >> 4];
+    out += digits[value & 15];
+  }
+  return out;
+}
+std::string bytes_of(std::string_view hex) {
+  std::string out;
+  for (std::size_t i = 0; i + 1 < hex.size(); i += 2) out += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
+  return out;
+}
+
+// A frame as "kind payload", both in hexadecimal.
+std::string hex_of(const Frame& frame) {
+  return hex_of(std::string(1, static_cast<char>(frame.kind))) + " " + hex_of(frame.payload);
+}
+Frame frame_of(std::string_view hex) {
+  Frame frame;
+  frame.kind = static_cast<std::uint8_t>(bytes_of(hex.substr(0, 2)).at(0));
+  frame.payload = bytes_of(hex.substr(3));
+  return frame;
+}
+
+Resources resources(double cores, double accelerators, double ram_gb) {
+  Resources out;
+  out.cores = cores;
+  out.accelerators = accelerators;
+  out.ram_gb = ram_gb;
+  return out;
+}
+
+PieceId piece_id(const std::string& uid, std::uint32_t task) {
+  PieceId id;
+  id.uid = uid;
+  id.task = task;
+  return id;
+}
+
+Range range(std::uint32_t first, std::uint32_t last) {
+  Range out;
+  out.first = first;
+  out.last = last;
+  return out;
+}
+
+Order order(Verb verb, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double wind_down_s = 0) {
+  Order out;
+  out.verb = verb;
+  out.id = piece_id(uid, task);
+  out.attempt = attempt;
+  out.wind_down_s = wind_down_s;
+  return out;
+}
+
+std::vector<Order> order_of_each_verb() {
+  return {order(Verb::run, "j-000412", 4, 2), order(Verb::kill, "j-000377", 1, 1, 10), order(Verb::kill, "j-000377", 2, 1, 2.5),
+          order(Verb::reap, "j-000398", 0, 1)};
+}
+
+Condition condition(const std::string& key, std::uint64_t stamp) {
+  Condition out;
+  out.key = key;
+  out.stamp = stamp;
+  return out;
+}
+
+Put put(const std::string& key, const std::string& value, std::uint64_t hold) {
+  Put out;
+  out.key = key;
+  out.value = value;
+  out.hold = hold;
+  return out;
+}
+
+// ---- users
+
+const std::string kFullSubmission =
+    R"({"uid":"j-000412","jobClass":"train","owner":"vision","shape":"group","rank":"high","pieces":16,)"
+    R"("cores":8.0,"accelerators":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,)"
+    R"("hostKinds":["g8","g16"],"yard":"a","oneZone":true,"spread":true,"loaners":true,)"
+    R"("expectedS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"waitsOn":["j-000410","j-000411"]})";
+const std::string kLeastSubmission = R"({"uid":"j-1","jobClass":"c","owner":"red","shape":"batch","rank":"idle","pieces":1,)"
+                                     R"("cores":0.5,"ramGb":1,"bundle":"img","pullGb":0})";
+
+std::string submission_error(const std::string& body) {
+  return error_of([&] { parse_submission(body); });
+}
+
+TEST(WireFormatUsers, AFullSubmissionIsReadFieldByField) {
+  const auto s = parse_submission(kFullSubmission);
+  EXPECT_EQ(s.uid, "j-000412");
+  EXPECT_EQ(s.job_class, "train");
+  EXPECT_EQ(s.owner, "vision");
+  EXPECT_EQ(s.shape, Shape::group);
+  EXPECT_EQ(s.rank, Rank::high);
+  EXPECT_EQ(s.pieces, 16u);
+  EXPECT_EQ(s.need.cores, 8);
+  EXPECT_EQ(s.need.accelerators, 1);
+  EXPECT_EQ(s.need.ram_gb, 64);
+  EXPECT_EQ(s.bundle, "img-07");
+  EXPECT_EQ(s.pull_gb, 6.2);
+  EXPECT_EQ(s.host_kinds, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(s.yard, "a");
+  EXPECT_TRUE(s.one_zone);
+  EXPECT_TRUE(s.spread);
+  EXPECT_TRUE(s.loaners);
+  EXPECT_EQ(s.expected_s, 240);
+  EXPECT_EQ(s.snapshot_every_s, 30);
+  EXPECT_EQ(s.snapshot_s, 4);
+  EXPECT_EQ(s.due_s, 900);
+  EXPECT_EQ(s.waits_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+}
+
+TEST(WireFormatUsers, OmittedFieldsOfASubmissionHaveTheseValues) {
+  const auto s = parse_submission(kLeastSubmission);
+  EXPECT_EQ(s.uid, "j-1");
+  EXPECT_EQ(s.job_class, "c");
+  EXPECT_EQ(s.owner, "red");
+  EXPECT_EQ(s.shape, Shape::batch);
+  EXPECT_EQ(s.rank, Rank::idle);
+  EXPECT_EQ(s.pieces, 1u);
+  EXPECT_EQ(s.need.cores, 0.5);
+  EXPECT_EQ(s.need.accelerators, 0);
+  EXPECT_EQ(s.need.ram_gb, 1);
+  EXPECT_EQ(s.bundle, "img");
+  EXPECT_EQ(s.pull_gb, 0);
+  EXPECT_TRUE(s.host_kinds.empty());
+  EXPECT_EQ(s.yard, "");
+  EXPECT_FALSE(s.one_zone);
+  EXPECT_FALSE(s.spread);
+  EXPECT_FALSE(s.loaners);
+  EXPECT_EQ(s.expected_s, 0);
+  EXPECT_EQ(s.snapshot_every_s, 0);
+  EXPECT_EQ(s.snapshot_s, 0);
+  EXPECT_EQ(s.due_s, std::nullopt);
+  EXPECT_TRUE(s.waits_on.empty());
+}
+
+std::string submission_with(const std::string& field) {
+  return replaced(kLeastSubmission, R"("pullGb":0)", R"("pullGb":0,)" + field);
+}
+
+TEST(WireFormatUsers, EachFlagOfASubmissionIsReadByItself) {
+  const auto one_zone = parse_submission(submission_with(R"("oneZone":true)"));
+  EXPECT_TRUE(one_zone.one_zone);
+  EXPECT_FALSE(one_zone.spread);
+  EXPECT_FALSE(one_zone.loaners);
+  const auto spread = parse_submission(submission_with(R"("spread":true)"));
+  EXPECT_FALSE(spread.one_zone);
+  EXPECT_TRUE(spread.spread);
+  EXPECT_FALSE(spread.loaners);
+  const auto loaners = parse_submission(submission_with(R"("loaners":true)"));
+  EXPECT_FALSE(loaners.one_zone);
+  EXPECT_FALSE(loaners.spread);
+  EXPECT_TRUE(loaners.loaners);
+}
+
+TEST(WireFormatUsers, NullsOfASubmissionAreOmissions) {
+  const std::string nulls =
+      R"(,"accelerators":null,"hostKinds":null,"yard":null,"oneZone":null,"spread":null,"loaners":null,"expectedS":null,)"
+      R"("snapshotEveryS":null,"snapshotS":null,"dueS":null,"waitsOn":null})";
+  const auto s = parse_submission(without(kLeastSubmission, "}") + nulls);
+  EXPECT_TRUE(s.host_kinds.empty());
+  EXPECT_EQ(s.yard, "");
+  EXPECT_FALSE(s.one_zone);
+  EXPECT_FALSE(s.spread);
+  EXPECT_FALSE(s.loaners);
+  EXPECT_EQ(s.due_s, std::nullopt);
+  EXPECT_TRUE(s.waits_on.empty());
+}
+
+TEST(WireFormatUsers, WordsForShapes) {
+  const auto shape_of = [](const std::string& word) {
+    return parse_submission(replaced(kLeastSubmission, R"("batch")", "\"" + word + "\"")).shape;
+  };
+  EXPECT_EQ(shape_of("batch"), Shape::batch);
+  EXPECT_EQ(shape_of("group"), Shape::group);
+  EXPECT_EQ(shape_of("service"), Shape::service);
+}
+
+TEST(WireFormatUsers, WordsForRanks) {
+  const auto rank_of = [](const std::string& word) {
+    return parse_submission(replaced(kLeastSubmission, R"("idle")", "\"" + word + "\"")).rank;
+  };
+  EXPECT_EQ(rank_of("prod"), Rank::prod);
+  EXPECT_EQ(rank_of("high"), Rank::high);
+  EXPECT_EQ(rank_of("standard"), Rank::standard);
+  EXPECT_EQ(rank_of("idle"), Rank::idle);
+}
+
+TEST(WireFormatUsers, AFieldThatASubmissionLacksIsNamed) {
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("uid":"j-1",)")), "uid: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("jobClass":"c",)")), "jobClass: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("owner":"red",)")), "owner: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("shape":"batch",)")), "shape: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("rank":"idle",)")), "rank: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("pieces":1,)")), "pieces: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("cores":0.5,)")), "cores: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("ramGb":1,)")), "ramGb: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("bundle":"img",)")), "bundle: missing");
+  EXPECT_EQ(submission_error(without(kLeastSubmission, R"(,"pullGb":0)")), "pullGb: missing");
+}
+
+TEST(WireFormatUsers, AnInvalidFieldOfASubmissionIsNamedWithTheReason) {
+  const auto with = [](std::string_view part, std::string_view other) { return submission_error(replaced(kFullSubmission, part, other)); };
+  EXPECT_EQ(submission_error("{"), "body: not JSON");
+  EXPECT_EQ(submission_error("[]"), "body: not an object");
+  EXPECT_EQ(with(R"("uid":"j-000412")", R"("uid":"k-000412")"), "uid: not in form");
+  EXPECT_EQ(with(R"("uid":"j-000412")", R"("uid":7)"), "uid: not a string");
+  EXPECT_EQ(with(R"("owner":"vision")", R"("owner":"")"), "owner: empty");
+  EXPECT_EQ(with(R"("owner":"vision")", R"("owner":")" + std::string(201, 'x') + "\""), "owner: too long");
+  EXPECT_EQ(with(R"("shape":"group")", R"("shape":"gang")"), "shape: not a known value");
+  EXPECT_EQ(with(R"("rank":"high")", R"("rank":3)"), "rank: not a known value");
+  EXPECT_EQ(with(R"("pieces":16)", R"("pieces":0)"), "pieces: not from 1 to 100000");
+  EXPECT_EQ(with(R"("pieces":16)", R"("pieces":100001)"), "pieces: not from 1 to 100000");
+  EXPECT_EQ(with(R"("pieces":16)", R"("pieces":1.5)"), "pieces: not a count");
+  EXPECT_EQ(with(R"("cores":8.0)", R"("cores":"8")"), "cores: not a number");
+  EXPECT_EQ(with(R"("cores":8.0)", R"("cores":-8)"), "cores: negative");
+  EXPECT_EQ(with(R"("ramGb":64.0)", R"("ramGb":1e13)"), "ramGb: too large");
+  EXPECT_EQ(with(R"("hostKinds":["g8","g16"])", R"("hostKinds":"g8")"), "hostKinds: not a list");
+  EXPECT_EQ(with(R"("hostKinds":["g8","g16"])", R"("hostKinds":[])"), "hostKinds: empty");
+  EXPECT_EQ(with(R"("oneZone":true)", R"("oneZone":1)"), "oneZone: not true or false");
+  EXPECT_EQ(with(R"("dueS":900.0)", R"("dueS":-1)"), "dueS: negative");
+  EXPECT_EQ(with(R"("waitsOn":["j-000410","j-000411"])", R"("waitsOn":"j-1")"), "waitsOn: not a list");
+  EXPECT_EQ(with(R"("waitsOn":["j-000410","j-000411"])", R"("waitsOn":["k-1"])"), "waitsOn: not a job's id");
+}
+
+TEST(WireFormatUsers, TheIdOfAMalformedSubmissionIsFound) {
+  EXPECT_EQ(peek_uid(R"({"uid":"j-000412","pieces":-1})"), "j-000412");
+  EXPECT_EQ(peek_uid(R"({"uid":"k-1"})"), "");
+  EXPECT_EQ(peek_uid("{"), "");
+}
+
+TEST(WireFormatUsers, IdsAreTheLettersJAndMinusWithDigits) {
+  EXPECT_TRUE(is_uid("j-000412"));
+  EXPECT_TRUE(is_uid("j-1"));
+  EXPECT_FALSE(is_uid("j-"));
+  EXPECT_FALSE(is_uid("j-1a"));
+  EXPECT_FALSE(is_uid("J-1"));
+}
+
+TEST(WireFormatUsers, StatusBodiesOfEachStatus) {
+  EXPECT_EQ(status_body("j-000412", JobStatus::queued, 0, 0), R"({"uid":"j-000412","status":"queued","done":0,"running":0})");
+  EXPECT_EQ(status_body("j-000412", JobStatus::running, 3, 13), R"({"uid":"j-000412","status":"running","done":3,"running":13})");
+  EXPECT_EQ(status_body("j-000412", JobStatus::done, 16, 0), R"({"uid":"j-000412","status":"done","done":16,"running":0})");
+  EXPECT_EQ(status_body("j-000412", JobStatus::aborted, 1, 2), R"({"uid":"j-000412","status":"aborted","done":1,"running":2})");
+}
+
+TEST(WireFormatUsers, BriefBodiesOfEachStatus) {
+  EXPECT_EQ(brief_body("j-000412", JobStatus::queued), R"({"uid":"j-000412","status":"queued"})");
+  EXPECT_EQ(brief_body("j-000412", JobStatus::running), R"({"uid":"j-000412","status":"running"})");
+  EXPECT_EQ(brief_body("j-000412", JobStatus::done), R"({"uid":"j-000412","status":"done"})");
+  EXPECT_EQ(brief_body("j-000412", JobStatus::aborted), R"({"uid":"j-000412","status":"aborted"})");
+}
+
+TEST(WireFormatUsers, ErrorBodiesAreEscaped) {
+  EXPECT_EQ(error_body("pieces: missing"), R"({"error":"pieces: missing"})");
+  EXPECT_EQ(error_body("a \"b\"\n"), R"({"error":"a \"b\"\n"})");
+  EXPECT_EQ(error_body("\xff"), "{\"error\":\"\xef\xbf\xbd\"}");
+}
+
+void expect_route(std::string_view method, std::string_view target, UserRoute::Kind kind, const std::string& uid = "") {
+  const auto route = route_of(method, target);
+  EXPECT_EQ(route.kind, kind) << method << " " << target;
+  EXPECT_EQ(route.uid, uid) << method << " " << target;
+}
+
+TEST(WireFormatUsers, EachRouteIsRecognised) {
+  expect_route("POST", "/v1/jobs", UserRoute::Kind::submit);
+  expect_route("GET", "/v1/jobs/j-000412", UserRoute::Kind::status, "j-000412");
+  expect_route("POST", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::withdraw, "j-000412");
+  expect_route("GET", "/healthz", UserRoute::Kind::health);
+  expect_route("GET", "/metrics", UserRoute::Kind::metrics);
+  expect_route("POST", "/v1/report", UserRoute::Kind::report);
+  expect_route("GET", "/v1/jobs/j-000412?x=1", UserRoute::Kind::status, "j-000412");
+}
+
+TEST(WireFormatUsers, AKnownRouteWithAnotherMethodIsToldApart) {
+  expect_route("GET", "/v1/jobs", UserRoute::Kind::wrong_method);
+  expect_route("POST", "/v1/jobs/j-000412", UserRoute::Kind::wrong_method, "j-000412");
+  expect_route("GET", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::wrong_method, "j-000412");
+  expect_route("POST", "/healthz", UserRoute::Kind::wrong_method);
+  expect_route("POST", "/metrics", UserRoute::Kind::wrong_method);
+  expect_route("GET", "/v1/report", UserRoute::Kind::wrong_method);
+}
+
+TEST(WireFormatUsers, OtherRoutesAreUnknown) {
+  expect_route("GET", "/", UserRoute::Kind::unknown);
+  expect_route("GET", "/v1/jobsx", UserRoute::Kind::unknown);
+  expect_route("POST", "/v1/jobs/j-000412/cancel", UserRoute::Kind::unknown);
+  expect_route("GET", "/v2/jobs/j-000412", UserRoute::Kind::unknown);
+}
+
+// ---- workers
+
+const std::string kFullReport = R"({"host":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,)"
+                                R"("tenure":1,"serial":88,"epoch":41,"recallS":61.5,)"
+                                R"("pieces":[{"piece":"j-000412/3","try":2,"status":"running"},)"
+                                R"({"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","kept":true}]})";
+
+std::string report_error(const std::string& body) {
+  return error_of([&] { parse_report(body); });
+}
+
+TEST(WireFormatWorkers, AFullReportIsReadFieldByField) {
+  const auto r = parse_report(kFullReport);
+  EXPECT_EQ(r.host, "m-000231");
+  EXPECT_EQ(r.address, "10.1.0.232:9000");
+  EXPECT_EQ(r.kind, "g8");
+  EXPECT_EQ(r.yard, "a");
+  EXPECT_TRUE(r.loaner);
+  EXPECT_EQ(r.tenure, 1u);
+  EXPECT_EQ(r.serial, 88u);
+  EXPECT_EQ(r.epoch, 41u);
+  EXPECT_EQ(r.recall_s, 61.5);
+  EXPECT_EQ(r.repeats, std::nullopt);
+  ASSERT_EQ(r.pieces.size(), 2u);
+  EXPECT_EQ(r.pieces[0].id.uid, "j-000412");
+  EXPECT_EQ(r.pieces[0].id.task, 3u);
+  EXPECT_EQ(r.pieces[0].attempt, 2u);
+  EXPECT_EQ(r.pieces[0].phase, Phase::running);
+  EXPECT_EQ(r.pieces[0].cause, Cause::none);
+  EXPECT_FALSE(r.pieces[0].kept);
+  EXPECT_EQ(r.pieces[1].id.uid, "j-000398");
+  EXPECT_EQ(r.pieces[1].id.task, 0u);
+  EXPECT_EQ(r.pieces[1].attempt, 1u);
+  EXPECT_EQ(r.pieces[1].phase, Phase::exited);
+  EXPECT_EQ(r.pieces[1].cause, Cause::halted);
+  EXPECT_TRUE(r.pieces[1].kept);
+}
+
+TEST(WireFormatWorkers, OmittedFieldsOfAReportHaveTheseValues) {
+  const auto r = parse_report(R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,"pieces":[]})");
+  EXPECT_FALSE(r.loaner);
+  EXPECT_EQ(r.recall_s, std::nullopt);
+  EXPECT_EQ(r.epoch, 0u);
+  EXPECT_TRUE(r.pieces.empty());
+}
+
+TEST(WireFormatWorkers, SecondsUntilARecallAreNullOrANumber) {
+  const auto recall_of = [](std::string_view value) {
+    return parse_report(replaced(kFullReport, R"("recallS":61.5)", R"("recallS":)" + std::string(value))).recall_s;
+  };
+  EXPECT_EQ(recall_of("null"), std::nullopt);
+  EXPECT_EQ(recall_of("0"), 0);
+  EXPECT_EQ(recall_of("12"), 12);
+  EXPECT_EQ(recall_of("-3"), 0);
+  EXPECT_EQ(parse_report(without(kFullReport, R"("recallS":61.5,)")).recall_s, std::nullopt);
+}
+
+TEST(WireFormatWorkers, WordsForPhases) {
+  const auto phase_of = [](const std::string& word) {
+    return parse_report(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).pieces.at(0).phase;
+  };
+  EXPECT_EQ(phase_of("pulling"), Phase::pulling);
+  EXPECT_EQ(phase_of("gathering"), Phase::gathering);
+  EXPECT_EQ(phase_of("running"), Phase::running);
+  EXPECT_EQ(phase_of("saving"), Phase::saving);
+  EXPECT_EQ(phase_of("exited"), Phase::exited);
+}
+
+TEST(WireFormatWorkers, WordsForCauses) {
+  const auto cause_of = [](const std::string& word) {
+    return parse_report(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).pieces.at(1).cause;
+  };
+  EXPECT_EQ(cause_of("done"), Cause::done);
+  EXPECT_EQ(cause_of("halted"), Cause::halted);
+  EXPECT_EQ(cause_of("peers"), Cause::peers);
+  EXPECT_EQ(cause_of("alone"), Cause::alone);
+  EXPECT_EQ(cause_of("error"), Cause::error);
+  EXPECT_EQ(cause_of("no_room"), Cause::no_room);
+  EXPECT_EQ(cause_of("busy"), Cause::busy);
+  EXPECT_EQ(cause_of("unknown"), Cause::unknown);
+  EXPECT_EQ(cause_of("of a later version"), Cause::error);
+}
+
+TEST(WireFormatWorkers, AFieldThatAReportLacksIsNamed) {
+  EXPECT_EQ(report_error(without(kFullReport, R"("host":"m-000231",)")), "host: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("address":"10.1.0.232:9000",)")), "address: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("hostKind":"g8",)")), "hostKind: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("yard":"a",)")), "yard: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("tenure":1,)")), "tenure: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("serial":88,)")), "serial: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("epoch":41,)")), "epoch: missing");
+  EXPECT_EQ(report_error(replaced(kFullReport, R"("pieces":)", R"("others":)")), "pieces: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("piece":"j-000412/3",)")), "piece: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"("try":2,)")), "try: missing");
+  EXPECT_EQ(report_error(without(kFullReport, R"(,"status":"running")")), "status: missing");
+}
+
+TEST(WireFormatWorkers, AnInvalidFieldOfAReportIsNamedWithTheReason) {
+  const auto with = [](std::string_view part, std::string_view other) { return report_error(replaced(kFullReport, part, other)); };
+  EXPECT_EQ(report_error("{"), "body: not JSON");
+  EXPECT_EQ(report_error("[]"), "body: not an object");
+  EXPECT_EQ(with(R"("host":"m-000231")", R"("host":7)"), "host: not a string");
+  EXPECT_EQ(with(R"("host":"m-000231")", R"("host":"")"), "host: empty");
+  EXPECT_EQ(with(R"("yard":"a")", R"("yard":")" + std::string(201, 'x') + "\""), "yard: too long");
+  EXPECT_EQ(with(R"("loaners":true)", R"("loaners":1)"), "loaners: not true or false");
+  EXPECT_EQ(with(R"("tenure":1)", R"("tenure":-1)"), "tenure: not a count");
+  EXPECT_EQ(with(R"("serial":88)", R"("serial":"88")"), "serial: not a count");
+  EXPECT_EQ(with(R"("epoch":41)", R"("epoch":1.5)"), "epoch: not a count");
+  EXPECT_EQ(with(R"("recallS":61.5)", R"("recallS":"x")"), "recallS: not a number");
+  EXPECT_EQ(with(R"("piece":"j-000412/3")", R"("piece":"j-000412")"), "piece: not a task");
+  EXPECT_EQ(with(R"("piece":"j-000412/3")", R"("piece":3)"), "piece: not a string");
+  EXPECT_EQ(with(R"("try":2)", R"("try":-2)"), "try: not a count");
+  EXPECT_EQ(with(R"("status":"running")", R"("status":"odd")"), "status: not a known value");
+  EXPECT_EQ(with(R"("kept":true)", R"("kept":"yes")"), "kept: not true or false");
+  const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,)";
+  EXPECT_EQ(report_error(head + R"("pieces":3})"), "pieces: not a list");
+  EXPECT_EQ(report_error(head + R"("pieces":[3]})"), "pieces: not objects");
+}
+
+TEST(WireFormatWorkers, AnswersToReportsHoldTheEpochAndOrders) {
+  EXPECT_EQ(orders_body(41, {}), R"({"epoch":41,"orders":[]})");
+  EXPECT_EQ(orders_body(41, order_of_each_verb()),
+            R"({"epoch":41,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill","piece":"j-000377/1",)"
+            R"("try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},{"verb":"reap",)"
+            R"("piece":"j-000398/0","try":1}]})");
+}
+
+TEST(WireFormatWorkers, DirectCommandsHoldTheTenureAsWell) {
+  EXPECT_EQ(commands_body(41, 1, {}), R"({"epoch":41,"tenure":1,"orders":[]})");
+  EXPECT_EQ(commands_body(18446744073709551615u, 2, order_of_each_verb()),
+            R"({"epoch":18446744073709551615,"tenure":2,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill",)"
+            R"("piece":"j-000377/1","try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},)"
+            R"({"verb":"reap","piece":"j-000398/0","try":1}]})");
+}
+
+TEST(WireFormatWorkers, ARedirectedWorkerIsToldWhere) {
+  EXPECT_EQ(steward_body("host-2"), R"({"steward":"host-2"})");
+  EXPECT_EQ(steward_body(""), R"({})");
+}
+
+TEST(WireFormatWorkers, Paths) {
+  EXPECT_STREQ(kCommandsPath, "/commands");
+  EXPECT_STREQ(kWorkerStatusPath, "/status");
+}
+
+// ---- cloud
+
+TEST(WireFormatCloud, Paths) {
+  EXPECT_STREQ(kFlavorsPath, "/flavors");
+  EXPECT_STREQ(kRentPath, "/rentals");
+  EXPECT_STREQ(kReleasePath, "/rentals/release");
+  EXPECT_EQ(machines_path("", 500), "/rentals?page=500");
+  EXPECT_EQ(machines_path("m-000230", 20), "/rentals?page=20&from=m-000230");
+}
+
+TEST(WireFormatCloud, MachineTypesAreReadFieldByField) {
+  const auto flavors = parse_flavors(R"({"hostKinds":[{"sku":"g8","cores":96,"accelerators":8,"ramGb":768,"cacheGb":200,"fetchGbPerS":1.0,)"
+                                     R"("price":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]}]})");
+  ASSERT_EQ(flavors.size(), 1u);
+  EXPECT_EQ(flavors[0].name, "g8");
+  EXPECT_EQ(flavors[0].room.cores, 96);
+  EXPECT_EQ(flavors[0].room.accelerators, 8);
+  EXPECT_EQ(flavors[0].room.ram_gb, 768);
+  EXPECT_EQ(flavors[0].cache_gb, 200);
+  EXPECT_EQ(flavors[0].fetch_gb_per_s, 1);
+  EXPECT_EQ(flavors[0].price, 12);
+  EXPECT_EQ(flavors[0].market_price, 4.5);
+  EXPECT_EQ(flavors[0].boot_s, 45);
+  EXPECT_EQ(flavors[0].yards, (std::vector<std::string>{"a", "b"}));
+}
+
+TEST(WireFormatCloud, OmittedFieldsOfAMachineTypeHaveTheseValues) {
+  const auto flavor = parse_flavors(R"({"hostKinds":[{"sku":"c4","cores":4,"ramGb":16,"price":2}]})").at(0);
+  EXPECT_EQ(flavor.room.accelerators, 0);
+  EXPECT_EQ(flavor.cache_gb, 0);
+  EXPECT_EQ(flavor.fetch_gb_per_s, 0);
+  EXPECT_EQ(flavor.market_price, 2);
+  EXPECT_EQ(flavor.boot_s, 60);
+  EXPECT_TRUE(flavor.yards.empty());
+}
+
+TEST(WireFormatCloud, ErrorsInMachineTypesNameTheField) {
+  const auto error = [](const std::string& body) { return error_of([&] { parse_flavors(body); }); };
+  EXPECT_EQ(error("{}"), "hostKinds: missing");
+  EXPECT_EQ(error(R"({"hostKinds":{}})"), "hostKinds: not a list");
+  EXPECT_EQ(error(R"({"hostKinds":[3]})"), "hostKinds: not objects");
+  EXPECT_EQ(error(R"({"hostKinds":[{"cores":4,"ramGb":16}]})"), "sku: missing");
+  EXPECT_EQ(error(R"({"hostKinds":[{"sku":"c4","ramGb":16}]})"), "cores: missing");
+  EXPECT_EQ(error(R"({"hostKinds":[{"sku":"c4","cores":4}]})"), "ramGb: missing");
+}
+
+TEST(WireFormatCloud, MachinesAreReadFieldByField) {
+  const auto page = parse_machines(
+      R"({"hosts":[{"uid":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,"status":"running",)"
+      R"("heldS":61.5},)"
+      R"({"uid":"m-000232","hostKind":"c4","yard":"b","status":"booting"},)"
+      R"({"uid":"m-000233","address":null,"hostKind":"c4","yard":"b","loaners":false,"status":"failed","heldS":3}],)"
+      R"("truncated":true})");
+  EXPECT_TRUE(page.truncated);
+  ASSERT_EQ(page.machines.size(), 3u);
+  EXPECT_EQ(page.machines[0].name, "m-000231");
+  EXPECT_EQ(page.machines[0].address, "10.1.0.232:9000");
+  EXPECT_EQ(page.machines[0].kind, "g8");
+  EXPECT_EQ(page.machines[0].yard, "a");
+  EXPECT_TRUE(page.machines[0].loaner);
+  EXPECT_EQ(page.machines[0].status, Machine::Status::running);
+  EXPECT_EQ(page.machines[0].held_s, 61.5);
+  EXPECT_EQ(page.machines[1].name, "m-000232");
+  EXPECT_EQ(page.machines[1].address, "");
+  EXPECT_FALSE(page.machines[1].loaner);
+  EXPECT_EQ(page.machines[1].status, Machine::Status::booting);
+  EXPECT_EQ(page.machines[1].held_s, 0);
+  EXPECT_EQ(page.machines[2].status, Machine::Status::failed);
+  EXPECT_EQ(page.machines[2].held_s, 3);
+}
+
+TEST(WireFormatCloud, TheLastPageOfMachinesIsNotTruncated) {
+  EXPECT_FALSE(parse_machines(R"({"hosts":[],"truncated":false})").truncated);
+  EXPECT_FALSE(parse_machines(R"({"hosts":[]})").truncated);
+}
+
+TEST(WireFormatCloud, ErrorsInMachinesNameTheField) {
+  const auto error = [](const std::string& body) { return error_of([&] { parse_machines(body); }); };
+  EXPECT_EQ(error("{}"), "hosts: missing");
+  EXPECT_EQ(error(R"({"hosts":[3]})"), "hosts: not objects");
+  EXPECT_EQ(error(R"({"hosts":[{"hostKind":"c4","yard":"b","status":"running"}]})"), "uid: missing");
+  EXPECT_EQ(error(R"({"hosts":[{"uid":"m-1","yard":"b","status":"running"}]})"), "hostKind: missing");
+  EXPECT_EQ(error(R"({"hosts":[{"uid":"m-1","hostKind":"c4","status":"running"}]})"), "yard: missing");
+  EXPECT_EQ(error(R"({"hosts":[{"uid":"m-1","hostKind":"c4","yard":"b"}]})"), "status: missing");
+  EXPECT_EQ(error(R"({"hosts":[{"uid":"m-1","hostKind":"c4","yard":"b","status":"odd"}]})"), "status: not a known value");
+}
+
+TEST(WireFormatCloud, ARentalNamesTypeZoneKindAndCount) {
+  EXPECT_EQ(rent_body("r-17", "g8", "a", true, 12), R"({"count":12,"hostKind":"g8","loaners":true,"rental":"r-17","yard":"a"})");
+  EXPECT_EQ(rent_body("r-18", "c4", "b", false, 1), R"({"count":1,"hostKind":"c4","loaners":false,"rental":"r-18","yard":"b"})");
+}
+
+TEST(WireFormatCloud, TheAnswerToARentalNamesTheMachines) {
+  EXPECT_EQ(parse_rented(R"({"hosts":["m-000231","m-000232"]})"), (std::vector<std::string>{"m-000231", "m-000232"}));
+  EXPECT_TRUE(parse_rented(R"({"hosts":[]})").empty());
+  EXPECT_EQ(error_of([] { parse_rented("{}"); }), "hosts: missing");
+  EXPECT_EQ(error_of([] { parse_rented(R"({"hosts":[3]})"); }), "hosts: not a string");
+}
+
+TEST(WireFormatCloud, NoCapacityIsToldFromTrouble) {
+  EXPECT_TRUE(is_no_capacity(R"({"error":"no capacity"})"));
+  EXPECT_FALSE(is_no_capacity(R"({"error":"trouble"})"));
+  EXPECT_FALSE(is_no_capacity(""));
+}
+
+TEST(WireFormatCloud, AReleaseNamesTheMachines) {
+  EXPECT_EQ(release_body({"m-000231", "m-000232"}), R"({"hosts":["m-000231","m-000232"]})");
+  EXPECT_EQ(release_body({}), R"({"hosts":[]})");
+}
+
+// ---- state service
+
+TEST(WireFormatState, Paths) {
+  EXPECT_STREQ(kTxnPath, "/txn");
+  EXPECT_STREQ(kHoldsPath, "/holds");
+  EXPECT_EQ(store_path("ledger/000000000007"), "/store/ledger/000000000007");
+  EXPECT_EQ(list_path("ledger/", ""), "/store?prefix=ledger/&page=1000");
+  EXPECT_EQ(list_path("ledger/", "ledger/7"), "/store?prefix=ledger/&page=1000&from=ledger/7");
+  EXPECT_EQ(follow_path("lead", 431, 10000), "/follow?prefix=lead&from=431&blockMs=10000");
+  EXPECT_EQ(hold_path(7, true), "/holds/7/renew");
+  EXPECT_EQ(hold_path(7, false), "/holds/7");
+}
+
+TEST(WireFormatState, Keys) {
+  EXPECT_STREQ(kLeaderKey, "leader");
+  EXPECT_STREQ(kLeadPrefix, "lead");
+  EXPECT_STREQ(kLeadKey, "lead");
+  EXPECT_STREQ(kLevelKey, "lead-level");
+  EXPECT_STREQ(kReadyKey, "lead-ready");
+  EXPECT_STREQ(kRosterPrefix, "roster/");
+  EXPECT_STREQ(kLedgerPrefix, "ledger/");
+}
+
+TEST(WireFormatState, TheLeadersKeyIsAnotherFromLevelTwoOn) {
+  EXPECT_STREQ(lead_key(1), "leader");
+  EXPECT_STREQ(lead_key(2), "lead");
+  EXPECT_STREQ(lead_key(4), "lead");
+}
+
+TEST(WireFormatState, KeysOfLedgerEntriesSortByNumber) {
+  EXPECT_EQ(entry_key(0), "ledger/000000000000");
+  EXPECT_EQ(entry_key(31), "ledger/000000000031");
+  EXPECT_EQ(entry_key(123456789012345678u), "ledger/123456789012345678");
+  EXPECT_EQ(entry_number(entry_key(31)), 31u);
+  EXPECT_EQ(entry_number("ledger/0031"), 31u);
+}
+
+TEST(WireFormatState, AHoldIsAskedForWithItsLifeInMilliseconds) {
+  EXPECT_EQ(hold_body(5000), R"({"lifeMs":5000})");
+  EXPECT_EQ(parse_hold(R"({"hold":7})"), 7u);
+  EXPECT_EQ(error_of([] { parse_hold("{}"); }), "hold: missing");
+}
+
+TEST(WireFormatState, ATransactionHasConditionsThenSetsThenRemovals) {
+  EXPECT_EQ(txn_body({}, {}, {}), R"({"if":[],"apply":[]})");
+  EXPECT_EQ(
+      txn_body({condition("a/b", 0), condition("a/c", 412)}, {put("a/b", R"({"x":1})", 7), put("a/c", R"("text")", 0)}, {"c/d", "c/e"}),
+      R"({"if":[{"path":"a/b","stamp":0},{"path":"a/c","stamp":412}],"apply":[{"set":"a/b","value":{"x":1},"hold":7},)"
+      R"({"set":"a/c","value":"text"},{"remove":"c/d"},{"remove":"c/e"}]})");
+}
+
+TEST(WireFormatState, AnswersToTransactions) {
+  EXPECT_EQ(parse_rev(R"({"ledgerRev":432})"), 432u);
+  EXPECT_EQ(error_of([] { parse_rev("{}"); }), "ledgerRev: missing");
+  EXPECT_EQ(parse_failed(R"({"failed":["a/b","a/c"],"ledgerRev":431})"), (std::vector<std::string>{"a/b", "a/c"}));
+  EXPECT_EQ(error_of([] { parse_failed("{}"); }), "failed: missing");
+}
+
+TEST(WireFormatState, ARowIsReadFieldByField) {
+  const auto row = parse_row(R"({"path":"a/b","value":{"y":[1,2.5,null],"x":"t"},"stamp":412,"hold":7})");
+  EXPECT_EQ(row.key, "a/b");
+  EXPECT_EQ(row.value, R"({"x":"t","y":[1,2.5,null]})");
+  EXPECT_EQ(row.stamp, 412u);
+  EXPECT_EQ(row.hold, 7u);
+  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412})").hold, 0u);
+  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412,"hold":null})").hold, 0u);
+}
+
+TEST(WireFormatState, AFieldThatARowLacksIsNamed) {
+  const auto error = [](const std::string& body) { return error_of([&] { parse_row(body); }); };
+  EXPECT_EQ(error(R"({"value":1,"stamp":412})"), "path: missing");
+  EXPECT_EQ(error(R"({"path":"a/b","stamp":412})"), "value: missing");
+  EXPECT_EQ(error(R"({"path":"a/b","value":1})"), "stamp: missing");
+}
+
+TEST(WireFormatState, APageOfRowsIsReadFieldByField) {
+  const auto rows = parse_rows(R"({"rows":[{"path":"c/8","value":{"x":1},"stamp":430},{"path":"c/9","value":"t","stamp":431,"hold":7}],)"
+                               R"("truncated":true,"ledgerRev":433})");
+  EXPECT_TRUE(rows.truncated);
+  EXPECT_EQ(rows.rev, 433u);
+  ASSERT_EQ(rows.rows.size(), 2u);
+  EXPECT_EQ(rows.rows[0].key, "c/8");
+  EXPECT_EQ(rows.rows[0].value, R"({"x":1})");
+  EXPECT_EQ(rows.rows[0].stamp, 430u);
+  EXPECT_EQ(rows.rows[0].hold, 0u);
+  EXPECT_EQ(rows.rows[1].key, "c/9");
+  EXPECT_EQ(rows.rows[1].value, R"("t")");
+  EXPECT_EQ(rows.rows[1].stamp, 431u);
+  EXPECT_EQ(rows.rows[1].hold, 7u);
+  EXPECT_FALSE(parse_rows(R"({"rows":[],"ledgerRev":433})").truncated);
+  EXPECT_EQ(error_of([] { parse_rows(R"({"rows":[]})"); }), "ledgerRev: missing");
+  EXPECT_EQ(error_of([] { parse_rows(R"({"ledgerRev":433})"); }), "rows: missing");
+}
+
+TEST(WireFormatState, AWatchTellsWhetherAnythingChanged) {
+  EXPECT_TRUE(parse_changed(R"({"ledgerRev":433,"events":[{"set":"c/9","value":{},"stamp":433}]})"));
+  EXPECT_TRUE(parse_changed(R"({"ledgerRev":433,"events":[{"remove":"c/d","stamp":432}]})"));
+  EXPECT_FALSE(parse_changed(R"({"ledgerRev":433,"events":[]})"));
+  EXPECT_EQ(error_of([] { parse_changed("{}"); }), "events: missing");
+}
+
+LeaderValue leader_named(const std::string& label, std::uint64_t incarnation) {
+  LeaderValue out;
+  out.label = label;
+  out.incarnation = incarnation;
+  return out;
+}
+
+TEST(WireFormatState, TheValueOfTheLeadersKey) {
+  EXPECT_EQ(leader_value(leader_named("host-1", 42)), R"({"incarnation":42,"label":"host-1"})");
+  const auto leader = parse_leader(R"({"incarnation":42,"label":"host-1"})");
+  EXPECT_EQ(leader.label, "host-1");
+  EXPECT_EQ(leader.incarnation, 42u);
+  EXPECT_EQ(error_of([] { parse_leader(R"({"incarnation":42})"); }), "label: missing");
+  EXPECT_EQ(error_of([] { parse_leader(R"({"label":"host-1"})"); }), "incarnation: missing");
+}
+
+TEST(WireFormatState, TheLevelOneKeyWhileAHigherLevelIsOn) {
+  EXPECT_EQ(parked_leader_value(2), R"~({"incarnation":0,"label":"(state level 2)"})~");
+  EXPECT_EQ(parked_leader_value(4), R"~({"incarnation":0,"label":"(state level 4)"})~");
+}
+
+const std::string kAbleText = R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3})";
+
+Able able_of_host() {
+  Able able;
+  able.least = 1;
+  able.most = 4;
+  able.wants = 3;
+  able.incarnation = 42;
+  able.build = "0.3.0";
+  able.teams = 0xab;
+  return able;
+}
+
+TEST(WireFormatState, RecordsOfTheRoster) {
+  auto able = able_of_host();
+  EXPECT_EQ(able_value(able), kAbleText);
+  EXPECT_EQ(parse_able(kAbleText), able);
+  able.teams = 0;
+  EXPECT_EQ(able_value(able), R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})");
+  EXPECT_EQ(parse_able(R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})"), able);
+  EXPECT_EQ(error_of([] { parse_able(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }), "least: not a level");
+}
+
+TEST(WireFormatState, RecordsOfTheLevel) {
+  LevelOn on;
+  on.level = 4;
+  EXPECT_EQ(level_value(on), R"({"level":4})");
+  EXPECT_EQ(parse_level(R"({"level":4})"), on);
+  on.towards = 3;
+  EXPECT_EQ(level_value(on), R"({"level":4,"towards":3})");
+  EXPECT_EQ(parse_level(R"({"level":4,"towards":3})"), on);
+  EXPECT_EQ(error_of([] { parse_level(R"({"level":0})"); }), "level: not a level");
+}
+
+TEST(WireFormatState, RecordsOfReadiness) {
+  Ready ready;
+  ready.level = 2;
+  ready.at = 100.5;
+  EXPECT_EQ(ready_value(ready), R"({"at":100.5,"level":2})");
+  EXPECT_EQ(parse_ready(R"({"at":100.5,"level":2})"), ready);
+  EXPECT_EQ(error_of([] { parse_ready(R"({"at":100.5,"level":0})"); }), "level: not a level");
+}
+
+TEST(WireFormatState, LevelsOfThisBuild) {
+  EXPECT_EQ(rollout::kLeastLevel, 1u);
+  EXPECT_EQ(rollout::kMostLevel, 4u);
+  EXPECT_STREQ(rollout::kBuild, "0.3.0");
+}
+
+rollout::Look look_at_level(std::uint32_t level) {
+  rollout::Look look;
+  look.on.level = level;
+  look.on_stamp = level > 1 ? 77 : 0;
+  look.leader_stamp = 90;
+  return look;
+}
+
+TEST(WireFormatState, TransactionsThatTakeTheLead) {
+  const auto body_at = [](std::uint32_t level) {
+    return rollout::take_lead(look_at_level(level), able_of_host(), leader_named("host-1", 42), 7)->body();
+  };
+  EXPECT_EQ(body_at(1), R"({"if":[{"path":"leader","stamp":0},{"path":"lead-level","stamp":0}],"apply":[{"set":"leader",)"
+                        R"("value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
+  EXPECT_EQ(body_at(4), R"({"if":[{"path":"lead","stamp":0},{"path":"lead-level","stamp":77}],"apply":[{"set":"lead",)"
+                        R"("value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
+}
+
+TEST(WireFormatState, TransactionsThatRaiseTheEpoch) {
+  const auto body_at = [](std::uint32_t level) {
+    return rollout::raise_epoch(look_at_level(level).on, leader_named("host-1", 42), 90, 7).body();
+  };
+  EXPECT_EQ(body_at(1),
+            R"({"if":[{"path":"leader","stamp":90}],"apply":[{"set":"leader","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
+  EXPECT_EQ(body_at(4),
+            R"({"if":[{"path":"lead","stamp":90}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
+}
+
+TEST(WireFormatState, TransactionsThatLeaveTheLead) {
+  EXPECT_EQ(rollout::leave_lead(look_at_level(1)).body(), R"({"if":[{"path":"leader","stamp":90}],"apply":[{"remove":"leader"}]})");
+  EXPECT_EQ(rollout::leave_lead(look_at_level(4)).body(), R"({"if":[{"path":"lead","stamp":90}],"apply":[{"remove":"lead"}]})");
+}
+
+TEST(WireFormatState, TransactionsThatEnlistAController) {
+  EXPECT_EQ(rollout::enlist("host-1", able_of_host(), nullptr).body(),
+            R"({"if":[{"path":"roster/host-1","stamp":0}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
+            R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
+  rollout::Known known;
+  known.stamp = 12;
+  EXPECT_EQ(rollout::enlist("host-1", able_of_host(), &known).body(),
+            R"({"if":[{"path":"roster/host-1","stamp":12}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
+            R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
+}
+
+// The next step of a leader at level 1 that is alone and may switch on level 3.
+rollout::Step next_step_of(const rollout::Look& look) {
+  rollout::Known known;
+  known.able = able_of_host();
+  known.stamp = 12;
+  rollout::Roster roster;
+  roster["host-1"] = known;
+  rollout::Leading leading;
+  leading.value = leader_named("host-1", 42);
+  leading.epoch = 90;
+  leading.hold = 7;
+  return rollout::next_step(look, roster, {"host-1"}, {}, leading, 200, 50);
+}
+
+TEST(WireFormatState, ATransactionThatNotesReadiness) {
+  EXPECT_EQ(next_step_of(look_at_level(1)).body(),
+            R"({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":0}],)"
+            R"("apply":[{"set":"lead-ready","value":{"at":200.0,"level":3}}]})");
+}
+
+TEST(WireFormatState, ATransactionThatRaisesTheLevel) {
+  auto look = look_at_level(1);
+  look.ready_stamp = 80;
+  look.ready.emplace();
+  look.ready->level = 3;
+  look.ready->at = 100;
+  EXPECT_EQ(next_step_of(look).body(),
+            R"~({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":80},)~"
+            R"~({"path":"roster/host-1","stamp":12}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7},)~"
+            R"~({"set":"lead-level","value":{"level":3}},)~"
+            R"~({"set":"leader","value":{"incarnation":0,"label":"(state level 3)"}},{"remove":"lead-ready"}]})~");
+}
+
+// ---- ledger
+
+Submission described_job() {
+  return parse_submission(kFullSubmission);
+}
+Submission least_job() {
+  return parse_submission(kLeastSubmission);
+}
+
+AcceptRecord accept_record(const Submission& job) {
+  AcceptRecord r;
+  r.job = job;
+  r.draw = 0.25;
+  r.at = 12.5;
+  return r;
+}
+
+StartRecord start_record() {
+  StartRecord::Part first;
+  first.host = "m-1";
+  first.tenure = 3;
+  first.tasks = {range(0, 4), range(6, 7)};
+  StartRecord::Part second;
+  second.host = "m-2";
+  second.tenure = 1;
+  second.tasks = {range(4, 6)};
+  StartRecord r;
+  r.uid = "j-1";
+  r.attempt = 5;
+  r.at = 13;
+  r.parts = {first, second};
+  return r;
+}
+
+DoneRecord done_record(double at) {
+  DoneRecord r;
+  r.uid = "j-1";
+  r.tasks = {range(0, 1), range(3, 9)};
+  r.at = at;
+  return r;
+}
+
+OffRecord off_record(double failed_at) {
+  OffRecord r;
+  r.uid = "j-1";
+  r.attempt = 5;
+  r.tasks = {range(1, 2)};
+  r.failed_at = failed_at;
+  return r;
+}
+
+CancelRecord cancel_record() {
+  CancelRecord r;
+  r.uid = "j-1";
+  return r;
+}
+
+FlavorsRecord flavors_record() {
+  Flavor big;
+  big.name = "big";
+  big.room = resources(8, 2, 32);
+  big.cache_gb = 50;
+  big.fetch_gb_per_s = 1.5;
+  big.price = 3;
+  big.market_price = 0.5;
+  big.boot_s = 30;
+  big.yards = {"x", "y"};
+  Flavor small;
+  small.name = "small";
+  small.room = resources(0.5, 0, 2);
+  FlavorsRecord r;
+  r.flavors = {big, small};
+  return r;
+}
+
+JobRecord job_record(JobStatus status) {
+  JobRecord r;
+  r.accept = accept_record(least_job());
+  r.status = status;
+  r.attempts = 2;
+  return r;
+}
+
+JobRecord split_job_record() {
+  auto r = job_record(JobStatus::queued);
+  r.more = true;
+  return r;
+}
+JobRecord suspect_job_record() {
+  auto r = job_record(JobStatus::queued);
+  r.suspect = true;
+  return r;
+}
+
+JobRecord running_job_record(double ready_at) {
+  JobRecord::Placed placed;
+  placed.host = "m-1";
+  placed.tenure = 3;
+  placed.attempt = 2;
+  placed.at = 13.5;
+  placed.tasks = {range(1, 3)};
+  auto r = job_record(JobStatus::running);
+  r.done = {range(0, 1)};
+  r.placed = {placed};
+  r.from = 100;
+  r.more = true;
+  r.suspect = true;
+  r.ready_at = ready_at;
+  return r;
+}
+
+EndedRecord ended_record(JobStatus status) {
+  EndedRecord r;
+  r.status = status;
+  r.uids = {"j-2", "j-3"};
+  return r;
+}
+EndedRecord ended_record_with_times() {
+  auto r = ended_record(JobStatus::done);
+  r.done_at = {{1, 11.5}};
+  return r;
+}
+EndedRecord ended_record_with_services() {
+  auto r = ended_record(JobStatus::aborted);
+  r.services = {0};
+  return r;
+}
+
+TeamTerms terms(double cores, double accelerators, double cores_max, double accelerators_max) {
+  TeamTerms out;
+  out.guarantee = resources(cores, accelerators, 0);
+  out.limit = resources(cores_max, accelerators_max, 0);
+  return out;
+}
+
+TeamRecord team_record() {
+  TeamRecord r;
+  r.name = "red";
+  r.agreed = terms(8, 1, 16, 4);
+  r.proposed = terms(8, 1, 12, 4.5);
+  return r;
+}
+TeamRecord leaving_team_record() {
+  TeamRecord r;
+  r.name = "blue";
+  r.leaving = true;
+  return r;
+}
+
+// A record with its text at levels 1 to 3 and at level 4.
+struct EncodedSample {
+  Record record;
+  std::string before_pipelines, with_pipelines;
+  [[nodiscard]] const std::string& at(std::uint32_t level) const { return level > 3 ? with_pipelines : before_pipelines; }
+};
+EncodedSample sample(Record record, const std::string& before_pipelines, const std::string& with_pipelines) {
+  EncodedSample out;
+  out.record = std::move(record);
+  out.before_pipelines = before_pipelines;
+  out.with_pipelines = with_pipelines;
+  return out;
+}
+EncodedSample sample(Record record, const std::string& text) {
+  return sample(std::move(record), text, text);
+}
+
+const std::string kAcceptOfLeastJob = R"([{"accelerators":0.0,"bundle":"img","cores":0.5,"expectedS":0.0,"jobClass":"c","owner":"red",)"
+                                      R"("pieces":1,"pullGb":0.0,"ramGb":1.0,"rank":"idle","shape":"batch","uid":"j-1"},0.25,12.5])";
+
+std::vector<EncodedSample> samples() {
+  return {
+      sample(accept_record(described_job()),
+             R"(["accept",[{"accelerators":1.0,"bundle":"img-07","cores":8.0,"dueS":900.0,"expectedS":240.0,"hostKinds":["g8","g16"],)"
+             R"("jobClass":"train","loaners":true,"oneZone":true,"owner":"vision","pieces":16,"pullGb":6.2,"ramGb":64.0,"rank":"high",)"
+             R"("shape":"group","snapshotEveryS":30.0,"snapshotS":4.0,"spread":true,"uid":"j-000412","waitsOn":["j-000410",)"
+             R"("j-000411"],"yard":"a"},0.25,12.5]])"),
+      sample(accept_record(least_job()), R"(["accept",)" + kAcceptOfLeastJob + "]"),
+      sample(accept_record(parse_submission(submission_with(R"("oneZone":true)"))),
+             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("owner")", R"("oneZone":true,"owner")") + "]"),
+      sample(accept_record(parse_submission(submission_with(R"("spread":true)"))),
+             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("uid")", R"("spread":true,"uid")") + "]"),
+      sample(accept_record(parse_submission(submission_with(R"("loaners":true)"))),
+             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("owner")", R"("loaners":true,"owner")") + "]"),
+      sample(start_record(), R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])"),
+      sample(done_record(0), R"(["done","j-1",[0,1,3,9]])"),
+      sample(done_record(14.5), R"(["done","j-1",[0,1,3,9]])", R"(["done","j-1",[0,1,3,9],{"at":14.5}])"),
+      sample(off_record(0), R"(["off","j-1",5,[1,2]])"),
+      sample(off_record(14.5), R"(["off","j-1",5,[1,2],14.5])"),
+      sample(cancel_record(), R"(["cancel","j-1"])"),
+      sample(flavors_record(),
+             R"(["flavors",[{"accelerators":2.0,"bootS":30.0,"cacheGb":50.0,"cores":8.0,"fetchGbPerS":1.5,"marketPrice":0.5,)"
+             R"("price":3.0,"ramGb":32.0,"sku":"big","yards":["x","y"]},)"
+             R"({"accelerators":0.0,"bootS":0.0,"cacheGb":0.0,"cores":0.5,"fetchGbPerS":0.0,"marketPrice":0.0,"price":0.0,"ramGb":2.0,)"
+             R"("sku":"small","yards":[]}]])"),
+      sample(job_record(JobStatus::queued), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,false])"),
+      sample(job_record(JobStatus::done), R"(["job",)" + kAcceptOfLeastJob + R"(,"done",2,[],[],0,false,false])"),
+      sample(job_record(JobStatus::aborted), R"(["job",)" + kAcceptOfLeastJob + R"(,"aborted",2,[],[],0,false,false])"),
+      sample(split_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,true,false])"),
+      sample(suspect_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,true])"),
+      sample(running_job_record(0), R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])"),
+      sample(running_job_record(14.5), R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])",
+             R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true,{"ready":14.5}])"),
+      sample(ended_record(JobStatus::done), R"(["ended","done",["j-2","j-3"]])"),
+      sample(ended_record_with_times(), R"(["ended","done",["j-2","j-3"]])", R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]]}])"),
+      sample(ended_record_with_services(), R"(["ended","aborted",["j-2","j-3"]])", R"(["ended","aborted",["j-2","j-3"],{"services":[0]}])"),
+      sample(team_record(), R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],false])"),
+      sample(leaving_team_record(), R"(["team","blue",null,null,true])"),
+  };
+}
+
+const std::string kEntryOfLevelFour = R"({"level":4,"generation":3,"check":"2fefa7fe74797301","before":"0123456789abcdef",)"
+                                      R"("n":31,"first":24,"seq":7,"records":[["cancel","j-1"]]})";
+
+EntryHead head_at(std::uint32_t level) {
+  EntryHead head;
+  head.level = level;
+  head.generation = 3;
+  head.seq = 7;
+  head.before = 0x0123456789abcdef;
+  head.n = 31;
+  head.first = 24;
+  return head;
+}
+
+std::string entry_of(const std::vector<Record>& records, const EntryHead& head) {
+  std::string text;
+  std::uint64_t digest = 0;
+  for (const auto& record : records) {
+    const auto encoded = encode_record(record, head.level);
+    if (!text.empty()) text += ',';
+    text += encoded.text;
+    digest = digest_with_record(digest, encoded);
+  }
+  return entry_value(head, text, digest);
+}
+std::string entry_of_samples(std::uint32_t level) {
+  std::vector<Record> records;
+  for (const auto& s : samples()) records.push_back(s.record);
+  return entry_of(records, head_at(level));
+}
+
+// The pinned texts of all samples, behind a pinned head.
+std::string pinned_entry(const std::string& head, std::uint32_t level) {
+  std::string out = head;
+  const char* separator = "";
+  for (const auto& s : samples()) {
+    out += separator + s.at(level);
+    separator = ",";
+  }
+  return out + "]}";
+}
+
+// A record read back from an entry of level 4 that holds it alone.
+template <class RecordType>
+RecordType read_back(const Record& record) {
+  return std::get<RecordType>(parse_entry(entry_of({record}, head_at(4))).records.at(0));
+}
+// A record read from its text in an entry of level 1.
+template <class RecordType>
+RecordType read_text(const std::string& text) {
+  return std::get<RecordType>(parse_entry(R"({"seq":1,"records":[)" + text + "]}").records.at(0));
+}
+
+TEST(WireFormatLedger, EachRecordAtLevelOne) {
+  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 1).text, s.before_pipelines);
+}
+TEST(WireFormatLedger, EachRecordAtLevelTwo) {
+  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 2).text, s.before_pipelines);
+}
+TEST(WireFormatLedger, EachRecordAtLevelThree) {
+  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 3).text, s.before_pipelines);
+}
+TEST(WireFormatLedger, EachRecordAtLevelFour) {
+  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 4).text, s.with_pipelines);
+}
+
+TEST(WireFormatLedger, RecordsHaveDigestsFromLevelTwoOn) {
+  EXPECT_EQ(encode_record(done_record(14.5), 1).digest, 0u);
+  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 2).digest), "eeab5885f4e16aef");
+  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 3).digest), "eeab5885f4e16aef");
+  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 4).digest), "17fd7d2d95b432ce");
+}
+
+TEST(WireFormatLedger, DigestsAreSixteenHexadecimalDigits) {
+  EXPECT_EQ(digest_text(0xab), "00000000000000ab");
+  EXPECT_EQ(parse_digest("00000000000000ab"), 0xabu);
+  EXPECT_EQ(digest_text(digest_of_text("123456789")), "3d1b615099f6cbca");
+  EXPECT_EQ(digest_text(digest_with(1, 2)), "2e596ff41153b982");
+  EXPECT_EQ(digest_text(link_of(1, 2, 3)), "238415fc0e0f68af");
+  EXPECT_EQ(error_of([] { parse_digest("ab"); }), "not a digest: ab");
+}
+
+TEST(WireFormatLedger, AnEntryOfLevelOne) {
+  EXPECT_EQ(entry_of({cancel_record()}, head_at(1)), R"({"seq":7,"records":[["cancel","j-1"]]})");
+}
+TEST(WireFormatLedger, AnEntryOfLevelTwo) {
+  EXPECT_EQ(entry_of({cancel_record()}, head_at(2)), R"({"level":2,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
+                                                     R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
+}
+TEST(WireFormatLedger, AnEntryOfLevelThree) {
+  EXPECT_EQ(entry_of({cancel_record()}, head_at(3)), R"({"level":3,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
+                                                     R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
+}
+TEST(WireFormatLedger, AnEntryOfLevelFour) {
+  EXPECT_EQ(entry_of({cancel_record()}, head_at(4)), kEntryOfLevelFour);
+}
+
+TEST(WireFormatLedger, TheFirstNeededEntryIsAlwaysToldAtLevelFourAndBelowWhereThereIsOne) {
+  auto head = head_at(2);
+  head.first = 0;
+  EXPECT_EQ(entry_of({}, head),
+            R"({"level":2,"generation":3,"check":"97f253d3b4f680fe","before":"0123456789abcdef","seq":7,"records":[]})");
+  head.level = 4;
+  EXPECT_EQ(entry_of({}, head), R"({"level":4,"generation":3,"check":"296051857a980392","before":"0123456789abcdef",)"
+                                R"("n":31,"first":0,"seq":7,"records":[]})");
+}
+
+// All kinds of records behind each level's head, in both directions.
+void expect_entry_of_samples(std::uint32_t level, const std::string& head_text) {
+  const auto value = pinned_entry(head_text, level);
+  EXPECT_EQ(entry_of_samples(level), value);
+  const auto entry = parse_entry(value);
+  EXPECT_EQ(entry.level, level);
+  EXPECT_EQ(entry.seq, 7u);
+  const auto expected = samples();
+  ASSERT_EQ(entry.records.size(), expected.size());
+  for (std::size_t i = 0; i < expected.size(); ++i) EXPECT_EQ(encode_record(entry.records[i], level).text, expected[i].at(level));
+}
+
+TEST(WireFormatLedger, EntriesOfLevelOneComeBack) {
+  expect_entry_of_samples(1, R"({"seq":7,"records":[)");
+}
+TEST(WireFormatLedger, EntriesOfLevelTwoComeBack) {
+  expect_entry_of_samples(
+      2, R"({"level":2,"generation":3,"check":"c7e153d2b5d931fe","before":"0123456789abcdef","first":24,"seq":7,"records":[)");
+}
+TEST(WireFormatLedger, EntriesOfLevelThreeComeBack) {
+  expect_entry_of_samples(
+      3, R"({"level":3,"generation":3,"check":"c7e153d2b5d931fe","before":"0123456789abcdef","first":24,"seq":7,"records":[)");
+}
+TEST(WireFormatLedger, EntriesOfLevelFourComeBack) {
+  expect_entry_of_samples(
+      4, R"({"level":4,"generation":3,"check":"6f9c2c9e7a4d2736","before":"0123456789abcdef","n":31,"first":24,"seq":7,"records":[)");
+}
+
+TEST(WireFormatLedger, TheHeadOfAnEntryIsReadFieldByField) {
+  const auto entry = parse_entry(kEntryOfLevelFour);
+  EXPECT_EQ(entry.level, 4u);
+  EXPECT_EQ(entry.generation, 3u);
+  EXPECT_EQ(entry.seq, 7u);
+  EXPECT_EQ(digest_text(entry.before), "0123456789abcdef");
+  EXPECT_EQ(entry.n, 31u);
+  EXPECT_EQ(entry.first, 24u);
+  EXPECT_EQ(digest_text(entry.check), "2fefa7fe74797301");
+  ASSERT_EQ(entry.records.size(), 1u);
+  EXPECT_EQ(std::get<CancelRecord>(entry.records[0]).uid, "j-1");
+}
+
+TEST(WireFormatLedger, TheHeadOfAnEntryOfLevelOneHasNothingButItsNumberOfCommit) {
+  const auto entry = parse_entry(R"({"seq":7,"records":[]})");
+  EXPECT_EQ(entry.level, 1u);
+  EXPECT_EQ(entry.generation, 0u);
+  EXPECT_EQ(entry.seq, 7u);
+  EXPECT_EQ(entry.before, 0u);
+  EXPECT_EQ(entry.n, 0u);
+  EXPECT_EQ(entry.first, 0u);
+  EXPECT_EQ(entry.check, 0u);
+}
+
+TEST(WireFormatLedger, AcceptRecordsAreReadFieldByField) {
+  const auto r = read_back<AcceptRecord>(accept_record(described_job()));
+  EXPECT_EQ(r.draw, 0.25);
+  EXPECT_EQ(r.at, 12.5);
+  EXPECT_EQ(r.job.uid, "j-000412");
+  EXPECT_EQ(r.job.job_class, "train");
+  EXPECT_EQ(r.job.owner, "vision");
+  EXPECT_EQ(r.job.shape, Shape::group);
+  EXPECT_EQ(r.job.rank, Rank::high);
+  EXPECT_EQ(r.job.pieces, 16u);
+  EXPECT_EQ(r.job.need, resources(8, 1, 64));
+  EXPECT_EQ(r.job.bundle, "img-07");
+  EXPECT_EQ(r.job.pull_gb, 6.2);
+  EXPECT_EQ(r.job.host_kinds, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(r.job.yard, "a");
+  EXPECT_TRUE(r.job.one_zone);
+  EXPECT_TRUE(r.job.spread);
+  EXPECT_TRUE(r.job.loaners);
+  EXPECT_EQ(r.job.expected_s, 240);
+  EXPECT_EQ(r.job.snapshot_every_s, 30);
+  EXPECT_EQ(r.job.snapshot_s, 4);
+  EXPECT_EQ(r.job.due_s, 900);
+  EXPECT_EQ(r.job.waits_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+}
+
+TEST(WireFormatLedger, StartRecordsAreReadFieldByField) {
+  const auto r = read_text<StartRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
+  EXPECT_EQ(r.uid, "j-1");
+  EXPECT_EQ(r.attempt, 5u);
+  EXPECT_EQ(r.at, 13);
+  ASSERT_EQ(r.parts.size(), 2u);
+  EXPECT_EQ(r.parts[0].host, "m-1");
+  EXPECT_EQ(r.parts[0].tenure, 3u);
+  EXPECT_EQ(r.parts[0].tasks, (Ranges{range(0, 4), range(6, 7)}));
+  EXPECT_EQ(r.parts[1].host, "m-2");
+}
+
+TEST(WireFormatLedger, DoneRecordsAreReadFieldByField) {
+  const auto r = read_text<DoneRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
+  EXPECT_EQ(r.uid, "j-1");
+  EXPECT_EQ(r.tasks, (Ranges{range(0, 1), range(3, 9)}));
+  EXPECT_EQ(r.at, 14.5);
+  EXPECT_EQ(read_text<DoneRecord>(R"(["done","j-1",[0,1]])").at, 0);
+}
+
+TEST(WireFormatLedger, OffRecordsAreReadFieldByField) {
+  const auto r = read_text<OffRecord>(R"(["off","j-1",5,[1,2],14.5])");
+  EXPECT_EQ(r.uid, "j-1");
+  EXPECT_EQ(r.attempt, 5u);
+  EXPECT_EQ(r.tasks, (Ranges{range(1, 2)}));
+  EXPECT_EQ(r.failed_at, 14.5);
+  EXPECT_EQ(read_text<OffRecord>(R"(["off","j-1",5,[1,2]])").failed_at, 0);
+}
+
+TEST(WireFormatLedger, CancelRecordsAreReadFieldByField) {
+  EXPECT_EQ(read_text<CancelRecord>(R"(["cancel","j-1"])").uid, "j-1");
+}
+
+TEST(WireFormatLedger, FlavorsRecordsAreReadFieldByField) {
+  const auto r = read_back<FlavorsRecord>(flavors_record());
+  ASSERT_EQ(r.flavors.size(), 2u);
+  EXPECT_EQ(r.flavors[0].name, "big");
+  EXPECT_EQ(r.flavors[0].room, resources(8, 2, 32));
+  EXPECT_EQ(r.flavors[0].cache_gb, 50);
+  EXPECT_EQ(r.flavors[0].fetch_gb_per_s, 1.5);
+  EXPECT_EQ(r.flavors[0].price, 3);
+  EXPECT_EQ(r.flavors[0].market_price, 0.5);
+  EXPECT_EQ(r.flavors[0].boot_s, 30);
+  EXPECT_EQ(r.flavors[0].yards, (std::vector<std::string>{"x", "y"}));
+  EXPECT_EQ(r.flavors[1].name, "small");
+}
+
+TEST(WireFormatLedger, JobRecordsAreReadFieldByField) {
+  const auto r = read_back<JobRecord>(running_job_record(14.5));
+  EXPECT_EQ(r.accept.job.uid, "j-1");
+  EXPECT_EQ(r.accept.draw, 0.25);
+  EXPECT_EQ(r.accept.at, 12.5);
+  EXPECT_EQ(r.status, JobStatus::running);
+  EXPECT_EQ(r.attempts, 2u);
+  EXPECT_EQ(r.done, (Ranges{range(0, 1)}));
+  ASSERT_EQ(r.placed.size(), 1u);
+  EXPECT_EQ(r.placed[0].host, "m-1");
+  EXPECT_EQ(r.placed[0].tenure, 3u);
+  EXPECT_EQ(r.placed[0].attempt, 2u);
+  EXPECT_EQ(r.placed[0].at, 13.5);
+  EXPECT_EQ(r.placed[0].tasks, (Ranges{range(1, 3)}));
+  EXPECT_EQ(r.from, 100u);
+  EXPECT_TRUE(r.more);
+  EXPECT_TRUE(r.suspect);
+  EXPECT_EQ(r.ready_at, 14.5);
+}
+
+TEST(WireFormatLedger, FlagsOfJobRecordsAreReadByThemselves) {
+  EXPECT_TRUE(read_back<JobRecord>(split_job_record()).more);
+  EXPECT_FALSE(read_back<JobRecord>(split_job_record()).suspect);
+  EXPECT_FALSE(read_back<JobRecord>(suspect_job_record()).more);
+  EXPECT_TRUE(read_back<JobRecord>(suspect_job_record()).suspect);
+}
+
+TEST(WireFormatLedger, EndedRecordsAreReadFieldByField) {
+  const auto done = read_text<EndedRecord>(R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]],"services":[0]}])");
+  EXPECT_EQ(done.status, JobStatus::done);
+  EXPECT_EQ(done.uids, (std::vector<std::string>{"j-2", "j-3"}));
+  ASSERT_EQ(done.done_at.size(), 1u);
+  EXPECT_EQ(done.done_at[0].first, 1u);
+  EXPECT_EQ(done.done_at[0].second, 11.5);
+  EXPECT_EQ(done.services, (std::vector<std::uint32_t>{0}));
+  EXPECT_EQ(read_text<EndedRecord>(R"(["ended","aborted",["j-4"]])").status, JobStatus::aborted);
+}
+
+TEST(WireFormatLedger, TeamRecordsAreReadFieldByField) {
+  const auto r = read_text<TeamRecord>(R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],true])");
+  EXPECT_EQ(r.name, "red");
+  EXPECT_EQ(r.agreed, terms(8, 1, 16, 4));
+  EXPECT_EQ(r.proposed, terms(8, 1, 12, 4.5));
+  EXPECT_TRUE(r.leaving);
+  EXPECT_EQ(read_text<TeamRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
+}
+
+TEST(WireFormatLedger, AnEntryThatCannotBeReadNamesTheReason) {
+  const auto error = [](const std::string& value) { return error_of([&] { parse_entry(value); }); };
+  EXPECT_EQ(error(R"({"records":[]})"), "seq: missing");
+  EXPECT_EQ(error(R"({"seq":1})"), "records: missing");
+  EXPECT_EQ(error(R"({"seq":1,"records":[["odd"]]})"), "record 1: ledger record: unknown kind odd");
+  EXPECT_EQ(error(replaced(kEntryOfLevelFour, R"("seq":7)", R"("seq":8)")), "its check is wrong: it was altered");
+}
+
+TEST(WireFormatLedger, APageOfEntriesIsReadFieldByField) {
+  const auto page = parse_entries(R"({"rows":[{"path":"ledger/000000000001","value":{"seq":7,"records":[["cancel","j-1"]]},"stamp":430},)"
+                                  R"({"path":"ledger/000000000002","value":{"seq":8},"stamp":431}],"truncated":true,"ledgerRev":433})");
+  EXPECT_TRUE(page.truncated);
+  EXPECT_EQ(page.rev, 433u);
+  ASSERT_EQ(page.rows.size(), 2u);
+  EXPECT_EQ(page.rows[0].key, "ledger/000000000001");
+  EXPECT_EQ(page.rows[0].stamp, 430u);
+  EXPECT_EQ(page.rows[0].unreadable, "");
+  EXPECT_EQ(page.rows[0].entry.seq, 7u);
+  ASSERT_EQ(page.rows[0].entry.records.size(), 1u);
+  EXPECT_EQ(std::get<CancelRecord>(page.rows[0].entry.records[0]).uid, "j-1");
+  EXPECT_EQ(page.rows[1].unreadable, "records: missing");
+}
+
+// ---- controllers
+
+TEST(WireFormatControllers, Targets) {
+  EXPECT_STREQ(kIntakeTarget, "/intake");
+  EXPECT_STREQ(kAbleTarget, "/levels");
+  EXPECT_STREQ(kTeamsTarget, "/teams");
+}
+
+// What a frame looks like on a connection: length, version and kind, then the payload.
+TEST(WireFormatControllers, FramesBeginWithLengthVersionAndKind) {
+  EXPECT_EQ(kFrameVersion, 2);
+  EXPECT_EQ(kMaxFrame, 524288u);
+  int ends[2] = {};
+  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, ends), 0);
+  Stream writer{Socket(ends[0])};
+  Stream reader{Socket(ends[1])};
+  Frame frame;
+  frame.kind = 3;
+  frame.payload = "abc";
+  ErrorCode ec;
+  ASSERT_TRUE(write_frame(writer, frame, ec));
+  std::array<char, 9> bytes{};
+  ASSERT_TRUE(reader.read_exact(bytes.data(), bytes.size(), ec));
+  const std::string pinned = "050000000203616263";
+  EXPECT_EQ(hex_of(std::string_view(bytes.data(), bytes.size())), pinned);
+  const auto sent = bytes_of(pinned);
+  ASSERT_TRUE(writer.write_all(sent.data(), sent.size(), ec));
+  Frame read;
+  ASSERT_TRUE(read_frame(reader, read, ec));
+  EXPECT_EQ(read.kind, 3);
+  EXPECT_EQ(read.payload, "abc");
+}
+
+constexpr std::string_view kBeatBytes = "01 0900000000000000070000000000000006000000686f73742d310500000000000000d20400000000000006000000";
+
+TEST(WireFormatControllers, BeatIsPackedAndUnpacked) {
+  Beat beat;
+  beat.label = "host-1";
+  beat.epoch = 9;
+  beat.takeover = 7;
+  beat.marked_by = 5;
+  beat.mark = 1234;
+  beat.owed_ms = 6;
+  EXPECT_EQ(hex_of(pack(beat)), kBeatBytes);
+  const auto read = unpack_beat(frame_of(kBeatBytes));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->label, "host-1");
+  EXPECT_EQ(read->epoch, 9u);
+  EXPECT_EQ(read->takeover, 7u);
+  EXPECT_EQ(read->marked_by, 5u);
+  EXPECT_EQ(read->mark, 1234u);
+  EXPECT_EQ(read->owed_ms, 6u);
+}
+
+constexpr std::string_view kBeatAckBytes = "02 090000000000000006000000686f73742d310500000000000000d20400000000000006000000";
+
+TEST(WireFormatControllers, AnswerToABeatIsPackedAndUnpacked) {
+  BeatAck ack;
+  ack.epoch = 9;
+  ack.leader = "host-1";
+  ack.marked_by = 5;
+  ack.mark = 1234;
+  ack.kept_ms_ago = 6;
+  EXPECT_EQ(hex_of(pack(ack)), kBeatAckBytes);
+  const auto read = unpack_ack(frame_of(kBeatAckBytes));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->epoch, 9u);
+  EXPECT_EQ(read->leader, "host-1");
+  EXPECT_EQ(read->marked_by, 5u);
+  EXPECT_EQ(read->mark, 1234u);
+  EXPECT_EQ(read->kept_ms_ago, 6u);
+}
+
+constexpr std::string_view kCallBytes = "03 04000000504f5354080000002f76312f6a6f6273020000007b7d";
+
+TEST(WireFormatControllers, ForwardedRequestIsPackedAndUnpacked) {
+  PeerCall call;
+  call.method = "POST";
+  call.target = "/v1/jobs";
+  call.body = "{}";
+  EXPECT_EQ(hex_of(pack(call)), kCallBytes);
+  const auto read = unpack_call(frame_of(kCallBytes));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->method, "POST");
+  EXPECT_EQ(read->target, "/v1/jobs");
+  EXPECT_EQ(read->body, "{}");
+}
+
+constexpr std::string_view kReplyBytes = "04 f7010200c4090000020000007b7d";
+constexpr std::string_view kLastingReplyBytes = "04 c8000000ffffffff020000007b7d";
+constexpr std::string_view kExpiredReplyBytes = "04 f701020000000000020000007b7d";
+
+TEST(WireFormatControllers, ReplyCarriesTheMillisecondsThatItStaysValid) {
+  HttpReply reply;
+  reply.status = 503;
+  reply.body = "{}";
+  reply.retry_after_s = 2;
+  reply.valid_until = 102.5;
+  EXPECT_EQ(hex_of(pack(reply, 100)), kReplyBytes);
+  EXPECT_EQ(hex_of(pack(reply, 200)), kExpiredReplyBytes);
+  const auto read = unpack_reply(frame_of(kReplyBytes), 10);
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->status, 503u);
+  EXPECT_EQ(read->body, "{}");
+  EXPECT_EQ(read->retry_after_s, 2);
+  EXPECT_EQ(read->valid_until, 12.5);
+}
+
+TEST(WireFormatControllers, ReplyWithoutAnEndOfValidity) {
+  HttpReply reply;
+  reply.body = "{}";
+  EXPECT_EQ(hex_of(pack(reply, 100)), kLastingReplyBytes);
+  const auto read = unpack_reply(frame_of(kLastingReplyBytes), 10);
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->status, 200u);
+  EXPECT_EQ(read->retry_after_s, 0);
+  EXPECT_EQ(read->valid_until, std::numeric_limits<double>::infinity());
+}
+
+ReportedPiece reported_piece(const std::string& uid, std::uint32_t task, Phase phase, Cause cause, bool kept) {
+  ReportedPiece piece;
+  piece.id = piece_id(uid, task);
+  piece.attempt = 2;
+  piece.phase = phase;
+  piece.cause = cause;
+  piece.kept = kept;
+  return piece;
+}
+
+AttemptKey attempt_key(const std::string& uid, std::uint32_t task, std::uint64_t attempt) {
+  AttemptKey key;
+  key.id = piece_id(uid, task);
+  key.attempt = attempt;
+  return key;
+}
+
+ReportDelta delta_of(ReportDelta::Kind kind) {
+  ReportDelta delta;
+  delta.kind = kind;
+  delta.host = "m-1";
+  delta.tenure = 1;
+  delta.serial = 88;
+  delta.epoch = 41;
+  return delta;
+}
+
+ReportDelta whole_delta() {
+  auto delta = delta_of(ReportDelta::Kind::whole);
+  delta.recall_s = 61.5;
+  delta.address = "10.1.0.2:9000";
+  delta.host_kind = "g8";
+  delta.yard = "a";
+  delta.loaner = true;
+  delta.pieces = {reported_piece("j-1", 3, Phase::running, Cause::none, false),
+                  reported_piece("j-2", 0, Phase::exited, Cause::halted, true)};
+  return delta;
+}
+ReportDelta difference_delta() {
+  auto delta = delta_of(ReportDelta::Kind::difference);
+  delta.base_serial = 87;
+  delta.loaner = true;
+  delta.pieces = {reported_piece("j-1", 3, Phase::saving, Cause::none, false)};
+  delta.removed = {attempt_key("j-2", 0, 1), attempt_key("j-3", 7, 4)};
+  return delta;
+}
+ReportDelta unchanged_delta() {
+  auto delta = delta_of(ReportDelta::Kind::unchanged);
+  delta.base_serial = 86;
+  delta.recall_s = 0.25;
+  return delta;
+}
+
+IntakeBatch batch_of(const std::vector<ReportDelta>& reports) {
+  IntakeBatch batch;
+  batch.sender = "host-2";
+  batch.takeover = 7;
+  batch.workers = 300;
+  batch.reports = reports;
+  return batch;
+}
+
+// The only report of a batch, read from its bytes.
+ReportDelta only_report(std::string_view hex) {
+  const auto batch = unpack_intake_batch(frame_of(hex));
+  EXPECT_TRUE(batch && batch->reports.size() == 1);
+  return batch ? batch->reports.at(0) : ReportDelta{};
+}
+
+void expect_piece(const ReportedPiece& piece, const std::string& uid, std::uint32_t task, Phase phase, Cause cause, bool kept) {
+  EXPECT_EQ(piece.id.uid, uid);
+  EXPECT_EQ(piece.id.task, task);
+  EXPECT_EQ(piece.attempt, 2u);
+  EXPECT_EQ(piece.phase, phase);
+  EXPECT_EQ(piece.cause, cause);
+  EXPECT_EQ(piece.kept, kept);
+}
+
+void expect_head(const ReportDelta& delta, ReportDelta::Kind kind) {
+  EXPECT_EQ(delta.kind, kind);
+  EXPECT_EQ(delta.host, "m-1");
+  EXPECT_EQ(delta.tenure, 1u);
+  EXPECT_EQ(delta.serial, 88u);
+  EXPECT_EQ(delta.epoch, 41u);
+}
+
+constexpr std::string_view kEmptyBatchBytes = "05 0106000000686f73742d3207000000000000002c01000000000000";
+
+TEST(WireFormatControllers, BatchOfNoReportsIsPackedAndUnpacked) {
+  EXPECT_EQ(hex_of(pack(batch_of({}))), kEmptyBatchBytes);
+  const auto batch = unpack_intake_batch(frame_of(kEmptyBatchBytes));
+  ASSERT_TRUE(batch);
+  EXPECT_EQ(batch->sender, "host-2");
+  EXPECT_EQ(batch->takeover, 7u);
+  EXPECT_EQ(batch->workers, 300u);
+  EXPECT_TRUE(batch->reports.empty());
+}
+
+constexpr std::string_view kWholeBytes =
+    "05 "
+    "0106000000686f73742d3207000000000000002c0100000100000001030000006d2d31010000000000000058000000000000002900000000000000033cf000000d0000"
+    "0031302e312e302e323a39303030020000006738010000006102000000030000006a2d31030000000200000000000000020000030000006a2d32000000000200000000"
+    "000000040201";
+
+TEST(WireFormatControllers, WholeReportIsPackedAndUnpacked) {
+  EXPECT_EQ(hex_of(pack(batch_of({whole_delta()}))), kWholeBytes);
+  const auto delta = only_report(kWholeBytes);
+  expect_head(delta, ReportDelta::Kind::whole);
+  EXPECT_EQ(delta.recall_s, 61.5);
+  EXPECT_EQ(delta.base_serial, 0u);
+  EXPECT_EQ(delta.address, "10.1.0.2:9000");
+  EXPECT_EQ(delta.host_kind, "g8");
+  EXPECT_EQ(delta.yard, "a");
+  EXPECT_TRUE(delta.loaner);
+  ASSERT_EQ(delta.pieces.size(), 2u);
+  expect_piece(delta.pieces[0], "j-1", 3, Phase::running, Cause::none, false);
+  expect_piece(delta.pieces[1], "j-2", 0, Phase::exited, Cause::halted, true);
+  EXPECT_TRUE(delta.removed.empty());
+}
+
+constexpr std::string_view kDifferenceBytes =
+    "05 "
+    "0106000000686f73742d3207000000000000002c0100000100000002030000006d2d310100000000000000580000000000000029000000000000000200000000570000"
+    "000000000001000000030000006a2d3103000000020000000000000003000002000000030000006a2d32000000000100000000000000030000006a2d33070000000400"
+    "000000000000";
+
+TEST(WireFormatControllers, DifferenceToAReportIsPackedAndUnpacked) {
+  EXPECT_EQ(hex_of(pack(batch_of({difference_delta()}))), kDifferenceBytes);
+  const auto delta = only_report(kDifferenceBytes);
+  expect_head(delta, ReportDelta::Kind::difference);
+  EXPECT_EQ(delta.recall_s, std::nullopt);
+  EXPECT_EQ(delta.base_serial, 87u);
+  EXPECT_EQ(delta.address, "");
+  EXPECT_TRUE(delta.loaner);
+  ASSERT_EQ(delta.pieces.size(), 1u);
+  expect_piece(delta.pieces[0], "j-1", 3, Phase::saving, Cause::none, false);
+  ASSERT_EQ(delta.removed.size(), 2u);
+  EXPECT_EQ(delta.removed[0].id.uid, "j-2");
+  EXPECT_EQ(delta.removed[0].id.task, 0u);
+  EXPECT_EQ(delta.removed[0].attempt, 1u);
+  EXPECT_EQ(delta.removed[1].id.uid, "j-3");
+  EXPECT_EQ(delta.removed[1].id.task, 7u);
+  EXPECT_EQ(delta.removed[1].attempt, 4u);
+}
+
+constexpr std::string_view kUnchangedBytes =
+    "05 "
+    "0106000000686f73742d3207000000000000002c0100000100000003030000006d2d3101000000000000005800000000000000290000000000000001fa000000560000"
+    "0000000000";
+
+TEST(WireFormatControllers, UnchangedReportIsPackedAndUnpacked) {
+  EXPECT_EQ(hex_of(pack(batch_of({unchanged_delta()}))), kUnchangedBytes);
+  const auto delta = only_report(kUnchangedBytes);
+  expect_head(delta, ReportDelta::Kind::unchanged);
+  EXPECT_EQ(delta.recall_s, 0.25);
+  EXPECT_EQ(delta.base_serial, 86u);
+  EXPECT_FALSE(delta.loaner);
+  EXPECT_TRUE(delta.pieces.empty());
+}
+
+constexpr std::string_view kMixedBytes =
+    "05 "
+    "0106000000686f73742d3207000000000000002c0100000300000001030000006d2d31010000000000000058000000000000002900000000000000033cf000000d0000"
+    "0031302e312e302e323a39303030020000006738010000006102000000030000006a2d31030000000200000000000000020000030000006a2d32000000000200000000"
+    "00000004020102030000006d2d310100000000000000580000000000000029000000000000000200000000570000000000000001000000030000006a2d310300000002"
+    "0000000000000003000002000000030000006a2d32000000000100000000000000030000006a2d3307000000040000000000000003030000006d2d3101000000000000"
+    "005800000000000000290000000000000001fa0000005600000000000000";
+
+TEST(WireFormatControllers, BatchHoldsReportsOfAllKindsOneBehindTheOther) {
+  EXPECT_EQ(hex_of(pack(batch_of({whole_delta(), difference_delta(), unchanged_delta()}))), kMixedBytes);
+  const auto batch = unpack_intake_batch(frame_of(kMixedBytes));
+  ASSERT_TRUE(batch);
+  ASSERT_EQ(batch->reports.size(), 3u);
+  expect_head(batch->reports[0], ReportDelta::Kind::whole);
+  expect_head(batch->reports[1], ReportDelta::Kind::difference);
+  expect_head(batch->reports[2], ReportDelta::Kind::unchanged);
+}
+
+const std::vector<Phase> kPhasesInOrder{Phase::pulling, Phase::gathering, Phase::running, Phase::saving, Phase::exited};
+const std::vector<Cause> kCausesInOrder{Cause::none,  Cause::done,    Cause::halted, Cause::peers,   Cause::alone,
+                                        Cause::error, Cause::no_room, Cause::busy,   Cause::unknown, Cause::lost};
+constexpr std::string_view kPhasesAndCausesBytes =
+    "05 "
+    "0106000000686f73742d3207000000000000002c0100000100000002030000006d2d310100000000000000580000000000000029000000000000000200000000570000"
+    "00000000000f000000030000006a2d31000000000200000000000000000000030000006a2d31000000000200000000000000010000030000006a2d3100000000020000"
+    "0000000000020000030000006a2d31000000000200000000000000030000030000006a2d31000000000200000000000000040000030000006a2d310000000002000000"
+    "00000000040000030000006a2d31000000000200000000000000040100030000006a2d31000000000200000000000000040200030000006a2d31000000000200000000"
+    "000000040300030000006a2d31000000000200000000000000040400030000006a2d31000000000200000000000000040500030000006a2d3100000000020000000000"
+    "0000040600030000006a2d31000000000200000000000000040700030000006a2d31000000000200000000000000040800030000006a2d310000000002000000000000"
+    "0004090000000000";
+
+TEST(WireFormatControllers, NumbersOfPhasesAndCauses) {
+  auto delta = difference_delta();
+  delta.pieces.clear();
+  delta.removed.clear();
+  for (const auto phase : kPhasesInOrder) delta.pieces.push_back(reported_piece("j-1", 0, phase, Cause::none, false));
+  for (const auto cause : kCausesInOrder) delta.pieces.push_back(reported_piece("j-1", 0, Phase::exited, cause, false));
+  EXPECT_EQ(hex_of(pack(batch_of({delta}))), kPhasesAndCausesBytes);
+  const auto pieces = only_report(kPhasesAndCausesBytes).pieces;
+  ASSERT_EQ(pieces.size(), kPhasesInOrder.size() + kCausesInOrder.size());
+  for (std::size_t i = 0; i < kPhasesInOrder.size(); ++i) EXPECT_EQ(pieces[i].phase, kPhasesInOrder[i]) << i;
+  for (std::size_t i = 0; i < kCausesInOrder.size(); ++i) EXPECT_EQ(pieces[kPhasesInOrder.size() + i].cause, kCausesInOrder[i]) << i;
+}
+
+WorkerAnswer answer_of(WorkerAnswer::Outcome outcome) {
+  WorkerAnswer answer;
+  answer.outcome = outcome;
+  return answer;
+}
+
+constexpr std::string_view kAnswerBytes =
+    "06 "
+    "01070000000000000009000000000000001400000006000000686f73742d3304000000010300000000030000006a2d3104000000020000000000000000000000010300"
+    "00006a2d32010000000100000000000000c409000002030000006a2d3300000000010000000000000000000000020000000003000000000400000000";
+
+TEST(WireFormatControllers, AnswerToABatchIsPackedAndUnpacked) {
+  IntakeAnswer answer;
+  answer.takeover = 7;
+  answer.epoch = 9;
+  answer.send_away = 20;
+  answer.send_to = "host-3";
+  answer.answers = {answer_of(WorkerAnswer::Outcome::renewed), answer_of(WorkerAnswer::Outcome::refused),
+                    answer_of(WorkerAnswer::Outcome::whole_wanted), answer_of(WorkerAnswer::Outcome::not_now)};
+  answer.answers[0].orders = {order(Verb::run, "j-1", 4, 2), order(Verb::kill, "j-2", 1, 1, 2.5), order(Verb::reap, "j-3", 0, 1)};
+  EXPECT_EQ(hex_of(pack(answer)), kAnswerBytes);
+
+  const auto read = unpack_intake_answer(frame_of(kAnswerBytes));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->takeover, 7u);
+  EXPECT_EQ(read->epoch, 9u);
+  EXPECT_EQ(read->send_away, 20u);
+  EXPECT_EQ(read->send_to, "host-3");
+  ASSERT_EQ(read->answers.size(), 4u);
+  EXPECT_EQ(read->answers[0].outcome, WorkerAnswer::Outcome::renewed);
+  EXPECT_EQ(read->answers[1].outcome, WorkerAnswer::Outcome::refused);
+  EXPECT_EQ(read->answers[2].outcome, WorkerAnswer::Outcome::whole_wanted);
+  EXPECT_EQ(read->answers[3].outcome, WorkerAnswer::Outcome::not_now);
+  const auto& orders = read->answers[0].orders;
+  ASSERT_EQ(orders.size(), 3u);
+  EXPECT_EQ(orders[0].verb, Verb::run);
+  EXPECT_EQ(orders[0].id.uid, "j-1");
+  EXPECT_EQ(orders[0].id.task, 4u);
+  EXPECT_EQ(orders[0].attempt, 2u);
+  EXPECT_EQ(orders[1].verb, Verb::kill);
+  EXPECT_EQ(orders[1].wind_down_s, 2.5);
+  EXPECT_EQ(orders[2].verb, Verb::reap);
+}
+
+TEST(WireFormatControllers, FramesOfAnotherVersionOrKindAreNotTaken) {
+  auto batch = frame_of(kWholeBytes);
+  batch.payload[0] = 2;
+  EXPECT_FALSE(unpack_intake_batch(batch));
+  EXPECT_FALSE(unpack_intake_answer(frame_of(kWholeBytes)));
+  EXPECT_FALSE(unpack_beat(frame_of(kBeatAckBytes)));
+  EXPECT_FALSE(unpack_ack(frame_of(kBeatBytes)));
+  EXPECT_FALSE(unpack_call(frame_of(kReplyBytes)));
+  EXPECT_FALSE(unpack_reply(frame_of(kCallBytes), 0));
+}
+
+constexpr std::string_view kAbleBytes = "01000100000004000000030000002a0000000000000005000000302e332e30ab00000000000000";
+
+TEST(WireFormatControllers, AbilitiesArePackedAndUnpacked) {
+  EXPECT_EQ(hex_of(pack(able_of_host())), kAbleBytes);
+  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes)), able_of_host());
+  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes) + "of a later version"), able_of_host());
+  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes.substr(2))), std::nullopt);
+}
+
+constexpr std::string_view kTeamsBytes =
+    "01000200000004000000626c75650000000000000000000000000000000000000000000000000000000000000000030000007265640000000000002040000000000000"
+    "e03f00000000000030400000000000001140";
+
+TEST(WireFormatControllers, TeamsArePackedAndUnpacked) {
+  std::map<std::string, TeamTerms> teams;
+  teams["red"] = terms(8, 0.5, 16, 4.25);
+  teams["blue"] = terms(0, 0, 0, 0);
+  EXPECT_EQ(hex_of(pack(teams)), kTeamsBytes);
+  EXPECT_EQ(unpack_teams(bytes_of(kTeamsBytes)), teams);
+  EXPECT_EQ(unpack_teams(bytes_of(kTeamsBytes) + "x"), std::nullopt);
+}
+
+// ---- settings
+
+const std::string kSettingsText = R"(label = "host-0"
+site = "north"
+client_listen = "10.0.0.1:8080"
+peer_listen = "10.0.0.1:8081"
+of_a_later_version = 1
+
+[[peers]]
+label = "host-1"
+site = "south"
+addr = "10.0.0.2:8081"
+
+[[peers]]
+label = "host-2"
+site = "north"
+addr = "10.0.0.3:8081"
+
+[endpoints]
+cloud = "10.2.0.2:8443"
+state = "10.2.0.1:2379"
+
+[deployment]
+count = 3
+zones = ["north", "south"]
+skew_ms = 25.0
+
+[[deployment.teams]]
+name = "red"
+cpus = 192.0
+cpus_max = 424.0
+gpus = 16.0
+gpus_max = 64.0
+
+[[deployment.teams]]
+name = "blue"
+
+[[deployment.objectives]]
+kind = "wait"
+class = "viewer"
+within_s = 1.5
+share = 0.95
+
+[[deployment.objectives]]
+kind = "finished"
+class = "train"
+within_s = 300
+share = 0.82
+
+[[deployment.objectives]]
+kind = "guarantee"
+within_s = 5.0
+share = 0.94
+
+[deployment.workers]
+report_s = 1.25
+lease_s = 10.0
+gang_wait_s = 50.0
+gang_peer_s = 6.0
+cancel_s = 40.0
+
+[deployment.state]
+rps = 250.0
+write_rps = 100.0
+value_kb = 8.0
+txn_ops = 16
+
+[deployment.cloud]
+rps = 6.5
+list_lag_s = 4.0
+
+[deployment.limits]
+cpu = 0.064
+memory_mb = 56.0
+max_sockets = 900
+)";
+
+// A settings file for the time of one test.
+class SettingsFile {
+ public:
+  explicit SettingsFile(const std::string& text) : path_(testing::TempDir() + "wire_format_" + std::to_string(getpid()) + ".toml") {
+    std::ofstream(path_) << text;
+  }
+  ~SettingsFile() { std::remove(path_.c_str()); }
+  SettingsFile(const SettingsFile&) = delete;
+  SettingsFile& operator=(const SettingsFile&) = delete;
+  [[nodiscard]] const std::string& path() const { return path_; }
+
+ private:
+  std::string path_;
+};
+
+Settings settings_of(const std::string& text) {
+  const SettingsFile file(text);
+  return load_settings(file.path());
+}
+
+// The error without the file's path, which it must begin with.
+std::string settings_error(const std::string& text) {
+  const SettingsFile file(text);
+  const auto error = error_of([&] { load_settings(file.path()); });
+  const auto prefix = file.path() + ": ";
+  return error.starts_with(prefix) ? error.substr(prefix.size()) : "without the path: " + error;
+}
+
+TEST(WireFormatSettings, AddressesAndPeersAreRead) {
+  const auto s = settings_of(kSettingsText);
+  EXPECT_EQ(s.label, "host-0");
+  EXPECT_EQ(s.site, "north");
+  EXPECT_EQ(s.client_listen, "10.0.0.1:8080");
+  EXPECT_EQ(s.peer_listen, "10.0.0.1:8081");
+  ASSERT_EQ(s.peers.size(), 2u);
+  EXPECT_EQ(s.peers[0].label, "host-1");
+  EXPECT_EQ(s.peers[0].site, "south");
+  EXPECT_EQ(s.peers[0].address, "10.0.0.2:8081");
+  EXPECT_EQ(s.peers[1].label, "host-2");
+  EXPECT_EQ(s.peers[1].site, "north");
+  EXPECT_EQ(s.peers[1].address, "10.0.0.3:8081");
+  EXPECT_EQ(s.cloud, "10.2.0.2:8443");
+  EXPECT_EQ(s.state, "10.2.0.1:2379");
+}
+
+TEST(WireFormatSettings, TeamsAreRead) {
+  const auto s = settings_of(kSettingsText);
+  ASSERT_EQ(s.teams.size(), 2u);
+  EXPECT_EQ(s.teams[0].name, "red");
+  EXPECT_EQ(s.teams[0].guarantee, resources(192, 16, 0));
+  EXPECT_EQ(s.teams[0].limit, resources(424, 64, 0));
+  EXPECT_EQ(s.teams[1].name, "blue");
+  EXPECT_EQ(s.teams[1].guarantee, resources(0, 0, 0));
+  EXPECT_EQ(s.teams[1].limit, resources(0, 0, 0));
+}
+
+TEST(WireFormatSettings, ObjectivesAreRead) {
+  const auto s = settings_of(kSettingsText);
+  ASSERT_EQ(s.objectives.size(), 3u);
+  EXPECT_EQ(s.objectives[0].kind, "wait");
+  EXPECT_EQ(s.objectives[0].job_class, "viewer");
+  EXPECT_EQ(s.objectives[0].within_s, 1.5);
+  EXPECT_EQ(s.objectives[0].share, 0.95);
+  EXPECT_EQ(s.objectives[1].kind, "finished");
+  EXPECT_EQ(s.objectives[1].job_class, "train");
+  EXPECT_EQ(s.objectives[1].within_s, 300);
+  EXPECT_EQ(s.objectives[1].share, 0.82);
+  EXPECT_EQ(s.objectives[2].kind, "guarantee");
+  EXPECT_EQ(s.objectives[2].job_class, "");
+  EXPECT_EQ(s.objectives[2].within_s, 5);
+  EXPECT_EQ(s.objectives[2].share, 0.94);
+}
+
+TEST(WireFormatSettings, TimesAndLimitsAreRead) {
+  const auto s = settings_of(kSettingsText);
+  EXPECT_EQ(s.count, 3u);
+  EXPECT_EQ(s.skew_ms, 25);
+  EXPECT_EQ(s.report_s, 1.25);
+  EXPECT_EQ(s.lease_s, 10);
+  EXPECT_EQ(s.gang_wait_s, 50);
+  EXPECT_EQ(s.gang_peer_s, 6);
+  EXPECT_EQ(s.cancel_s, 40);
+  EXPECT_EQ(s.state_rps, 250);
+  EXPECT_EQ(s.state_write_rps, 100);
+  EXPECT_EQ(s.value_kb, 8);
+  EXPECT_EQ(s.txn_ops, 16u);
+  EXPECT_EQ(s.cloud_rps, 6.5);
+  EXPECT_EQ(s.list_lag_s, 4);
+  EXPECT_EQ(s.cpu, 0.064);
+  EXPECT_EQ(s.memory_mb, 56);
+  EXPECT_EQ(s.max_sockets, 900u);
+}
+
+TEST(WireFormatSettings, TheLesserOfPresentAndAnnouncedLimitsHolds) {
+  const std::string next = "txn_ops = 16\n[deployment.state.next]\nrps = 200.0\nwrite_rps = 120.0\nvalue_kb = 4.0\ntxn_ops = 8\n";
+  const auto s = settings_of(replaced(kSettingsText, "txn_ops = 16\n", next));
+  EXPECT_EQ(s.state_rps, 200);
+  EXPECT_EQ(s.state_write_rps, 100);
+  EXPECT_EQ(s.value_kb, 4);
+  EXPECT_EQ(s.txn_ops, 8u);
+}
+
+TEST(WireFormatSettings, OmittedOptionalFieldsHaveTheseValues) {
+  auto text = kSettingsText;
+  text = without(text, "count = 3\n");
+  text = without(text, "skew_ms = 25.0\n");
+  text = without(text, "class = \"viewer\"\nwithin_s = 1.5\nshare = 0.95\n");
+  const auto s = settings_of(text);
+  EXPECT_EQ(s.count, 0u);
+  EXPECT_EQ(s.skew_ms, 0);
+  EXPECT_EQ(s.objectives.at(0).job_class, "");
+  EXPECT_EQ(s.objectives.at(0).within_s, 0);
+  EXPECT_EQ(s.objectives.at(0).share, 0);
+}
+
+TEST(WireFormatSettings, AMissingFieldIsNamedWithItsTable) {
+  const auto error = [](std::string_view line) { return settings_error(without(kSettingsText, line)); };
+  EXPECT_EQ(error("label = \"host-0\"\n"), "label: missing");
+  EXPECT_EQ(error("site = \"north\"\n"), "site: missing");
+  EXPECT_EQ(error("client_listen = \"10.0.0.1:8080\"\n"), "client_listen: missing");
+  EXPECT_EQ(error("peer_listen = \"10.0.0.1:8081\"\n"), "peer_listen: missing");
+  EXPECT_EQ(error("label = \"host-1\"\n"), "peers[0].label: missing");
+  EXPECT_EQ(error("site = \"south\"\n"), "peers[0].site: missing");
+  EXPECT_EQ(error("addr = \"10.0.0.3:8081\"\n"), "peers[1].addr: missing");
+  EXPECT_EQ(error("cloud = \"10.2.0.2:8443\"\n"), "endpoints.cloud: missing");
+  EXPECT_EQ(error("state = \"10.2.0.1:2379\"\n"), "endpoints.state: missing");
+  EXPECT_EQ(error("name = \"blue\"\n"), "deployment.teams[1].name: missing");
+  EXPECT_EQ(error("kind = \"finished\"\n"), "deployment.objectives[1].kind: missing");
+  EXPECT_EQ(error("report_s = 1.25\n"), "deployment.workers.report_s: missing");
+  EXPECT_EQ(error("lease_s = 10.0\n"), "deployment.workers.lease_s: missing");
+  EXPECT_EQ(error("gang_wait_s = 50.0\n"), "deployment.workers.gang_wait_s: missing");
+  EXPECT_EQ(error("gang_peer_s = 6.0\n"), "deployment.workers.gang_peer_s: missing");
+  EXPECT_EQ(error("cancel_s = 40.0\n"), "deployment.workers.cancel_s: missing");
+  EXPECT_EQ(error("rps = 250.0\n"), "deployment.state.rps: missing");
+  EXPECT_EQ(error("write_rps = 100.0\n"), "deployment.state.write_rps: missing");
+  EXPECT_EQ(error("value_kb = 8.0\n"), "deployment.state.value_kb: missing");
+  EXPECT_EQ(error("txn_ops = 16\n"), "deployment.state.txn_ops: missing");
+  EXPECT_EQ(error("rps = 6.5\n"), "deployment.cloud.rps: missing");
+  EXPECT_EQ(error("list_lag_s = 4.0\n"), "deployment.cloud.list_lag_s: missing");
+  EXPECT_EQ(error("cpu = 0.064\n"), "deployment.limits.cpu: missing");
+  EXPECT_EQ(error("memory_mb = 56.0\n"), "deployment.limits.memory_mb: missing");
+  EXPECT_EQ(error("max_sockets = 900\n"), "deployment.limits.max_sockets: missing");
+}
+
+TEST(WireFormatSettings, AMissingTableIsNamed) {
+  const auto error = [](std::string_view table) { return settings_error(replaced(kSettingsText, table, "[other]")); };
+  EXPECT_EQ(error("[endpoints]"), "endpoints: missing");
+  EXPECT_EQ(error("[deployment.workers]"), "deployment.workers: missing");
+  EXPECT_EQ(error("[deployment.state]"), "deployment.state: missing");
+  EXPECT_EQ(error("[deployment.cloud]"), "deployment.cloud: missing");
+  EXPECT_EQ(error("[deployment.limits]"), "deployment.limits: missing");
+}
+
+TEST(WireFormatSettings, AnInvalidFieldIsNamedWithTheReason) {
+  const auto error = [](std::string_view line, std::string_view other) { return settings_error(replaced(kSettingsText, line, other)); };
+  EXPECT_EQ(error("label = \"host-0\"", "label = 7"), "label: not a string");
+  EXPECT_EQ(error("label = \"host-0\"", "label = \"\""), "label: empty");
+  EXPECT_EQ(error("\"10.0.0.1:8080\"", "\"host:80\""), "client_listen: not an address of the form 1.2.3.4:80");
+  EXPECT_EQ(error("\"10.0.0.2:8081\"", "\"10.0.0.2\""), "peers[0].addr: not an address of the form 1.2.3.4:80");
+  EXPECT_EQ(error("report_s = 1.25", "report_s = \"1.25\""), "deployment.workers.report_s: not a number");
+  EXPECT_EQ(error("report_s = 1.25", "report_s = inf"), "deployment.workers.report_s: not finite");
+  EXPECT_EQ(error("report_s = 1.25", "report_s = 0"), "deployment.workers.report_s: not from 0.01 to 86400");
+  EXPECT_EQ(error("txn_ops = 16", "txn_ops = 16.0"), "deployment.state.txn_ops: not a whole number");
+  EXPECT_EQ(error("txn_ops = 16", "txn_ops = 3"), "deployment.state.txn_ops: not from 4 to 1000000");
+  EXPECT_EQ(
+      error("[endpoints]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n", "[endpoints]\ncloud = \"10.2.0.2:8443\"\nstate = 1\n"),
+      "endpoints.state: not a string");
+}
+
+TEST(WireFormatSettings, AFileThatCannotBeReadIsNamed) {
+  EXPECT_EQ(error_of([] { load_settings("/nowhere/settings.toml"); }), "/nowhere/settings.toml: cannot be read");
+}
+
+TEST(WireFormatSettings, AFileThatIsNotTomlIsToldWithTheLine) {
+  EXPECT_EQ(settings_error("label = \"a\"\nsite = \n").substr(0, 8), "line 2: ");
+}
+
+}  // namespace
+}  // namespace thistle
