--- a/rig/checker.cpp
+++ b/rig/checker.cpp
@@ -149,8 +149,8 @@
   for (const auto& [uid, job] : jobs_) {
     if (job.spec.waits_on.empty() || !job.accepted) continue;
     ++out.accepted;
-    out.done += job.done.size() == job.spec.pieces;
-    out.cancelled += job.last == "aborted";
+    out.mark_done += job.done.size() == job.spec.pieces;
+    out.mark_cancelled += job.last == "aborted";
     if (out.first_accepted == 0 || job.accepted_at < out.first_accepted) out.first_accepted = job.accepted_at;
   }
   return out;
--- a/rig/checker.hpp
+++ b/rig/checker.hpp
@@ -48,8 +48,8 @@
   [[nodiscard]] std::size_t tasks_done() const;
   [[nodiscard]] std::size_t ended_tasks(const std::string& uid) const;  // that were done, known to its users or not
   struct Pipelines {
-    double first_accepted = 0;                          // steady seconds; 0: none
-    std::size_t accepted = 0, done = 0, cancelled = 0;  // jobs that wait for others
+    double first_accepted = 0;                                    // steady seconds; 0: none
+    std::size_t accepted = 0, mark_done = 0, mark_cancelled = 0;  // jobs that wait for others
   };
   [[nodiscard]] Pipelines pipelines() const;
   // Some jobs that may be waited for: accepted, and no services. `random` chooses.
--- a/rig/main.cpp
+++ b/rig/main.cpp
@@ -126,7 +126,7 @@
               << broken.size() << " rules broken" << std::endl;
     const auto p = cluster.checker.pipelines();
     if (p.accepted > 0)
-      std::cout << "  " << p.accepted << " jobs waited for others, " << p.done << " of them done, " << p.cancelled
+      std::cout << "  " << p.accepted << " jobs waited for others, " << p.mark_done << " of them done, " << p.mark_cancelled
                 << " told cancelled; the first was accepted " << p.first_accepted - all_new << " s after all were new" << std::endl;
     std::cout << "  pairs:";
     for (const auto& [names, times] : pairs) std::cout << " " << names << (times > 1 ? "*" + std::to_string(times) : "");
--- a/src/bookkeeping/accounts.cpp
+++ b/src/bookkeeping/accounts.cpp
@@ -25,20 +25,20 @@
   for (const auto& t : teams_) names_.intern(t.name);
 }
 
-TeamIdx Accounts::of_owner(std::string_view name) {
+TeamIdx Accounts::find_or_add(std::string_view name) {
   const TeamIdx team = names_.intern(name);
   if (team.v < teams_.size()) return team;
   teams_.emplace_back();
   teams_.back().name = name;
-  teams_.back().unknown = true;
+  teams_.back().lacks_quota = true;
   return team;
 }
 
-void Accounts::agree(const TeamRecord& record) {
+void Accounts::apply_record(const TeamRecord& record) {
   agreed_ = true;
-  Team& team = teams_[of_owner(record.name).v];
+  Team& team = teams_[find_or_add(record.name).v];
   team.record = record;
-  team.unknown = !record.agreed && !record.proposed;
+  team.lacks_quota = !record.agreed && !record.proposed;
   const TeamTerms none;
   const TeamTerms terms = record.agreed && record.proposed ? narrower(*record.agreed, *record.proposed)
                                                            : record.agreed.value_or(record.proposed.value_or(none));
@@ -46,12 +46,12 @@
   team.limit = terms.limit;
 }
 
-bool Accounts::open(TeamIdx team) const {
+bool Accounts::accepts_jobs(TeamIdx team) const {
   const Team& t = teams_[team.v];
-  return !t.unknown && (agreed_ ? t.record && !t.record->leaving : true);
+  return !t.lacks_quota && (agreed_ ? t.record && !t.record->leaving : true);
 }
 
-void Accounts::at_least(TeamIdx team, const Resources& used) {
+void Accounts::raise_usage(TeamIdx team, const Resources& used) {
   Resources& now = teams_[team.v].used;
   now.cores = std::max(now.cores, used.cores);
   now.accelerators = std::max(now.accelerators, used.accelerators);
@@ -61,16 +61,16 @@
   for (auto& t : teams_) t.unplaced = {};
 }
 
-Resources Accounts::left(TeamIdx team, double unlimited) const {
+Resources Accounts::headroom(TeamIdx team, double unlimited) const {
   const Team& t = teams_[team.v];
   // Below nothing: also a task that needs none of what is limited does not fit.
-  if (t.unknown) return {-1, -1, -1};
+  if (t.lacks_quota) return {-1, -1, -1};
   const auto of = [&](double limit, double used) { return limit > 0 ? limit - used : unlimited; };
   return {of(t.limit.cores, t.used.cores + t.unplaced.cores), of(t.limit.accelerators, t.used.accelerators + t.unplaced.accelerators),
           unlimited};
 }
 
-std::optional<std::string> Accounts::changing() const {
+std::optional<std::string> Accounts::changing_team() const {
   for (const auto& t : teams_)
     if (t.record && (t.record->proposed || t.record->leaving)) return t.name;
   return std::nullopt;
--- a/src/bookkeeping/accounts.hpp
+++ b/src/bookkeeping/accounts.hpp
@@ -17,7 +17,7 @@
   Resources used = {};                              // by placed tasks, those in doubt of having started included
   Resources unplaced = {};                          // by tasks that workers report and the book places nowhere
   std::optional<TeamRecord> record = std::nullopt;  // the ledger's terms
-  bool unknown = false;                             // a job's owner that nobody has told terms of
+  bool lacks_quota = false;                         // a job's owner that nobody has told terms of
 };
 
 class Accounts {
@@ -27,26 +27,26 @@
   [[nodiscard]] TeamIdx find(std::string_view name) const { return names_.find(name); }
   // The team of a job that is in the ledger. One without terms gets an account on which nothing starts: with
   // none, its work had no limit at all once the team was taken out of the settings.
-  TeamIdx of_owner(std::string_view name);
+  TeamIdx find_or_add(std::string_view name);
   // What the ledger says of a team, in place of anything said before.
-  void agree(const TeamRecord& record);
+  void apply_record(const TeamRecord& record);
   // Some terms are in the ledger.
   [[nodiscard]] bool agreed() const { return agreed_; }
   // Takes submissions: it has terms, and is not leaving.
-  [[nodiscard]] bool open(TeamIdx team) const;
+  [[nodiscard]] bool accepts_jobs(TeamIdx team) const;
 
-  void take(TeamIdx team, const Resources& need) { teams_[team.v].used += need; }
-  void give(TeamIdx team, const Resources& need) { teams_[team.v].used -= need; }
-  void at_least(TeamIdx team, const Resources& used);
+  void charge(TeamIdx team, const Resources& need) { teams_[team.v].used += need; }
+  void refund(TeamIdx team, const Resources& need) { teams_[team.v].used -= need; }
+  void raise_usage(TeamIdx team, const Resources& used);
   // What workers report beside what is placed, by team, counted anew for each pass.
   void clear_unplaced();
   void add_unplaced(TeamIdx team, const Resources& need) { teams_[team.v].unplaced += need; }
 
   // What may be started within the limit; what is not limited is `unlimited`.
-  [[nodiscard]] Resources left(TeamIdx team, double unlimited) const;
+  [[nodiscard]] Resources headroom(TeamIdx team, double unlimited) const;
   // The first team whose terms differ from place to place or outlive the settings, for which an older level
   // has no form.
-  [[nodiscard]] std::optional<std::string> changing() const;
+  [[nodiscard]] std::optional<std::string> changing_team() const;
 
   [[nodiscard]] const std::vector<Team>& teams() const { return teams_; }
   [[nodiscard]] const Team& team(TeamIdx t) const { return teams_[t.v]; }
--- a/src/bookkeeping/blame.cpp
+++ b/src/bookkeeping/blame.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMostRemembered = 8;  // machines remembered of a job
 }  // namespace
 
-void Blame::failed(JobIdx j, HostIdx h, double at, bool sound) {
+void Blame::record_failure(JobIdx j, HostIdx h, double at, bool sound) {
   auto& job = jobs_[j];
   job.failed_on[h] = at;
   if (job.failed_on.size() > kMostRemembered) {
@@ -26,7 +26,7 @@
     job.failed_on.erase(oldest);
   }
   if (sound) {
-    against_host(j, h, at);
+    blame_node(j, h, at);
     return;
   }
   if (at > job.last_at + kWave) ++job.failures;
@@ -46,22 +46,22 @@
   if (static_cast<std::size_t>(independent) >= kIndependent || job.failed_on.size() >= kAnyMachines || job.failures >= kFailuresInARow) {
     job.suspect = true;
     job.not_before = at + kFirstPause;
-    news_.push_back({News::What::suspected, j, {}, job.failed_on.size(), job.not_before});
-    for (const auto& f : job.failed_on) for_host(j, f.first);
+    news_.push_back({Verdict::Kind::suspected, j, {}, job.failed_on.size(), job.not_before});
+    for (const auto& f : job.failed_on) clear_node(j, f.first);
     return;
   }
-  against_host(j, h, at);
+  blame_node(j, h, at);
 }
 
-void Blame::succeeded(JobIdx j, HostIdx h) {
+void Blame::record_success(JobIdx j, HostIdx h) {
   if (auto it = hosts_.find(h); it != hosts_.end()) {
     auto& host = it->second;
     if (!host.failed.empty()) host.failed.erase(host.failed.begin());
-    if (host.aside_until > 0) {
+    if (host.cordoned_until > 0) {
       // It does work: one more such judgement is needed before it is set aside again.
-      host.aside_until = 0;
+      host.cordoned_until = 0;
       host.failed.clear();
-      news_.push_back({News::What::acquitted, j, h, host.times_aside, 0});
+      news_.push_back({Verdict::Kind::uncordoned, j, h, host.times_cordoned, 0});
     }
   }
   auto it = jobs_.find(j);
@@ -72,50 +72,50 @@
   job.suspect = false;
   job.probes = 0;
   job.not_before = 0;
-  news_.push_back({News::What::cleared, j, {}, job.failed_on.size(), 0});
+  news_.push_back({Verdict::Kind::cleared, j, {}, job.failed_on.size(), 0});
   // So it was the machines.
   for (const auto& [failed_on, at] : job.failed_on)
-    if (failed_on != h) against_host(j, failed_on, at);
+    if (failed_on != h) blame_node(j, failed_on, at);
 }
 
-void Blame::forget(JobIdx j, bool sound) {
+void Blame::forget_job(JobIdx j, bool sound) {
   const auto it = jobs_.find(j);
   if (it == jobs_.end()) return;
   if (!sound)
-    for (const auto& f : it->second.failed_on) for_host(j, f.first);
+    for (const auto& f : it->second.failed_on) clear_node(j, f.first);
   jobs_.erase(it);
 }
 
-void Blame::against_host(JobIdx j, HostIdx h, double at) {
+void Blame::blame_node(JobIdx j, HostIdx h, double at) {
   auto& host = hosts_[h];
   host.failed.insert(j);
-  if (host.failed.size() < kJobsAgainstHost || host.aside_until > at) return;
-  host.aside_until = at + kAsideAtFirst * static_cast<double>(1u << std::min(host.times_aside, kMostDoublings));
-  ++host.times_aside;  // what counted against it still does: tried again, its next failure tells
-  news_.push_back({News::What::set_aside, j, h, host.times_aside, host.aside_until});
+  if (host.failed.size() < kJobsAgainstHost || host.cordoned_until > at) return;
+  host.cordoned_until = at + kAsideAtFirst * static_cast<double>(1u << std::min(host.times_cordoned, kMostDoublings));
+  ++host.times_cordoned;  // what counted against it still does: tried again, its next failure tells
+  news_.push_back({Verdict::Kind::cordoned, j, h, host.times_cordoned, host.cordoned_until});
 }
 
-void Blame::for_host(JobIdx j, HostIdx h) {
+void Blame::clear_node(JobIdx j, HostIdx h) {
   const auto it = hosts_.find(h);
   if (it == hosts_.end() || it->second.failed.erase(j) == 0) return;
-  if (it->second.aside_until == 0 || it->second.failed.size() >= kJobsAgainstHost) return;
+  if (it->second.cordoned_until == 0 || it->second.failed.size() >= kJobsAgainstHost) return;
   // What it was set aside for was the job's fault.
-  it->second.aside_until = 0;
-  if (it->second.times_aside > 0) --it->second.times_aside;
-  news_.push_back({News::What::acquitted, j, h, it->second.times_aside, 0});
+  it->second.cordoned_until = 0;
+  if (it->second.times_cordoned > 0) --it->second.times_cordoned;
+  news_.push_back({Verdict::Kind::uncordoned, j, h, it->second.times_cordoned, 0});
 }
 
-bool Blame::suspect(JobIdx j) const {
+bool Blame::is_suspect(JobIdx j) const {
   const auto it = jobs_.find(j);
   return it != jobs_.end() && it->second.suspect;
 }
 
-double Blame::not_before(JobIdx j) const {
+double Blame::next_try_at(JobIdx j) const {
   const auto it = jobs_.find(j);
   return it == jobs_.end() ? 0 : it->second.not_before;
 }
 
-std::vector<HostIdx> Blame::avoided(JobIdx j, double wall) const {
+std::vector<HostIdx> Blame::avoided_nodes(JobIdx j, double wall) const {
   std::vector<HostIdx> out;
   if (const auto it = jobs_.find(j); it != jobs_.end())
     for (const auto& [h, at] : it->second.failed_on)
@@ -123,13 +123,13 @@
   return out;
 }
 
-bool Blame::set_aside(HostIdx h, double wall) const {
+bool Blame::is_cordoned(HostIdx h, double wall) const {
   const auto it = hosts_.find(h);
-  return it != hosts_.end() && it->second.aside_until > wall;
+  return it != hosts_.end() && it->second.cordoned_until > wall;
 }
 
-bool Blame::given_up(HostIdx h, double wall) const {
-  return set_aside(h, wall) && hosts_.at(h).times_aside >= 2;
+bool Blame::should_replace(HostIdx h, double wall) const {
+  return is_cordoned(h, wall) && hosts_.at(h).times_cordoned >= 2;
 }
 
 }  // namespace thistle
--- a/src/bookkeeping/blame.hpp
+++ b/src/bookkeeping/blame.hpp
@@ -15,35 +15,35 @@
 class Blame {
  public:
   // A task of the job failed there (wall seconds). `sound`: some task of the job has succeeded before.
-  void failed(JobIdx j, HostIdx h, double at, bool sound);
+  void record_failure(JobIdx j, HostIdx h, double at, bool sound);
   // One completed there, or has served for a while.
-  void succeeded(JobIdx j, HostIdx h);
+  void record_success(JobIdx j, HostIdx h);
   // Suspected by the leader that wrote the job anew; its machines are not known any more.
-  void suspect_as_read(JobIdx j) { jobs_[j].suspect = true; }
+  void restore_suspicion(JobIdx j) { jobs_[j].suspect = true; }
   // The job has ended. What it did to its machines counts on only when it was sound.
-  void forget(JobIdx j, bool sound);
+  void forget_job(JobIdx j, bool sound);
 
   // A suspected job fails wherever it runs: it tries with one task, after growing pauses, until one succeeds.
-  [[nodiscard]] bool suspect(JobIdx j) const;
-  [[nodiscard]] double not_before(JobIdx j) const;  // wall seconds of its next try
+  [[nodiscard]] bool is_suspect(JobIdx j) const;
+  [[nodiscard]] double next_try_at(JobIdx j) const;  // wall seconds of its next try
   // Machines that it failed on lately; older failures no longer keep it off.
-  [[nodiscard]] std::vector<HostIdx> avoided(JobIdx j, double wall) const;
+  [[nodiscard]] std::vector<HostIdx> avoided_nodes(JobIdx j, double wall) const;
 
   // A machine that failed jobs which are not suspected, with no success in between, is set aside for a while, then
   // tried again.
-  [[nodiscard]] bool set_aside(HostIdx h, double wall) const;
+  [[nodiscard]] bool is_cordoned(HostIdx h, double wall) const;
   // Set aside once more after it was tried again: better replaced.
-  [[nodiscard]] bool given_up(HostIdx h, double wall) const;
+  [[nodiscard]] bool should_replace(HostIdx h, double wall) const;
 
   // What was judged since the last call, for the operator's log.
-  struct News {
-    enum class What { suspected, cleared, set_aside, acquitted } what;
+  struct Verdict {
+    enum class Kind { suspected, cleared, cordoned, uncordoned } kind;
     JobIdx job;         // the job, or the last one that failed on the machine
     HostIdx host;       // not valid for news of a job
     std::size_t count;  // machines that the job failed on; times that the machine was set aside
     double until;       // wall seconds
   };
-  std::vector<News> take_news() { return std::exchange(news_, {}); }
+  std::vector<Verdict> take_verdicts() { return std::exchange(news_, {}); }
 
  private:
   struct JobEvidence {
@@ -56,15 +56,15 @@
   };
   struct HostEvidence {
     std::set<JobIdx> failed;  // jobs not suspected that failed there since the last success
-    unsigned times_aside = 0;
-    double aside_until = 0;
+    unsigned times_cordoned = 0;
+    double cordoned_until = 0;
   };
-  void against_host(JobIdx j, HostIdx h, double at);
-  void for_host(JobIdx j, HostIdx h);
+  void blame_node(JobIdx j, HostIdx h, double at);
+  void clear_node(JobIdx j, HostIdx h);
 
   std::unordered_map<JobIdx, JobEvidence> jobs_;
   std::unordered_map<HostIdx, HostEvidence> hosts_;
-  std::vector<News> news_;
+  std::vector<Verdict> news_;
 };
 
 }  // namespace thistle
--- a/src/bookkeeping/book.cpp
+++ b/src/bookkeeping/book.cpp
@@ -9,7 +9,7 @@
 std::uint32_t Job::running() const {
   std::uint32_t n = 0;
   for (const auto& [task, p] : placed)
-    if (p.seen && (p.phase == Phase::running || p.phase == Phase::saving)) ++n;
+    if (p.reported && (p.phase == Phase::running || p.phase == Phase::saving)) ++n;
   return n;
 }
 
@@ -18,7 +18,7 @@
 std::vector<Resources> Book::recount() const {
   std::vector<Resources> out(accounts_.teams().size());
   for (const Job& job : jobs_)
-    for (std::size_t i = 0; i < job.placed.size(); ++i) out[job.team.v] += job.spec.need;
+    for (std::size_t i = 0; i < job.placed.size(); ++i) out[job.team.v] += job.spec.demand;
   return out;
 }
 
@@ -36,7 +36,7 @@
     const Team& team = accounts_.team(TeamIdx{t});
     const auto differs = [](double a, double b) { return std::abs(a - b) > slack; };
     if (differs(team.used.cores, counted[t].cores) || differs(team.used.accelerators, counted[t].accelerators)) out.push_back(team.name);
-    accounts_.at_least(TeamIdx{t}, counted[t]);
+    accounts_.raise_usage(TeamIdx{t}, counted[t]);
   }
   return out;
 }
@@ -45,21 +45,23 @@
   accounts_.clear_unplaced();
   for (std::uint32_t i = 0; i < hosts_.size(); ++i) {
     const Host& host = hosts_[i];
-    if (host.lost || host.gone || host.pieces.empty()) continue;
-    const auto held = std::count_if(host.pieces.begin(), host.pieces.end(), [](const SeenPiece& s) { return s.phase != Phase::exited; });
+    if (host.lease_expired || host.terminated || host.agent.tasks.empty()) continue;
+    const auto held =
+        std::count_if(host.agent.tasks.begin(), host.agent.tasks.end(), [](const SeenPiece& s) { return s.phase != Phase::exited; });
     // Not what it held in an earlier session, or what is on its way to be known as off: beside these, what it holds now would not count.
     const auto seen = std::count_if(host.placed.begin(), host.placed.end(), [&](const PlacedPiece& p) {
-      return p.at->seen && !p.at->closing && p.at->tenure == host.tenure && p.at->phase != Phase::exited;
+      return p.placement->reported && !p.placement->end_pending && p.placement->tenure == host.agent.incarnation &&
+             p.placement->phase != Phase::exited;
     });
     // Mostly all that it holds is placed there.
     if (held <= seen) continue;
-    for (const auto& s : host.pieces) {
+    for (const auto& s : host.agent.tasks) {
       if (s.phase == Phase::exited || !s.ref.job.valid()) continue;
       const Placement* at = placement(s.ref);
       const Job& job = jobs_[s.ref.job.v];
       if (at && at->host == HostIdx{i} && at->attempt == s.attempt) continue;
       // Placed elsewhere, it is counted there. An ended job's needs are not known any more.
-      if (!at && !job.tasks.empty()) accounts_.add_unplaced(job.team, job.spec.need);
+      if (!at && !job.tasks.empty()) accounts_.add_unplaced(job.team, job.spec.demand);
     }
   }
 }
@@ -86,7 +88,7 @@
 void Book::describe(HostIdx h, const std::string& address, const std::string& kind, const std::string& zone, bool loaner) {
   Host& host = hosts_[h.v];
   if (!address.empty()) host.address = address;
-  host.kind = kinds_.intern(kind);
+  host.machine_type = kinds_.intern(kind);
   host.zone = zones_.intern(zone);
   host.loaner = loaner;
 }
@@ -97,16 +99,16 @@
 }
 
 void Book::touch_image(Host& host, ImageIdx image, double gb) {
-  auto it = std::find_if(host.images.begin(), host.images.end(), [&](auto& i) { return i.first == image; });
-  if (it != host.images.end()) host.images.erase(it);
-  host.images.emplace_back(image, gb);
-  const Flavor* f = flavor(host.kind);
+  auto it = std::find_if(host.cached_images.begin(), host.cached_images.end(), [&](auto& i) { return i.first == image; });
+  if (it != host.cached_images.end()) host.cached_images.erase(it);
+  host.cached_images.emplace_back(image, gb);
+  const Flavor* f = flavor(host.machine_type);
   if (!f) return;
   double sum = 0;
-  for (const auto& i : host.images) sum += i.second;
-  while (host.images.size() > 1 && sum > f->cache_gb) {
-    sum -= host.images.front().second;
-    host.images.erase(host.images.begin());
+  for (const auto& i : host.cached_images) sum += i.second;
+  while (host.cached_images.size() > 1 && sum > f->cache_gb) {
+    sum -= host.cached_images.front().second;
+    host.cached_images.erase(host.cached_images.begin());
   }
 }
 
@@ -118,23 +120,24 @@
 }
 
 bool Book::allows(const Job& job, const Host& host) const {
-  if (!host.kind.valid()) return false;
+  if (!host.machine_type.valid()) return false;
   if (host.loaner && !job.spec.loaners) return false;
   if (job.yard.valid() && host.zone != job.yard) return false;
-  return job.kinds.empty() || std::find(job.kinds.begin(), job.kinds.end(), host.kind) != job.kinds.end();
+  return job.machine_types.empty() ||
+         std::find(job.machine_types.begin(), job.machine_types.end(), host.machine_type) != job.machine_types.end();
 }
 
 std::optional<std::string> Book::why_never(const Submission& s) const {
   const TeamIdx team = accounts_.find(s.owner);
-  if (!team.valid() || !accounts_.open(team)) return "owner: unknown team";
+  if (!team.valid() || !accounts_.accepts_jobs(team)) return "owner: unknown team";
   bool fits = false;
   for (const auto& f : flavors_) {
     const bool named = s.host_kinds.empty() || std::find(s.host_kinds.begin(), s.host_kinds.end(), f.name) != s.host_kinds.end();
     const bool there = s.yard.empty() || f.yards.empty() || std::find(f.yards.begin(), f.yards.end(), s.yard) != f.yards.end();
-    if (named && there && s.need.fits(f.room)) fits = true;
+    if (named && there && s.demand.fits(f.capacity)) fits = true;
   }
   if (!fits) return "hostKinds: a task fits no allowed machine type";
-  const Resources all = s.need * (s.shape == Shape::batch ? 1.0 : s.pieces);
+  const Resources all = s.demand * (s.shape == Shape::batch ? 1.0 : s.task_count);
   const Resources& limit = accounts_.team(team).limit;
   if (limit.cores > 0 && all.cores > limit.cores + 1e-6) return "cores: more than the team's limit";
   if (limit.accelerators > 0 && all.accelerators > limit.accelerators + 1e-6) return "accelerators: more than the team's limit";
@@ -158,30 +161,30 @@
   auto& job = jobs_.emplace_back();
   job.uid = r.job.uid;
   job.spec = r.job;
-  job.team = accounts_.of_owner(r.job.owner);
+  job.team = accounts_.find_or_add(r.job.owner);
   job.job_class = classes_.intern(r.job.job_class);
-  largest_.note(job.job_class, size_of(r.job));
+  largest_.record(job.job_class, size_of(r.job));
   job.image = images_.intern(r.job.bundle);
   if (!r.job.yard.empty()) job.yard = zones_.intern(r.job.yard);
-  for (const auto& k : r.job.host_kinds) job.kinds.push_back(kinds_.intern(k));
+  for (const auto& k : r.job.host_kinds) job.machine_types.push_back(kinds_.intern(k));
   job.draw = r.draw;
-  job.accepted_at = job.since = r.at;
+  job.accepted_at = job.eligible_since = r.at;
   job.service = r.job.shape == Shape::service;
   latest_accepted_ = std::max(latest_accepted_, r.at);
-  job.tasks.assign(r.job.pieces, TaskState::waiting);
-  job.waiting = r.job.pieces;
-  if (job.spec.need.accelerators > 0) {
+  job.tasks.assign(r.job.task_count, TaskState::waiting);
+  job.pending = r.job.task_count;
+  if (job.spec.demand.accelerators > 0) {
     const auto note = [&](KindIdx k) {
       for (const bool loaner : {false, true}) {
         if (loaner && !job.spec.loaners) continue;
         auto& most = accelerator_needs_[{k, loaner}];
-        most.cores = std::max(most.cores, job.spec.need.cores);
-        most.accelerators = std::max(most.accelerators, job.spec.need.accelerators);
-        most.ram_gb = std::max(most.ram_gb, job.spec.need.ram_gb);
+        most.cores = std::max(most.cores, job.spec.demand.cores);
+        most.accelerators = std::max(most.accelerators, job.spec.demand.accelerators);
+        most.ram_gb = std::max(most.ram_gb, job.spec.demand.ram_gb);
       }
     };
-    for (auto k : job.kinds) note(k);
-    if (job.kinds.empty()) note(KindIdx{});
+    for (auto k : job.machine_types) note(k);
+    if (job.machine_types.empty()) note(KindIdx{});
   }
   by_uid_.emplace(job.uid, j);
   job.urgency = own_urgency(job);
@@ -202,25 +205,25 @@
 
 void Book::enliven(JobIdx j) {
   Job& job = jobs_[j.v];
-  if (job.live_at != UINT32_MAX) return;
-  job.live_at = static_cast<std::uint32_t>(live_.size());
+  if (job.live_position != UINT32_MAX) return;
+  job.live_position = static_cast<std::uint32_t>(live_.size());
   live_.push_back(j);
 }
 
-Pipelines::Named Book::named(JobIdx j) const {
-  using State = Pipelines::Named::State;
+Pipelines::DependencyStatus Book::named(JobIdx j) const {
+  using State = Pipelines::DependencyStatus::State;
   if (!j.valid()) return {};
   const Job& job = jobs_[j.v];
-  const auto state = job.status == JobStatus::done ? State::done : job.status == JobStatus::aborted ? State::cancelled : State::open;
+  const auto state = job.status == JobStatus::done ? State::done : job.status == JobStatus::aborted ? State::cancelled : State::pending;
   return {state, j, 0};
 }
 
 void Book::wait_for_others(JobIdx j) {
   Job& job = jobs_[j.v];
-  job.held = true;
-  std::vector<Pipelines::Named> as_named;
+  job.blocked = true;
+  std::vector<Pipelines::DependencyStatus> as_named;
   for (const auto& name : job.spec.waits_on) as_named.push_back(named(find(name)));
-  Pipelines::News news;
+  Pipelines::Changes news;
   pipelines_.add(j, job.urgency, job.spec.expected_s, job.accepted_at, job.spec.waits_on, as_named, news);
   take(news);
 }
@@ -228,23 +231,23 @@
 void Book::name_read(JobIdx j, double done_at) {
   auto as_named = named(j);
   as_named.at = done_at;
-  Pipelines::News news;
-  pipelines_.read(jobs_[j.v].uid, as_named, news);
+  Pipelines::Changes news;
+  pipelines_.resolve_name(jobs_[j.v].uid, as_named, news);
   take(news);
 }
 
-void Book::take(const Pipelines::News& news) {
-  for (const auto& r : news.ready) {
+void Book::take(const Pipelines::Changes& news) {
+  for (const auto& r : news.eligible) {
     Job& job = jobs_[r.job.v];
     // With all that it waited for done, nothing of it can be cancelled through another any more.
-    job.held = false;
-    job.since = r.since;
+    job.blocked = false;
+    job.eligible_since = r.since;
     job.spec.waits_on.clear();
     job.spec.waits_on.shrink_to_fit();
     if (!job.ended()) enliven(r.job);
   }
-  for (JobIdx j : news.urgency)
-    if (Job& job = jobs_[j.v]; !job.ended()) job.urgency = more_urgent(own_urgency(job), pipelines_.wanted(j));
+  for (JobIdx j : news.urgency_changed)
+    if (Job& job = jobs_[j.v]; !job.ended()) job.urgency = more_urgent(own_urgency(job), pipelines_.required_urgency(j));
   for (JobIdx j : news.cancelled) {
     Job& job = jobs_[j.v];
     // Nothing of it ran, for what it waited for was not done.
@@ -254,11 +257,11 @@
 }
 
 void Book::ended(JobIdx j, double at) {
-  Pipelines::News news;
+  Pipelines::Changes news;
   if (jobs_[j.v].status == JobStatus::done) {
-    pipelines_.done(j, at, news);
+    pipelines_.mark_done(j, at, news);
   } else {
-    pipelines_.cancelled(j, news);
+    pipelines_.mark_cancelled(j, news);
   }
   take(news);
 }
@@ -274,7 +277,7 @@
 }
 
 std::optional<std::string> Book::in_pipeline() const {
-  if (pipelines_.counts().waiting > 0) return std::to_string(pipelines_.counts().waiting) + " jobs that wait for others";
+  if (pipelines_.counts().blocked > 0) return std::to_string(pipelines_.counts().blocked) + " jobs that wait for others";
   return std::nullopt;
 }
 
@@ -282,18 +285,18 @@
   Job& job = jobs_[j.v];
   if (task >= job.tasks.size() || job.tasks[task] != TaskState::waiting) return;
   job.tasks[task] = TaskState::placed;
-  --job.waiting;
+  --job.pending;
   Placement p;
   p.host = h;
   p.tenure = tenure;
   p.attempt = attempt;
-  p.at = at;
+  p.decided_at = at;
   Placement& placement = job.placed.emplace(task, p).first->second;
   Host& host = hosts_[h.v];
   host.placed.push_back({{j, task}, &placement});
-  host.used += job.spec.need;
+  host.used += job.spec.demand;
   touch_image(host, job.image, job.spec.pull_gb);
-  accounts_.take(job.team, job.spec.need);
+  accounts_.charge(job.team, job.spec.demand);
 }
 
 void Book::unplace(JobIdx j, std::uint32_t task) {
@@ -301,18 +304,18 @@
   auto it = job.placed.find(task);
   if (it == job.placed.end()) return;
   Host& host = hosts_[it->second.host.v];
-  auto at = std::find_if(host.placed.begin(), host.placed.end(), [&](const PlacedPiece& q) { return q.at == &it->second; });
+  auto at = std::find_if(host.placed.begin(), host.placed.end(), [&](const PlacedPiece& q) { return q.placement == &it->second; });
   if (at != host.placed.end()) {
     *at = host.placed.back();
     host.placed.pop_back();
   }
-  host.used -= job.spec.need;
+  host.used -= job.spec.demand;
   if (host.placed.empty()) host.used = {};
-  accounts_.give(job.team, job.spec.need);
+  accounts_.refund(job.team, job.spec.demand);
   job.placed.erase(it);
   if (job.tasks[task] == TaskState::placed) {
     job.tasks[task] = TaskState::waiting;
-    ++job.waiting;
+    ++job.pending;
   }
 }
 
@@ -320,11 +323,11 @@
   Job& job = jobs_[j.v];
   for (const auto& range : ranges) {
     for (std::uint32_t t = range.first; t < range.last && t < job.tasks.size(); ++t) {
-      if (const auto it = job.placed.find(t); it != job.placed.end()) blame_.succeeded(j, it->second.host);
+      if (const auto it = job.placed.find(t); it != job.placed.end()) blame_.record_success(j, it->second.host);
       unplace(j, t);
       if (job.tasks[t] == TaskState::done) continue;
       job.tasks[t] = TaskState::done;
-      --job.waiting;
+      --job.pending;
       ++job.done;
     }
   }
@@ -337,17 +340,17 @@
 void Book::settle(JobIdx j) {
   Job& job = jobs_[j.v];
   if (!job.ended() || !job.placed.empty() || job.partly_read) return;
-  if (const auto at = std::exchange(job.live_at, UINT32_MAX); at != UINT32_MAX) {
+  if (const auto at = std::exchange(job.live_position, UINT32_MAX); at != UINT32_MAX) {
     live_[at] = live_.back();
-    jobs_[live_[at].v].live_at = at == live_.size() - 1 ? UINT32_MAX : at;
+    jobs_[live_[at].v].live_position = at == live_.size() - 1 ? UINT32_MAX : at;
     live_.pop_back();
   }
-  job.held = false;
+  job.blocked = false;
   // An ended job needs only its name and how it ended.
-  blame_.forget(j, job.done > 0);
+  blame_.forget_job(j, job.done > 0);
   job.spec = {};
   job.tasks = {};
-  job.kinds = {};
+  job.machine_types = {};
 }
 
 void Book::apply(const Record& record) {
@@ -368,8 +371,8 @@
   // The gate (too_early): whatever way a start came here, it places nothing while the job waits. While the ledger is read,
   // what the job waited for may stand further on, where it was written anew; then the writer knew that it was ready, and
   // taking its word keeps what runs from being started once more.
-  if (job.held && !reading_on(j)) return;
-  for (const auto& part : r.parts) {
+  if (job.blocked && !reading_on(j)) return;
+  for (const auto& part : r.assignments) {
     const HostIdx h = host_named(part.host);
     for (const auto& range : part.tasks)
       for (std::uint32_t t = range.first; t < range.last; ++t) place(j, t, h, part.tenure, r.attempt, r.at);
@@ -384,8 +387,8 @@
 }
 
 bool Book::reading_on(JobIdx j) const {
-  if (pipelines_.names_unread(j)) return true;
-  const auto& needs = pipelines_.needs(j);
+  if (pipelines_.has_unresolved_names(j)) return true;
+  const auto& needs = pipelines_.dependencies(j);
   return std::any_of(needs.begin(), needs.end(), [&](JobIdx f) { return jobs_[f.v].partly_read; });
 }
 
@@ -396,7 +399,7 @@
     for (std::uint32_t t = range.first; t < range.last; ++t) {
       auto it = jobs_[j.v].placed.find(t);
       if (it == jobs_[j.v].placed.end() || it->second.attempt != r.attempt) continue;
-      if (r.failed_at > 0) blame_.failed(j, it->second.host, r.failed_at, jobs_[j.v].done > 0);
+      if (r.failed_at > 0) blame_.record_failure(j, it->second.host, r.failed_at, jobs_[j.v].done > 0);
       unplace(j, t);
     }
   }
@@ -411,7 +414,7 @@
   job.status = JobStatus::aborted;
   // Read as started before what it waited for was read: it is no longer held, and its tasks are to be stopped (found by
   // the randomised test: they were on their machines for good).
-  job.held = false;
+  job.blocked = false;
   if (!job.placed.empty()) enliven(j);
   for (auto& [task, p] : job.placed) {
     p.stopping = true;
@@ -444,15 +447,15 @@
   }
   Job& job = jobs_[j.v];
   if (!r.more) job.partly_read = false;
-  if (r.suspect) blame_.suspect_as_read(j);
+  if (r.suspect) blame_.restore_suspicion(j);
   job.attempts = std::max(job.attempts, r.attempts);
-  if (r.ready_at > 0 && job.held) {
-    Pipelines::News news;
-    pipelines_.ready_as_read(j, news);
-    news.ready.push_back({j, r.ready_at});
+  if (r.ready_at > 0 && job.blocked) {
+    Pipelines::Changes news;
+    pipelines_.mark_eligible(j, news);
+    news.eligible.push_back({j, r.ready_at});
     take(news);
   }
-  if (r.ready_at > 0) job.since = r.ready_at;
+  if (r.ready_at > 0) job.eligible_since = r.ready_at;
   if (!r.done.empty()) mark_done(j, r.done, 0);
   for (const auto& p : r.placed) {
     const HostIdx h = host_named(p.host);
@@ -498,15 +501,15 @@
   const Job& job = jobs_[j.v];
   if (job.ended() && job.placed.empty()) {
     EndedRecord r{job.status, {job.uid}};
-    if (pipelines_.needed(j) && pipelines_.done_at(j) > 0) r.done_at = {{0, pipelines_.done_at(j)}};
+    if (pipelines_.has_dependents(j) && pipelines_.done_at(j) > 0) r.done_at = {{0, pipelines_.done_at(j)}};
     if (job.service) r.services = {0};
     return r;
   }
   JobRecord r;
   r.from = from;
   r.accept = {job.spec, job.draw, job.accepted_at};
-  r.suspect = blame_.suspect(j);
-  if (job.since != job.accepted_at) r.ready_at = job.since;
+  r.suspect = blame_.is_suspect(j);
+  if (job.eligible_since != job.accepted_at) r.ready_at = job.eligible_since;
   r.attempts = job.attempts;
   std::size_t items = 0;
   const auto add = [&](Ranges& ranges, std::uint32_t task) {
@@ -522,10 +525,10 @@
       const Placement& p = placed->second;
       const std::string& host = hosts_[p.host.v].name;
       auto same = std::find_if(r.placed.begin(), r.placed.end(), [&](const auto& q) {
-        return q.host == host && q.tenure == p.tenure && q.attempt == p.attempt && q.at == p.at;
+        return q.host == host && q.tenure == p.tenure && q.attempt == p.attempt && q.at == p.decided_at;
       });
       if (same == r.placed.end()) {
-        r.placed.push_back({host, p.tenure, p.attempt, p.at, {}});
+        r.placed.push_back({host, p.tenure, p.attempt, p.decided_at, {}});
         same = std::prev(r.placed.end());
         items += 3;
       }
--- a/src/bookkeeping/book.hpp
+++ b/src/bookkeeping/book.hpp
@@ -23,14 +23,14 @@
 struct Placement {
   HostIdx host;
   std::uint64_t tenure = 0, attempt = 0;
-  double at = 0;  // wall seconds of the decision to start it
+  double decided_at = 0;  // wall seconds of the decision to start it
   // Learned from reports, not in the ledger:
   Phase phase = Phase::pulling;
-  bool seen = false;       // some report showed it
-  bool closing = false;    // its end is on its way into the ledger
-  bool stopping = false;   // to be stopped
-  double wind_down_s = 0;  // grace that goes with the stop
-  double running_at = 0;   // wall seconds when it was first seen running
+  bool reported = false;     // some report showed it
+  bool end_pending = false;  // its end is on its way into the ledger
+  bool stopping = false;     // to be stopped
+  double wind_down_s = 0;    // grace that goes with the stop
+  double running_at = 0;     // wall seconds when it was first seen running
 };
 
 struct Job {
@@ -40,19 +40,19 @@
   ClassIdx job_class;
   ImageIdx image;
   ZoneIdx yard;
-  std::vector<KindIdx> kinds;  // empty: any
+  std::vector<KindIdx> machine_types;  // empty: any
   double draw = 0, accepted_at = 0;
   // Wall seconds from which its waits count: its acceptance, or the end of the last job that it waited for.
-  double since = 0;
-  Urgency urgency;    // its own, or that of a job that needs it
-  bool held = false;  // waits for other jobs: it is not among the live ones
+  double eligible_since = 0;
+  Urgency urgency;       // its own, or that of a job that needs it
+  bool blocked = false;  // waits for other jobs: it is not among the live ones
   bool service = false;
-  std::uint32_t live_at = UINT32_MAX;    // place among the live ones
-  JobStatus status = JobStatus::queued;  // queued stands for any job that has not ended
+  std::uint32_t live_position = UINT32_MAX;  // place among the live ones
+  JobStatus status = JobStatus::queued;      // queued stands for any job that has not ended
   std::uint64_t attempts = 0;
   std::vector<TaskState> tasks;
   std::map<std::uint32_t, Placement> placed;
-  std::uint32_t done = 0, waiting = 0;
+  std::uint32_t done = 0, pending = 0;
   double cancelled_at = 0;   // steady seconds: when this leader cancelled it; 0 where it was an earlier one
   bool partly_read = false;  // records with its other tasks follow in the ledger: it is not settled before them
   [[nodiscard]] bool ended() const { return status == JobStatus::done || status == JobStatus::aborted; }
@@ -67,7 +67,7 @@
 
 // A task placed on a host, with its placement at hand (it stays where it is until it is taken off).
 struct PlacedPiece : PieceRef {
-  Placement* at = nullptr;
+  Placement* placement = nullptr;
 };
 
 struct SeenPiece {
@@ -77,47 +77,69 @@
   std::string uid;  // kept for pieces not in the book
 };
 
+// What the agent (the worker process) of a node said about itself. Times are steady seconds.
+struct AgentState {
+  std::uint64_t incarnation = 0;       // grows each time the agent's lease expires; 0: never heard of
+  std::uint64_t serial = 0;            // of its newest message
+  std::uint64_t heartbeat_serial = 0;  // of its newest heartbeat, answers to commands aside
+  std::uint64_t highest_token = 0;     // highest fencing token that it has seen
+  bool has_reported = false;           // to this leader
+  double last_message_at = 0;
+  double last_heartbeat_at = 0;           // of messages that prove that it is alive (worker_control/reconciliation)
+  double last_direct_contact_at = 0;      // heard by this controller itself, not through another one
+  double last_answered_at = 0;            // the latest heartbeat of it that this leader answered
+  double incarnation_since = 0;           // when its present incarnation was first heard of
+  double fenced_at = 0;                   // when it, in its present incarnation, was first known to have seen this leader's token
+  double unresponsive_since = 0;          // answers have not reached it since then; 0: they do (worker_control/one_way_partition)
+  std::uint64_t unresponsive_token = 0;   // highest token that it had seen then
+  std::optional<double> interruption_at;  // the cloud takes the spot instance back
+  std::vector<SeenPiece> tasks;           // of its newest message, sorted by ref
+};
+
+// What is known of commands on their way to a node.
+struct CommandState {
+  bool failing = false;               // the latest direct command got no answer
+  std::uint64_t last_run_serial = 0;  // of the latest heartbeat whose answer told it to run something; 0: none in this incarnation
+  // Direct commands with a start that were sent and not answered: until the agent is seen under a higher token, they may yet
+  // be executed.
+  std::uint64_t in_flight_token = 0;
+  std::uint64_t uncertain_token = 0;
+};
+
+// What the cloud's instance list tells of a node. Times are steady seconds.
+struct InstanceState {
+  bool listed = false;
+  Machine::Status status = Machine::Status::running;
+  double age_s = 0;          // since it was requested, as of `listed_at`
+  double listed_at = 0;      // 0: in no list yet
+  double requested_at = 0;   // when this leader was told that it is rented; 0: by another one
+  double running_since = 0;  // when it was first listed as running
+};
+
+// A machine that runs tasks. Times are steady seconds.
 struct Host {
   std::string name, address;
-  KindIdx kind;
+  KindIdx machine_type;
   ZoneIdx zone;
   bool loaner = false;
-  std::uint64_t tenure = 0, serial = 0, epoch_seen = 0;
-  bool reported = false;            // has reported to this leader
-  std::uint64_t report_serial = 0;  // of its newest report, answers to commands aside
-  std::uint64_t run_answered = 0;   // of the latest report whose answer told it to run something; 0: none in this tenure
-  double newest_at = 0;             // steady seconds: when its newest message came
-  double reported_at = 0;           // steady seconds: the same, of messages that are a sign of life (fleet/dealings)
-  double tenure_at = 0;             // steady seconds: when its present tenure was first heard of
-  double deaf_since = 0;            // steady seconds: since then answers do not reach it; 0: they do (fleet/deafness)
-  std::uint64_t deaf_epoch = 0;     // highest token that it had seen then
-  double direct_at = 0;             // steady seconds: heard by this controller itself, not by way of another
-  bool commands_fail = false;       // the latest direct command got no answer
-  double answered_at = 0;           // steady seconds: the latest report of it that this leader answered
-  // Steady seconds: when it, in its present tenure, was first known to have seen this leader's epoch.
-  double fenced_at = 0;
-  bool lost = false;                // its lease is over; not used until it reports again
-  bool gone = false;                // released or taken: it does not come back
-  std::optional<double> recall_at;  // steady seconds
+  AgentState agent;
+  CommandState commands;
+  InstanceState instance;
+
   std::vector<PlacedPiece> placed;
-  Resources used;                                   // by placed tasks
-  std::vector<SeenPiece> pieces;                    // the newest report's, sorted by ref
-  std::vector<std::pair<ImageIdx, double>> images;  // most recently used last
-  // Direct commands with a start that were sent and not answered: until the worker is seen under a higher epoch,
-  // they may yet be executed.
-  std::uint64_t in_flight_epoch = 0, doubt_epoch = 0;
-  double no_room_until = 0;  // steady seconds
-  // From the cloud's list:
-  bool listed = false;
-  Machine::Status status = Machine::Status::running;
-  double held_s = 0, listed_at = 0;  // listed_at: steady seconds; 0: in no list yet
-  double rented_at = 0;              // steady seconds: when this leader was told that it is rented; 0: by another
-  double up_at = 0;                  // steady seconds: when it was first listed as running without having reported
-  double idle_since = 0;             // steady seconds; 0: not idle
-  bool leaving = false;              // its release was asked for: nothing more is placed there
-
-  [[nodiscard]] bool clean(std::uint64_t epoch) const {
-    return in_flight_epoch == 0 && (doubt_epoch == 0 || epoch > doubt_epoch) && (run_answered == 0 || report_serial > run_answered);
+  Resources used;                                          // by placed tasks
+  std::vector<std::pair<ImageIdx, double>> cached_images;  // with their sizes in GB; most recently used last
+
+  bool lease_expired = false;  // not used until its agent reports again
+  bool terminated = false;     // released or taken by the cloud: it does not come back
+  bool releasing = false;      // its release was requested: nothing more is placed there
+  double full_until = 0;       // it refused a start for lack of room
+  double idle_since = 0;       // 0: not idle
+
+  // Whether no start that was sent to it may still be executed, given that it has seen `token`.
+  [[nodiscard]] bool has_no_uncertain_start(std::uint64_t token) const {
+    return commands.in_flight_token == 0 && (commands.uncertain_token == 0 || token > commands.uncertain_token) &&
+           (commands.last_run_serial == 0 || agent.heartbeat_serial > commands.last_run_serial);
   }
 };
 
@@ -140,7 +162,7 @@
   [[nodiscard]] const std::vector<JobIdx>& live() const { return live_; }
   [[nodiscard]] const Pipelines& pipelines() const { return pipelines_; }
   // One of the largest jobs of its class lately.
-  [[nodiscard]] bool is_large(const Job& job) const { return largest_.among(job.job_class, size_of(job.spec)); }
+  [[nodiscard]] bool is_large(const Job& job) const { return largest_.is_among_largest(job.job_class, size_of(job.spec)); }
   // Why a submission may not wait for the jobs that it names; nullopt: it may. The whole ledger has been read.
   [[nodiscard]] std::optional<std::string> why_not_after(const Submission& s) const;
   // What waits for others, for which levels before 4 have no form. A job that waited and does not any more loses there
@@ -205,10 +227,10 @@
   // Pipelines: what is asked of them, and what comes of it.
   static Urgency own_urgency(const Job& job);
   void enliven(JobIdx j);
-  [[nodiscard]] Pipelines::Named named(JobIdx j) const;
+  [[nodiscard]] Pipelines::DependencyStatus named(JobIdx j) const;
   void wait_for_others(JobIdx j);
   void name_read(JobIdx j, double done_at = 0);
-  void take(const Pipelines::News& news);
+  void take(const Pipelines::Changes& news);
   void ended(JobIdx j, double at);
   // Some of what it waits for has not been read whole.
   [[nodiscard]] bool reading_on(JobIdx j) const;
@@ -221,7 +243,7 @@
   void on(const FlavorsRecord& r);
   void on(const JobRecord& r);
   void on(const EndedRecord& r);
-  void on(const TeamRecord& r) { accounts_.agree(r); }
+  void on(const TeamRecord& r) { accounts_.apply_record(r); }
 
   std::size_t record_bytes_;
   Accounts accounts_;
--- a/src/bookkeeping/largest.cpp
+++ b/src/bookkeeping/largest.cpp
@@ -10,10 +10,10 @@
 }  // namespace
 
 double size_of(const Submission& s) {
-  return s.need.cores * s.pieces;
+  return s.demand.cores * s.task_count;
 }
 
-void Largest::note(ClassIdx c, double size) {
+void Largest::record(ClassIdx c, double size) {
   if (classes_.size() <= c.v) classes_.resize(c.v + 1);
   auto& lately = classes_[c.v];
   lately.sizes.push_back(size);
@@ -25,7 +25,7 @@
   lately.median = at(0.5);
 }
 
-bool Largest::among(ClassIdx c, double size) const {
+bool Largest::is_among_largest(ClassIdx c, double size) const {
   if (!c.valid() || classes_.size() <= c.v) return false;
   const auto& lately = classes_[c.v];
   return size >= lately.large && size > lately.median;
--- a/src/bookkeeping/largest.hpp
+++ b/src/bookkeeping/largest.hpp
@@ -15,16 +15,16 @@
 class Largest {
  public:
   // A job of the class came.
-  void note(ClassIdx c, double size);
+  void record(ClassIdx c, double size);
   // Among the largest few of those that came lately, and larger than most of them; none where all are alike.
-  [[nodiscard]] bool among(ClassIdx c, double size) const;
+  [[nodiscard]] bool is_among_largest(ClassIdx c, double size) const;
 
  private:
-  struct Lately {
+  struct RecentSizes {
     std::deque<double> sizes;
     double large = 0, median = 0;  // the least that counts as large
   };
-  std::vector<Lately> classes_;
+  std::vector<RecentSizes> classes_;
 };
 
 // Seconds within which its users want one of the largest to begin.
--- a/src/bookkeeping/pipelines.hpp
+++ b/src/bookkeeping/pipelines.hpp
@@ -23,78 +23,78 @@
 class Pipelines {
  public:
   // How a job that is named stands.
-  struct Named {
-    enum class State { unread, open, done, cancelled } state = State::unread;
+  struct DependencyStatus {
+    enum class State { unresolved, pending, done, cancelled } state = State::unresolved;
     JobIdx job;     // not valid: unread
     double at = 0;  // when it was done, where a job that it is read for needs to know
   };
   // What came of an event. Each job comes once at most in each list.
-  struct News {
-    struct Ready {
+  struct Changes {
+    struct Eligible {
       JobIdx job;
       double since;
     };
-    std::vector<Ready> ready;
-    std::vector<JobIdx> cancelled;  // through another: all that need it, directly or through others
-    std::vector<JobIdx> urgency;    // another rank or deadline counts for these
+    std::vector<Eligible> eligible;
+    std::vector<JobIdx> cancelled;        // through another: all that need it, directly or through others
+    std::vector<JobIdx> urgency_changed;  // another rank or deadline counts for these
   };
 
   // A job that names others, none twice. `own`: of itself, `run_s`: its estimate, what its forerunners must be done
   // earlier; `accepted_at`: it is ready at the earliest then. Its state may be decided at once.
   void add(JobIdx job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
-           const std::vector<Named>& as_named, News& news);
+           const std::vector<DependencyStatus>& as_named, Changes& news);
   // A name that was unread is read: how the job now stands.
-  void read(const std::string& name, const Named& named, News& news);
+  void resolve_name(const std::string& name, const DependencyStatus& named, Changes& news);
   // A job was done (0: when is not known, and it was before any that need it came), or cancelled.
-  void done(JobIdx job, double at, News& news);
-  void cancelled(JobIdx job, News& news);
+  void mark_done(JobIdx job, double at, Changes& news);
+  void mark_cancelled(JobIdx job, Changes& news);
   // A record tells since when a job is ready: it needs nothing more.
-  void ready_as_read(JobIdx job, News& news);
+  void mark_eligible(JobIdx job, Changes& news);
 
   // Waits for others that are not done, or not read.
-  [[nodiscard]] bool waits(JobIdx job) const;
+  [[nodiscard]] bool is_blocked(JobIdx job) const;
   // Jobs that it needs and that are not done, as far as they are read; and whether some name is not.
-  [[nodiscard]] const std::vector<JobIdx>& needs(JobIdx job) const;
-  [[nodiscard]] bool names_unread(JobIdx job) const;
+  [[nodiscard]] const std::vector<JobIdx>& dependencies(JobIdx job) const;
+  [[nodiscard]] bool has_unresolved_names(JobIdx job) const;
   // Some job that has not ended needed it when it was done: when that was must stay known.
-  [[nodiscard]] bool needed(JobIdx job) const;
+  [[nodiscard]] bool has_dependents(JobIdx job) const;
   [[nodiscard]] double done_at(JobIdx job) const;  // 0: not known, or not needed
   // What those that need it, directly or through others, want of it.
-  [[nodiscard]] Urgency wanted(JobIdx job) const;
+  [[nodiscard]] Urgency required_urgency(JobIdx job) const;
 
   struct Counts {
-    std::size_t waiting = 0;                 // jobs now
-    std::size_t unread_names = 0;            // names of no job that was read: 0 once the whole ledger was
-    std::uint64_t ready = 0, cancelled = 0;  // jobs that became ready, or were cancelled through another
+    std::size_t blocked = 0;                    // jobs now
+    std::size_t unresolved_names = 0;           // names of no job that was read: 0 once the whole ledger was
+    std::uint64_t eligible = 0, cancelled = 0;  // jobs that became ready, or were cancelled through another
   };
   [[nodiscard]] Counts counts() const;
 
  private:
   // Kept for jobs that have not ended and name or are named, and for ended ones that such a job needed.
-  struct Node {
-    std::vector<JobIdx> needs;       // not done
-    std::vector<JobIdx> met;         // done while it waited
-    std::vector<JobIdx> dependents;  // not ended
-    std::size_t unread = 0;          // names
-    bool waits = false, ended = false;
-    double since = 0;  // ready at the earliest
-    double done_at = 0, run_s = 0;
-    Urgency own, wanted;  // own: of those that name others
+  struct Vertex {
+    std::vector<JobIdx> dependencies;            // not done
+    std::vector<JobIdx> completed_dependencies;  // done while it waited
+    std::vector<JobIdx> dependents;              // not ended
+    std::size_t unresolved = 0;                  // names
+    bool blocked = false, ended = false;
+    double eligible_since = 0;  // ready at the earliest
+    double done_at = 0, estimated_run_s = 0;
+    Urgency own, required;  // own: of those that name others
   };
-  [[nodiscard]] const Node* find(JobIdx job) const;
-  void link(JobIdx job, JobIdx need, News& news);
+  [[nodiscard]] const Vertex* find(JobIdx job) const;
+  void add_edge(JobIdx job, JobIdx need, Changes& news);
   // Ready, when nothing is left that it waits for.
-  void look_at(JobIdx job, News& news);
-  void cancel_through(JobIdx job, News& news);
+  void update_eligibility(JobIdx job, Changes& news);
+  void cancel_dependents(JobIdx job, Changes& news);
   // It has ended: what it needed no longer counts it.
-  void leave(JobIdx job, News& news);
-  void weigh(std::vector<JobIdx> work, News& news);
-  void drop_if_unused(JobIdx job);
+  void detach(JobIdx job, Changes& news);
+  void propagate_urgency(std::vector<JobIdx> work, Changes& news);
+  void erase_if_unused(JobIdx job);
 
-  std::unordered_map<JobIdx, Node> nodes_;
-  std::unordered_map<std::string, std::vector<JobIdx>> unread_;  // jobs that name it
-  std::size_t waiting_ = 0;
-  std::uint64_t ready_ = 0, cancelled_ = 0;
+  std::unordered_map<JobIdx, Vertex> vertices_;
+  std::unordered_map<std::string, std::vector<JobIdx>> unresolved_;  // jobs that name it
+  std::size_t blocked_ = 0;
+  std::uint64_t eligible_ = 0, cancelled_ = 0;
 };
 
 }  // namespace thistle
--- a/src/coordination/budget.cpp
+++ b/src/coordination/budget.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::size_t Budget::most_sockets() const {
-  return own_sockets(own - kDuties) + clients + peers + 2 * kOver + senders + probes + lines;
+  return own_sockets(own - kDuties) + clients + peers + 2 * kOver + senders + probes + worker_connections;
 }
 
 Budget split_budget(std::size_t threads, std::size_t sockets, std::size_t peers) {
@@ -36,7 +36,7 @@
   const std::size_t rest = b.peers + 2 * Budget::kOver + b.senders + b.probes;
   const std::size_t sockets_left = left_of(sockets, own_sockets(peers) + rest, 0);
   b.clients = std::min({sockets * 11 / 20, left_of(threads, b.own + rest, kFewestClients), std::max(sockets_left * 4 / 5, kFewestClients)});
-  b.lines = left_of(sockets_left, b.clients, kFewestLines);
+  b.worker_connections = left_of(sockets_left, b.clients, kFewestLines);
   return b;
 }
 
--- a/src/coordination/budget.hpp
+++ b/src/coordination/budget.hpp
@@ -12,7 +12,7 @@
   std::size_t clients = 0, peers = 0;    // accepted connections of users and workers, and of other controllers
   std::size_t senders = 0;               // routines that send commands to workers
   std::size_t probes = 0;                // workers asked for their status at the same time
-  std::size_t lines = 0;                 // connections to workers kept between commands
+  std::size_t worker_connections = 0;    // connections to workers kept between commands
   // Beyond its bound an acceptor takes so many more while the connections it ends wind down.
   static constexpr std::size_t kOver = 16;
   static constexpr std::size_t kCallsToAPeer = 12;
--- a/src/coordination/cloud.cpp
+++ b/src/coordination/cloud.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 void Controller::cloud_duty(std::stop_token stop) {
-  HttpClient cloud(settings_.cloud);
+  HttpClient cloud(settings_.cloud_address);
   std::stop_callback abort(stop, [&] { cloud.abort(); });
   double flavors_at = -1e9, listed_at = -1e9;
   std::uint64_t number = 0;
@@ -68,7 +68,7 @@
       release_machines(cloud);
       // Several at a time: one a round, 25 offers took 17 s on the first day and after a loss (kaubaalus fleet, calm).
       const auto most = std::max(1.0, settings_.cloud_rps * kRentShare);
-      for (int asked = 0; tuning_.rent && asked < most && rent(cloud); ++asked) {
+      for (int asked = 0; tuning_.scale_out && asked < most && rent(cloud); ++asked) {
       }
     }
     if (!pause_for(stop, std::max(0.5, 2.0 / settings_.cloud_rps))) return;
@@ -85,13 +85,13 @@
     const auto& old = term_->book->flavors();
     const bool same =
         old.size() == flavors.size() && std::equal(old.begin(), old.end(), flavors.begin(), [](const Flavor& a, const Flavor& b) {
-          return a.name == b.name && a.room == b.room && a.boot_s == b.boot_s;
+          return a.name == b.name && a.capacity == b.capacity && a.boot_s == b.boot_s;
         });
     if (!same) {
       // Kept in the ledger, so that a later leader can decide on submissions during a cloud outage.
       spdlog::info("{} machine types known", flavors.size());
       FlavorsRecord record{std::move(flavors)};
-      if (Tail::takes(record, entry_bytes())) {
+      if (Tail::fits_in_entry(record, entry_bytes())) {
         enqueue({std::move(record)});
       } else {
         spdlog::info("the machine types fit into no entry of the ledger: each leader asks the cloud for them");
@@ -128,16 +128,16 @@
   for (const auto& m : all) {
     const HostIdx h = book.host_named(m.name);
     Host& host = book.host(h);
-    if (host.gone) continue;
-    const bool fresh = !host.listed;
-    host.listed = true;
-    host.listed_at = now;
-    host.status = m.status;
-    host.held_s = m.held_s;
-    if (m.status == Machine::Status::running && host.up_at == 0) host.up_at = now;
-    if (!host.reported) book.describe(h, m.address, m.kind, m.yard, m.loaner);
+    if (host.terminated) continue;
+    const bool fresh = !host.instance.listed;
+    host.instance.listed = true;
+    host.instance.listed_at = now;
+    host.instance.status = m.status;
+    host.instance.age_s = m.held_s;
+    if (m.status == Machine::Status::running && host.instance.running_since == 0) host.instance.running_since = now;
+    if (!host.agent.has_reported) book.describe(h, m.address, m.machine_type, m.yard, m.loaner);
     // A machine new to this leader may hold tasks: its worker learns of the epoch at once.
-    if (fresh && !host.reported && m.status == Machine::Status::running) poke(h, true);
+    if (fresh && !host.agent.has_reported && m.status == Machine::Status::running) poke(h, true);
   }
   return true;
 }
@@ -152,7 +152,7 @@
     const HostIdx h = term_->book->find_host(name);
     if (!h.valid()) continue;
     // An answered release: the machine and all on it are gone.
-    term_->book->host(h).gone = true;
+    term_->book->host(h).terminated = true;
     spdlog::info("{}: released, {}", name, why);
     auto records = clear_host(*term_->book, h);
     if (!records.empty()) enqueue(std::move(records));
@@ -172,17 +172,17 @@
     const bool settled = now - term_->taken_over_at > kMuteLeases * settings_.lease_s;
     std::set<ZoneIdx> heard_in;
     for (std::uint32_t i = 0; i < book.host_count(); ++i)
-      if (now - book.host(HostIdx{i}).direct_at < settings_.lease_s) heard_in.insert(book.host(HostIdx{i}).zone);
+      if (now - book.host(HostIdx{i}).agent.last_direct_contact_at < settings_.lease_s) heard_in.insert(book.host(HostIdx{i}).zone);
     for (HostIdx h : given_up_as_deaf(book, now, settings_.lease_s)) {
       if (starting_.contains(h) || deaf.size() >= kMostReleased) continue;
-      book.host(h).leaving = true;
+      book.host(h).releasing = true;
       deaf.push_back(book.host(h).name);
     }
     for (std::uint32_t i = 0; i < book.host_count(); ++i) {
       Host& host = book.host(HostIdx{i});
-      if (!host.listed || host.gone || dead.size() + idle.size() + late.size() + mute.size() >= kMostReleased) continue;
-      const Flavor* flavor = book.flavor(host.kind);
-      if (host.status == Machine::Status::failed || never_came(host, flavor, now)) {
+      if (!host.instance.listed || host.terminated || dead.size() + idle.size() + late.size() + mute.size() >= kMostReleased) continue;
+      const Flavor* flavor = book.flavor(host.machine_type);
+      if (host.instance.status == Machine::Status::failed || never_came(host, flavor, now)) {
         dead.push_back(host.name);
         continue;
       }
@@ -192,21 +192,21 @@
         continue;
       }
       // Up for long, by the list, and never heard of; not where a cut may be the reason.
-      if (!host.reported && host.placed.empty() && host.status == Machine::Status::running &&
-          now - host.up_at > kMuteLeases * settings_.lease_s && heard_in.contains(host.zone)) {
+      if (!host.agent.has_reported && host.placed.empty() && host.instance.status == Machine::Status::running &&
+          now - host.instance.running_since > kMuteLeases * settings_.lease_s && heard_in.contains(host.zone)) {
         mute.push_back(host.name);
         continue;
       }
       // Failed once more after it was tried again: another machine in its place serves better.
-      if (host.placed.empty() && !starting_.contains(HostIdx{i}) && book.blame().given_up(HostIdx{i}, wall_now())) {
-        host.leaving = true;
+      if (host.placed.empty() && !starting_.contains(HostIdx{i}) && book.blame().should_replace(HostIdx{i}, wall_now())) {
+        host.releasing = true;
         faulty.push_back(host.name);
         continue;
       }
       const bool unused = host.placed.empty() && !starting_.contains(HostIdx{i}) && host.idle_since > 0;
       const bool wanted = !quiet && !unserved_.empty();
-      if (host.leaving || (unused && !wanted && now - host.idle_since > idle_limit)) {
-        host.leaving = true;
+      if (host.releasing || (unused && !wanted && now - host.idle_since > idle_limit)) {
+        host.releasing = true;
         idle.push_back(host.name);
       }
     }
@@ -237,8 +237,8 @@
         if (role_ != Role::leading || report.host != p.name) return;
         absorb(report, false);
         Host& host = term_->book->host(term_->book->host_named(p.name));
-        host.direct_at = steady_now();
-        host.commands_fail = false;
+        host.agent.last_direct_contact_at = steady_now();
+        host.commands.failing = false;
         term_->commands_failing_since = 0;
       } catch (const Malformed& e) {
         spdlog::error("{}: malformed status: {}", p.name, e.what());
@@ -255,16 +255,16 @@
   // A gap of more than a few looks is not this leader's to count.
   const double since = std::exchange(served_looked_at_, now);
   if (!decisive()) return;
-  if (now - since < kServedGap) served_.look(*term_->book, now - since);
-  if (start_watch_.tell(now))
+  if (now - since < kServedGap) served_.add_replica_time(*term_->book, now - since);
+  if (start_watch_.should_report(now))
     spdlog::info("nothing has started for {:.0f} s though work fits: {} records wait for the ledger, the service's writes {}",
-                 start_watch_.stalled(now), queue_.size(), store_failing_since_ != 0 ? "fail" : "go through");
+                 start_watch_.stalled_for(now), queue_.size(), store_failing_since_ != 0 ? "fail" : "go through");
   if (now - waits_told_at_ < kWaitsPeriod) return;
   waits_told_at_ = now;
   for (const auto& w : what_waits(*term_->book, wall_now()))
     if (w.unstarted_s > kLongWait)
       spdlog::info("team {}, class {}: {} tasks wait for {}, the oldest job of which nothing has run for {:.0f} s", w.team, w.job_class,
-                   w.tasks, name_of(w.what), w.unstarted_s);
+                   w.tasks, name_of(w.reason), w.unstarted_s);
   const auto amiss = term_->book->correct_accounts();
   counters_.amiss += amiss.size();
   for (const auto& team : amiss) spdlog::error("team {}: its account is not what is placed; the larger figure holds", team);
@@ -282,8 +282,9 @@
     const Book& book = *term_->book;
     for (std::uint32_t i = 0; i < book.host_count() && probes.size() < kAskedBeforeHandOver; ++i) {
       const Host& host = book.host(HostIdx{i});
-      if (!host.reported || host.gone || host.lost || host.address.empty()) continue;
-      if (now - host.reported_at < settings_.report_s * kSilentReports && now - host.direct_at > now - host.reported_at)
+      if (!host.agent.has_reported || host.terminated || host.lease_expired || host.address.empty()) continue;
+      if (now - host.agent.last_heartbeat_at < settings_.report_s * kSilentReports &&
+          now - host.agent.last_direct_contact_at > now - host.agent.last_heartbeat_at)
         probes.push_back({host.name, host.address});
     }
   }
@@ -341,7 +342,7 @@
   double by = job.urgency.due_at;
   for (const auto& o : settings_.objectives)
     if (o.job_class == job.spec.job_class && o.within_s > 0 && (o.kind == "finished" || o.kind == "wait"))
-      by = std::min(by, job.since + o.within_s);
+      by = std::min(by, job.eligible_since + o.within_s);
   return wall + kIdleHaste * (job.spec.expected_s + boot) > by;
 }
 
@@ -352,9 +353,9 @@
   std::size_t up = 0, heard = 0;
   for (std::uint32_t i = 0; i < term_->book->host_count(); ++i) {
     const Host& host = term_->book->host(HostIdx{i});
-    if (!host.listed || host.status != Machine::Status::running) continue;
+    if (!host.instance.listed || host.instance.status != Machine::Status::running) continue;
     ++up;
-    heard += host.reported;
+    heard += host.agent.has_reported;
   }
   return up > 0 && heard >= up - up / kNotHeard;
 }
@@ -374,10 +375,10 @@
       // Renting pays only for what has no slot before the machine is up.
       RentingInput in{*term_->book, {}, refused, now, kMostAtOnce};
       for (const auto& u : unserved_)
-        if (u.late > 0 && worth_renting(term_->book->job(u.job), wall_now())) in.needs.push_back({u.job, u.late});
+        if (u.late > 0 && worth_renting(term_->book->job(u.job), wall_now())) in.unmet.push_back({u.job, u.late});
       // Machines with accelerators first: nothing else serves the work that needs them, and they take the longest to boot.
-      std::stable_partition(in.needs.begin(), in.needs.end(),
-                            [&](const auto& n) { return term_->book->job(n.job).spec.need.accelerators > 0; });
+      std::stable_partition(in.unmet.begin(), in.unmet.end(),
+                            [&](const auto& n) { return term_->book->job(n.job).spec.demand.accelerators > 0; });
       const auto rental = choose_rental(in);
       if (!rental) return false;
       // The epoch is of this term alone, so no other controller or process ever uses the name again.
@@ -387,7 +388,7 @@
   const auto [term, name, rental] = *rental_;
   const std::string kind = [&] {
     Lock lock(mutex_);
-    return term_number_ == number ? term_->book->kind_name(rental.offer.kind) : std::string();
+    return term_number_ == number ? term_->book->kind_name(rental.offer.machine_type) : std::string();
   }();
   if (kind.empty()) return false;
   const auto r = cloud.post(kRentPath, rent_body(name, kind, rental.offer.yard, rental.offer.loaner, rental.count), kCloudTimeout);
@@ -405,12 +406,12 @@
       for (const auto& host_name : names) {
         const HostIdx h = term_->book->host_named(host_name);
         Host& host = term_->book->host(h);
-        host.rented_at = now;
+        host.instance.requested_at = now;
         // It may be up, and have reported, before this answer came.
-        if (host.reported || host.listed) continue;
+        if (host.agent.has_reported || host.instance.listed) continue;
         term_->book->describe(h, "", kind, rental.offer.yard, rental.offer.loaner);
-        host.listed = true;
-        host.status = Machine::Status::booting;
+        host.instance.listed = true;
+        host.instance.status = Machine::Status::booting;
       }
       if (names.size() < rental.count) refused_rentals_[rental.offer] = now + kRefusedPause;
     } catch (const Malformed& e) {
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -40,11 +40,11 @@
       writes_(settings_.state_write_rps),
       random_(random_word()),
       due_(std::max<std::size_t>(budget_.senders / 4, 1)),
-      lines_(budget_.lines),
+      lines_(budget_.worker_connections),
       began_(steady_now()),
       custody_(custody_span(settings_.cancel_s, settings_.lease_s), began_),
       served_(named_classes(settings_)),
-      intake_store_(settings_.state),
+      intake_store_(settings_.store_address),
       intake_(
           settings_.label,
           [this]() -> std::optional<IntakeSender::Lead> {
@@ -55,7 +55,7 @@
           },
           [this] {
             Rows rows;
-            return intake_store_.rows(kLeadPrefix, rows) == StoreStatus::ok;
+            return intake_store_.list(kLeadPrefix, rows) == StoreStatus::ok;
           }) {
   follower_since_ = began_;
   for (const auto& o : settings_.objectives)
@@ -78,7 +78,7 @@
   duties_.emplace_back([this](std::stop_token st) { pass_duty(st); });
   duties_.emplace_back([this](std::stop_token st) { cloud_duty(st); });
   duties_.emplace_back([this](std::stop_token st) { rollout_duty(st); });
-  if (tuning_.intake != IntakeMode::off) duties_.emplace_back([this](std::stop_token st) { intake_.run(st); });
+  if (tuning_.relay_mode != IntakeMode::off) duties_.emplace_back([this](std::stop_token st) { intake_.run(st); });
   for (std::size_t i = 0; i < links_.size(); ++i) duties_.emplace_back([this, i](std::stop_token st) { peer_duty(st, i); });
   duties_.emplace_back([this](std::stop_token st) { leadership_duty(st); });
   spdlog::info("{} serves on {}, peers on {}", settings_.label, settings_.client_listen, settings_.peer_listen);
@@ -86,7 +86,7 @@
       "at most {} of {} threads and {} of {} sockets: {} connections of users and workers, {} of controllers, "
       "{} senders, {} connections to workers",
       budget_.most_threads(), budget_.threads, budget_.most_sockets(), budget_.sockets, budget_.clients, budget_.peers, budget_.senders,
-      budget_.lines);
+      budget_.worker_connections);
   while (pause_for(stop, 3600)) {
   }
   spdlog::info("stopping");
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -243,7 +243,7 @@
   void give_turns();
   void sender_duty(std::stop_token stop);
   // Sends the worker what it is due; `held` is the sender's turn, given up when the worker is slow.
-  void command(Lock& lock, DueWorkers::Next next, bool& held);
+  void command(Lock& lock, DueWorkers::Item next, bool& held);
   // Whether it was newer than what was heard before.
   bool absorb(const Report& report, bool by_report);
 
--- a/src/coordination/intake_sender.cpp
+++ b/src/coordination/intake_sender.cpp
@@ -28,18 +28,18 @@
 constexpr double kCountPeriod = 1.0;        // seconds
 }  // namespace
 
-IntakeSender::Passed IntakeSender::pass_on(const Report& report, double timeout_s) {
+IntakeSender::RelayResult IntakeSender::relay(const Report& report, double timeout_s) {
   std::unique_lock lock(mutex_);
   const double now = steady_now();
   heard_at_[report.host] = now;
-  if (taken_ == Taken::no) return {Passed::Outcome::not_taken, {}, 0, 0};
+  if (leader_support_ == LeaderSupport::no) return {RelayResult::Outcome::not_supported, {}, 0, 0};
   if (waiting_.size() >= kMostWaiting) return {};
-  Waiting mine;
+  WaitingHeartbeat mine;
   mine.report = &report;
   mine.since = now;
   mine.until = now + timeout_s;
   waiting_.push_back(&mine);
-  filled_.notify_one();
+  queue_filled_.notify_one();
   // One that is in a batch is waited for: the batch's own time limit is short.
   mine.changed.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] { return mine.done; });
   mine.changed.wait(lock, [&] { return mine.done || !mine.in_batch; });
@@ -47,30 +47,30 @@
   return mine.passed;
 }
 
-void IntakeSender::release_all() {
+void IntakeSender::fail_waiting() {
   std::lock_guard lock(mutex_);
-  refuse_all();
+  refuse_waiting();
 }
 
 IntakeSender::Backlog IntakeSender::backlog() const {
   std::lock_guard lock(mutex_);
   Backlog out{waiting_.size(), 0};
-  for (const Waiting* w : waiting_) out.oldest_s = std::max(out.oldest_s, steady_now() - w->since);
+  for (const WaitingHeartbeat* w : waiting_) out.oldest_s = std::max(out.oldest_s, steady_now() - w->since);
   return out;
 }
 
-std::optional<std::string> IntakeSender::send_away() {
+std::optional<std::string> IntakeSender::redirect_target() {
   std::lock_guard lock(mutex_);
-  if (send_away_ == 0) return std::nullopt;
-  --send_away_;
-  return send_to_;
+  if (redirect_count_ == 0) return std::nullopt;
+  --redirect_count_;
+  return redirect_target_;
 }
 
 void IntakeSender::run(std::stop_token stop) {
   while (!stop.stop_requested()) {
     {
       std::unique_lock lock(mutex_);
-      filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnounce), [&] { return !waiting_.empty(); });
+      queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnounce), [&] { return !waiting_.empty(); });
     }
     if (stop.stop_requested()) break;
     const double began = steady_now();
@@ -78,17 +78,17 @@
     double rest = kBatchPeriod;
     if (!lead_) {
       rest = kNoLead;
-    } else if (taken_ == Taken::unknown) {
-      ask_whether_taken(*lead_);
-      rest = taken_ == Taken::unknown ? kAfterFailure : 0;
-    } else if (taken_ == Taken::yes) {
+    } else if (leader_support_ == LeaderSupport::unknown) {
+      query_leader_support(*lead_);
+      rest = leader_support_ == LeaderSupport::unknown ? kAfterFailure : 0;
+    } else if (leader_support_ == LeaderSupport::yes) {
       send_batch(*lead_);
     }
     if (!pause_for(stop, std::max(0.0, began + rest - steady_now()))) break;
   }
   std::lock_guard lock(mutex_);
-  taken_ = Taken::no;
-  refuse_all();
+  leader_support_ = LeaderSupport::no;
+  refuse_waiting();
 }
 
 void IntakeSender::find_lead() {
@@ -98,135 +98,135 @@
   lead_ = now_leads;
   if (!same) {
     reports_.clear();
-    taken_ = Taken::unknown;
+    leader_support_ = LeaderSupport::unknown;
     failing_since_ = 0;
     cut_off_ = false;
-    send_away_ = 0;
+    redirect_count_ = 0;
   }
-  if (taken_ == Taken::no && steady_now() - asked_at_ > kAskAgain) taken_ = Taken::unknown;
+  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgain) leader_support_ = LeaderSupport::unknown;
 }
 
 // Older builds, and leaders whose operator has switched it off, do not take batches: workers are then sent to the leader.
-void IntakeSender::ask_whether_taken(const Lead& lead) {
+void IntakeSender::query_leader_support(const Lead& lead) {
   const double asked = steady_now();
   const auto answer = lead.pool->ask(pack(PeerCall{"GET", kIntakeTarget, ""}), kBatchTimeout);
   const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
   if (!reply || reply->status == 503) {
-    note_failure(asked);
+    record_failure(asked);
     return;
   }
   std::lock_guard lock(mutex_);
   failing_since_ = 0;
   cut_off_ = false;
   asked_at_ = steady_now();
-  taken_ = reply->status == 200 ? Taken::yes : Taken::no;
-  in_use_ = taken_ == Taken::yes;
-  if (taken_ == Taken::no) refuse_all();
+  leader_support_ = reply->status == 200 ? LeaderSupport::yes : LeaderSupport::no;
+  in_use_ = leader_support_ == LeaderSupport::yes;
+  if (leader_support_ == LeaderSupport::no) refuse_waiting();
 }
 
 void IntakeSender::send_batch(const Lead& lead) {
   IntakeBatch batch;
-  const auto sent = take_batch(batch, lead);
+  const auto sent = collect_batch(batch, lead);
   const double asked = steady_now();
   const auto frame = lead.pool->ask(pack(batch), kBatchTimeout);
   const auto answer = frame ? unpack_intake_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("malformed answer to a batch of reports");
-  const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover == lead.takeover;
+  const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_epoch == lead.takeover;
   if (taken) {
-    take_answer(sent, *answer, lead);
+    apply_answer(sent, *answer, lead);
     return;
   }
   // Not known what came of it: asked once more, of whoever leads then, with whole reports.
-  if (!frame) note_failure(asked);
+  if (!frame) record_failure(asked);
   std::lock_guard lock(mutex_);
   reports_.clear();
-  if (taken_ == Taken::yes) taken_ = Taken::unknown;
-  for (Waiting* w : sent) {
-    put_back(*w);
+  if (leader_support_ == LeaderSupport::yes) leader_support_ = LeaderSupport::unknown;
+  for (WaitingHeartbeat* w : sent) {
+    requeue(*w);
   }
 }
 
-std::vector<IntakeSender::Waiting*> IntakeSender::take_batch(IntakeBatch& batch, const Lead& lead) {
+std::vector<IntakeSender::WaitingHeartbeat*> IntakeSender::collect_batch(IntakeBatch& batch, const Lead& lead) {
   std::lock_guard lock(mutex_);
   batch.sender = label_;
-  batch.takeover = lead.takeover;
-  batch.workers = count_workers(steady_now());
-  std::vector<Waiting*> out;
+  batch.takeover_epoch = lead.takeover;
+  batch.worker_count = count_workers(steady_now());
+  std::vector<WaitingHeartbeat*> out;
   std::size_t bytes = 0;
   while (!waiting_.empty() && out.size() < kMostReports && bytes < kMostBytes) {
-    Waiting* next = waiting_.front();
+    WaitingHeartbeat* next = waiting_.front();
     waiting_.pop_front();
     if (steady_now() >= next->until) {
-      finish(*next, Passed::Outcome::not_answered);
+      finish(*next, RelayResult::Outcome::not_answered);
       continue;
     }
     next->in_batch = true;
-    batch.reports.push_back(reports_.delta(*next->report));
+    batch.reports.push_back(reports_.encode(*next->report));
     bytes += packed_size(batch.reports.back());
     out.push_back(next);
   }
   return out;
 }
 
-void IntakeSender::take_answer(const std::vector<Waiting*>& sent, const IntakeAnswer& answer, const Lead& lead) {
+void IntakeSender::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const IntakeAnswer& answer, const Lead& lead) {
   std::lock_guard lock(mutex_);
   failing_since_ = 0;
   cut_off_ = false;
-  send_away_ = answer.send_away;
-  send_to_ = answer.send_to;
+  redirect_count_ = answer.redirect_count;
+  redirect_target_ = answer.redirect_target;
   for (std::size_t i = 0; i < sent.size(); ++i) {
-    Waiting& w = *sent[i];
+    WaitingHeartbeat& w = *sent[i];
     const auto outcome = answer.answers[i].outcome;
-    if (outcome == WorkerAnswer::Outcome::whole_wanted) {
+    if (outcome == WorkerAnswer::Outcome::full_required) {
       reports_.forget(w.report->host);
-      put_back(w);
-    } else if (outcome == WorkerAnswer::Outcome::not_now) {
-      put_back(w);
+      requeue(w);
+    } else if (outcome == WorkerAnswer::Outcome::retry_later) {
+      requeue(w);
     } else {
-      reports_.acknowledged(*w.report);
-      w.passed = {Passed::Outcome::answered, answer.answers[i], answer.epoch, lead.number};
-      finish(w, Passed::Outcome::answered);
+      reports_.record_acknowledged(*w.report);
+      w.passed = {RelayResult::Outcome::answered, answer.answers[i], answer.epoch, lead.number};
+      finish(w, RelayResult::Outcome::answered);
     }
   }
 }
 
-void IntakeSender::put_back(Waiting& waiting) {
+void IntakeSender::requeue(WaitingHeartbeat& waiting) {
   waiting.in_batch = false;
   if (steady_now() >= waiting.until)
-    finish(waiting, Passed::Outcome::not_answered);
+    finish(waiting, RelayResult::Outcome::not_answered);
   else
     waiting_.push_back(&waiting);
 }
 
-void IntakeSender::note_failure(double since) {
-  const bool reaches_state = !in_use() || reaches_state_();
+void IntakeSender::record_failure(double since) {
+  const bool reaches_state = !is_in_use() || reaches_state_();
   std::lock_guard lock(mutex_);
   cut_off_ = !reaches_state;
   if (failing_since_ == 0) failing_since_ = since;
   if (steady_now() - failing_since_ < kLinkPatience) return;
-  taken_ = Taken::no;
+  leader_support_ = LeaderSupport::no;
   asked_at_ = steady_now();
-  refuse_all();
+  refuse_waiting();
 }
 
-bool IntakeSender::in_use() const {
+bool IntakeSender::is_in_use() const {
   std::lock_guard lock(mutex_);
   return in_use_;
 }
 
-bool IntakeSender::cut_off() const {
+bool IntakeSender::is_cut_off() const {
   std::lock_guard lock(mutex_);
   return cut_off_;
 }
 
-void IntakeSender::finish(Waiting& waiting, Passed::Outcome outcome) {
+void IntakeSender::finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome) {
   waiting.passed.outcome = outcome;
   waiting.done = true;
   waiting.changed.notify_one();
 }
 
-void IntakeSender::refuse_all() {
-  for (Waiting* w : waiting_) finish(*w, Passed::Outcome::not_taken);
+void IntakeSender::refuse_waiting() {
+  for (WaitingHeartbeat* w : waiting_) finish(*w, RelayResult::Outcome::not_supported);
   waiting_.clear();
 }
 
--- a/src/coordination/intake_sender.hpp
+++ b/src/coordination/intake_sender.hpp
@@ -28,11 +28,11 @@
   using LeadNow = std::function<std::optional<Lead>()>;
 
   // What became of a report.
-  struct Passed {
+  struct RelayResult {
     enum class Outcome {
-      answered,      // by the leader: see `answer`
-      not_answered,  // in time
-      not_taken,     // the leader takes no batches, or can't be reached from here
+      answered,       // by the leader: see `answer`
+      not_answered,   // in time
+      not_supported,  // the leader takes no batches, or can't be reached from here
     };
     Outcome outcome = Outcome::not_answered;
     WorkerAnswer answer;
@@ -47,14 +47,14 @@
       : label_(std::move(label)), lead_now_(std::move(lead_now)), reaches_state_(std::move(reaches_state)) {}
 
   // Waits until the leader has answered, at most this long.
-  Passed pass_on(const Report& report, double timeout_s);
+  RelayResult relay(const Report& report, double timeout_s);
   // Neither the leader nor the state service is reached: a cut, with this controller inside. Where the state service is reached, the
   // workers may well reach the leader themselves.
-  [[nodiscard]] bool cut_off() const;
+  [[nodiscard]] bool is_cut_off() const;
   // The latest lead that answered takes batches: reports wait for the next one to say so too.
-  [[nodiscard]] bool in_use() const;
+  [[nodiscard]] bool is_in_use() const;
   // This controller leads now: what waits is answered here.
-  void release_all();
+  void fail_waiting();
   // Sends batches until asked to stop.
   void run(std::stop_token stop);
 
@@ -65,47 +65,47 @@
   };
   [[nodiscard]] Backlog backlog() const;
   // Where one of the workers should be told to report instead: this intake holds more than its share. Each call counts as one.
-  std::optional<std::string> send_away();
+  std::optional<std::string> redirect_target();
 
  private:
-  struct Waiting {
+  struct WaitingHeartbeat {
     const Report* report = nullptr;  // of the routine that waits
     double since = 0, until = 0;     // steady seconds
     bool in_batch = false, done = false;
-    Passed passed;
+    RelayResult passed;
     std::condition_variable changed;  // done, or no longer in a batch
   };
-  enum class Taken { unknown, yes, no };  // whether the leader takes batches
+  enum class LeaderSupport { unknown, yes, no };  // whether the leader takes batches
 
   void find_lead();
-  void ask_whether_taken(const Lead& lead);
+  void query_leader_support(const Lead& lead);
   void send_batch(const Lead& lead);
-  std::vector<Waiting*> take_batch(IntakeBatch& batch, const Lead& lead);
-  void take_answer(const std::vector<Waiting*>& sent, const IntakeAnswer& answer, const Lead& lead);
+  std::vector<WaitingHeartbeat*> collect_batch(IntakeBatch& batch, const Lead& lead);
+  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const IntakeAnswer& answer, const Lead& lead);
   // The leader did not answer. Where that lasts though it still leads, workers are better sent to it.
-  void note_failure(double since);
-  void finish(Waiting& waiting, Passed::Outcome outcome);
+  void record_failure(double since);
+  void finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome);
   // It goes into a later batch, if its time is not over.
-  void put_back(Waiting& waiting);
-  void refuse_all();
+  void requeue(WaitingHeartbeat& waiting);
+  void refuse_waiting();
   std::uint32_t count_workers(double now);
 
   const std::string label_;
   const LeadNow lead_now_;
   const ReachesState reaches_state_;
   mutable std::mutex mutex_;
-  std::condition_variable_any filled_;
-  std::deque<Waiting*> waiting_;
+  std::condition_variable_any queue_filled_;
+  std::deque<WaitingHeartbeat*> waiting_;
   std::optional<Lead> lead_;
-  Taken taken_ = Taken::unknown;
+  LeaderSupport leader_support_ = LeaderSupport::unknown;
   double asked_at_ = 0;       // steady seconds: whether the leader takes batches
   double failing_since_ = 0;  // steady seconds: the leader does not answer this controller; 0: it does
   ReportSender reports_;
   NameMap<double> heard_at_;  // by worker, steady seconds
   double counted_at_ = 0;
   std::uint32_t workers_ = 0;  // heard of lately
-  std::uint32_t send_away_ = 0;
-  std::string send_to_;
+  std::uint32_t redirect_count_ = 0;
+  std::string redirect_target_;
   bool cut_off_ = false;
   bool in_use_ = false;
 };
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership.cpp
@@ -24,14 +24,14 @@
 }  // namespace
 
 void Controller::leadership_duty(std::stop_token stop) {
-  StoreClient store(settings_.state);
+  StoreClient store(settings_.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
   std::uint32_t told_level = 0;
   double missing_since = 0;  // steady seconds; 0: some controller leads, as far as is known
   while (!stop.stop_requested()) {
     Rows rows;
     rollout::Look look;
-    const auto got = store.rows(kLeadPrefix, rows);
+    const auto got = store.list(kLeadPrefix, rows);
     if (got != StoreStatus::ok) {
       if (!pause_for(stop, 0.3)) return;
       continue;
@@ -60,7 +60,7 @@
       double stand_back = 0;
       {
         Lock lock(mutex_);
-        stand_back = standing_back_.left(steady_now());
+        stand_back = standing_back_.remaining(steady_now());
       }
       // Not for long: where nobody does, a leader that the workers reach badly is better than none.
       if (missing_since == 0) missing_since = steady_now();
@@ -77,7 +77,7 @@
       learn(look.leader_stamp, look.leader->label);
     }
     if (look.leader->label == settings_.label && !clear_own_lead(store, stop, look)) continue;
-    if (store.follow(kLeadPrefix, rows.rev, kFollowMs) != StoreStatus::ok && !pause_for(stop, 0.3)) return;
+    if (store.watch(kLeadPrefix, rows.revision, kFollowMs) != StoreStatus::ok && !pause_for(stop, 0.3)) return;
   }
 }
 
@@ -99,14 +99,14 @@
   }
   std::uint64_t hold = 0;
   const double asked = steady_now();
-  if (store.hold(tuning_.hold_ms, hold) != StoreStatus::ok) {
+  if (store.create_lease(tuning_.hold_ms, hold) != StoreStatus::ok) {
     pause_for(stop, 0.2);
     return false;
   }
   const char* key = lead_key(look.on.level);
   std::uint64_t epoch = 0;
   std::vector<std::string> failed;
-  auto status = store.txn(rollout::take_lead(look, able_, value, hold)->body(), epoch, failed);
+  auto status = store.commit(rollout::take_lead(look, able_, value, hold)->body(), epoch, failed);
   if (status == StoreStatus::in_doubt || status == StoreStatus::conflict) {
     // It may have been applied all the same: the key tells.
     Row row;
@@ -124,7 +124,7 @@
     }
   }
   if (status != StoreStatus::ok) {
-    store.drop(hold);
+    store.revoke_lease(hold);
     return false;
   }
   Lock lock(mutex_);
@@ -138,16 +138,16 @@
   term_->valid_until = asked + tuning_.hold_ms / 1000.0 * (1 - kClockDrift) - kValidMargin;
   term_->backing = Backing(links_.size(), term_->taken_over_at, backing_grace(settings_.cancel_s, settings_.lease_s));
   for (auto& link : links_) {
-    link.granted = Granted(custody_span(settings_.cancel_s, settings_.lease_s), term_->taken_over_at);
-    link.marked_by = link.mark = 0;
-    link.marked_sent_at = 0;
+    link.partition_lease = Granted(custody_span(settings_.cancel_s, settings_.lease_s), term_->taken_over_at);
+    link.last_ack_process = link.last_ack_clock_ms = 0;
+    link.last_acked_sent_at = 0;
   }
   ++term_number_;
   role_ = Role::recovering;
   learn(epoch, settings_.label);
   // What the lead before took is taken on, so that workers stay where they are.
-  term_->takes_batches = tuning_.intake != IntakeMode::off && intake_.in_use();
-  intake_.release_all();
+  term_->takes_batches = tuning_.relay_mode != IntakeMode::off && intake_.is_in_use();
+  intake_.fail_waiting();
   spdlog::info("takes over as leader, epoch {}", epoch);
   role_changed_.notify_all();
   return true;
@@ -171,7 +171,7 @@
       if (term_number_ != number || role_ == Role::follower) break;
     }
     const double asked = steady_now();
-    const auto status = store.renew(hold);
+    const auto status = store.renew_lease(hold);
     const double answered = steady_now();
     Lock lock(mutex_);
     if (const double whole = steady_now() - slept_at - period; whole > period)
@@ -181,13 +181,13 @@
     if (status == StoreStatus::ok) {
       term_->valid_until = asked + tuning_.hold_ms / 1000.0 * (1 - kClockDrift) - kValidMargin;
       if (role_ == Role::leading)
-        custody_.granted(term_->epoch, asked, oldest_owed(*term_->book, settings_.site, steady_now(), settings_.cancel_s));
+        custody_.grant(term_->epoch, asked, oldest_owed(*term_->book, settings_.site, steady_now(), settings_.cancel_s));
       if (isolated()) {
         hand_over(lock, store, hold, "cut off from its peers and most workers", kStandBack);
         break;
       }
       if (term_->hand_over) {
-        hand_over(lock, store, hold, term_->hand_over, standing_back_.again(steady_now()));
+        hand_over(lock, store, hold, term_->hand_over, standing_back_.record_hand_over(steady_now()));
         break;
       }
       if (uncertain) {
@@ -213,8 +213,8 @@
       if (term_number_ == number) step_down(lock, "stopping");
       outwait_answers(lock);
     }
-    StoreClient last(settings_.state);
-    last.drop(hold);
+    StoreClient last(settings_.store_address);
+    last.revoke_lease(hold);
   }
 }
 
@@ -227,14 +227,14 @@
   }
   std::uint64_t rev = 0;
   std::vector<std::string> failed;
-  const auto status = store.txn(rollout::leave_lead(look).body(), rev, failed);
+  const auto status = store.commit(rollout::leave_lead(look).body(), rev, failed);
   // Another one's key by now, or no answer: it is looked at once more.
   if (status != StoreStatus::ok) pause_for(stop, kLookAgain);
   if (status == StoreStatus::ok) {
     spdlog::info("the lead of an earlier process of this controller is given back, epoch {}", look.leader_stamp);
     Lock lock(mutex_);
     // A process that ends as soon as it leads must not be the next one again and again.
-    standing_back_.until(std::max(standing_back_.ends(), steady_now() + kBehindOthers));
+    standing_back_.extend_until(std::max(standing_back_.ends_at(), steady_now() + kBehindOthers));
   }
   return false;
 }
@@ -244,8 +244,8 @@
 // leaves it without one, so the successor can count on its silence soon after.
 Standing Controller::standing(const Report& report, double now) const {
   const bool read = term_->book != nullptr, certain = now < term_->valid_until;
-  const bool granted = read ? keeps(report, now) : report.yard == settings_.site && custody_.granted_still(now);
-  return {read, certain, term_->backing.majority(now), granted};
+  const bool granted = read ? keeps(report, now) : report.yard == settings_.site && custody_.is_granted(now);
+  return {read, certain, term_->backing.has_quorum(now), granted};
 }
 
 std::vector<Order> Controller::due_orders(HostIdx h) const {
@@ -253,22 +253,22 @@
 }
 
 bool Controller::may_tell(const Job& job) const {
-  return job.status != JobStatus::aborted || job.placed.empty() || term_->backing.known(term_->takeover_epoch);
+  return job.status != JobStatus::aborted || job.placed.empty() || term_->backing.is_takeover_known(term_->takeover_epoch);
 }
 
 bool Controller::isolated() const {
   const double now = steady_now();
   if (links_.empty() || role_ != Role::leading || now - term_->taken_over_at < settings_.lease_s) return false;
-  if (!term_->backing.lonely(now, kPeersLost)) return false;
+  if (!term_->backing.is_isolated(now, kPeersLost)) return false;
   const auto heard = hearing(*term_->book, now, kPeersLost + settings_.report_s);
-  return heard.known > 2 * heard.lately;
+  return heard.known > 2 * heard.recent;
 }
 
 bool Controller::workers_by_peers() const {
   const double now = steady_now();
   if (links_.empty() || role_ != Role::leading || now - term_->taken_over_at < settings_.lease_s / 2) return false;
   const auto heard = hearing(*term_->book, now, kPeersLost + settings_.report_s);
-  return heard.by_peers > 2 * heard.direct && 4 * heard.by_peers > heard.known;
+  return heard.via_peers > 2 * heard.direct && 4 * heard.via_peers > heard.known;
 }
 
 void Controller::hand_over(Lock& lock, StoreClient& store, std::uint64_t hold, const char* why, double stand_back_s) {
@@ -278,17 +278,17 @@
                     [&] { return term_number_ != number || (queue_.empty() && !committing_); });
   if (term_number_ == number) step_down(lock, why);
   ++counters_.handed_over;
-  standing_back_.until(steady_now() + stand_back_s);
+  standing_back_.extend_until(steady_now() + stand_back_s);
   outwait_answers(lock);
   lock.unlock();
-  store.drop(hold);
+  store.revoke_lease(hold);
 }
 
 void Controller::step_down(Lock&, const char* why) {
   if (role_ == Role::follower) return;
   spdlog::info("no longer leader (epoch {}): {}", term_->epoch, why);
   role_ = Role::follower;
-  custody_.drop();
+  custody_.revoke();
   follower_since_ = steady_now();
   ++term_number_;
   queue_.clear();
@@ -298,7 +298,7 @@
   unserved_.clear();
   starting_.clear();
   level_waits_for_.clear();
-  start_watch_.started();
+  start_watch_.record_started();
   refused_rentals_.clear();  // kinds are numbered anew by the next book
   term_.reset();
   due_.clear();
@@ -329,7 +329,7 @@
   ++leads_known_;
   leader_since_ = steady_now();
   // But for its own takeover: what it was granted holds until it has read the ledger.
-  if (role_ == Role::follower) custody_.drop();
+  if (role_ == Role::follower) custody_.revoke();
   // Which workers can't reach the earlier leader says nothing of this one.
   bounces_.clear();
   // Calls that still wait for the earlier one are better asked of this one.
@@ -364,10 +364,10 @@
       if (stop.stop_requested()) return;
       number = term_number_;
       beat = beat_for(link);
-      if (beat.marked_by != 0) echoed_sent_at = link.marked_sent_at;
+      if (beat.echoed_process != 0) echoed_sent_at = link.last_acked_sent_at;
     }
     const double asked = steady_now();
-    const auto answer = link.beats->ask(pack(beat), 1.0);
+    const auto answer = link.heartbeats->ask(pack(beat), 1.0);
     const auto ack = answer ? unpack_ack(*answer) : std::nullopt;
     if (reached != ack.has_value()) {
       reached = ack.has_value();
@@ -382,24 +382,24 @@
       continue;
     }
     const double answered = steady_now();
-    term_->backing.answered(peer, ack->marked_by, asked, ack->epoch, answered < term_->valid_until);
-    term_->backing.alone_since(term_->takeover_epoch, answered);
-    link.granted.answered(echoed_sent_at, steady_now(), ack->kept_ms_ago / 1000.0);
-    link.marked_by = ack->marked_by;
-    link.mark = ack->mark;
-    link.marked_sent_at = asked;
+    term_->backing.record_ack(peer, ack->process, asked, ack->epoch, answered < term_->valid_until);
+    term_->backing.sole_leader_since(term_->takeover_epoch, answered);
+    link.partition_lease.record_ack(echoed_sent_at, steady_now(), ack->kept_ms_ago / 1000.0);
+    link.last_ack_process = ack->process;
+    link.last_ack_clock_ms = ack->clock_ms;
+    link.last_acked_sent_at = asked;
   }
 }
 
 Beat Controller::beat_for(PeerLink& link) {
   Beat beat{settings_.label, term_->epoch, term_->takeover_epoch};
-  if (!decisive() || link.marked_by == 0) return beat;
+  if (!decisive() || link.last_ack_process == 0) return beat;
   const double owed = oldest_owed(*term_->book, link.peer.site, steady_now(), settings_.cancel_s);
   if (owed >= settings_.cancel_s) return beat;
-  beat.marked_by = link.marked_by;
-  beat.mark = link.mark;
+  beat.echoed_process = link.last_ack_process;
+  beat.echoed_clock_ms = link.last_ack_clock_ms;
   beat.owed_ms = static_cast<std::uint32_t>(owed * 1000) + 1;
-  link.granted.sends();
+  link.partition_lease.record_sent();
   return beat;
 }
 
@@ -410,15 +410,15 @@
     if (by_zone.size() <= zone.v) by_zone.resize(zone.v + 1, 0);
     by_zone[zone.v] = std::max(by_zone[zone.v], until);
   };
-  note(fencing.kept_before, settings_.site, custody_.last_kept());
+  note(fencing.earlier_renewed_until_by_zone, settings_.site, custody_.last_renewal());
   for (const auto& link : links_) {
-    note(fencing.kept_until, link.peer.site, link.granted.kept_until(now));
-    note(fencing.kept_before, link.peer.site, link.granted.kept_before(now));
+    note(fencing.renewed_until_by_zone, link.peer.site, link.partition_lease.renewals_until(now));
+    note(fencing.earlier_renewed_until_by_zone, link.peer.site, link.partition_lease.earlier_renewals_until(now));
   }
 }
 
 bool Controller::keeps(const Report& report, double now) const {
-  return custody_.keeps(now) && report.yard == settings_.site && report.epoch <= custody_.epoch();
+  return custody_.is_active(now) && report.yard == settings_.site && report.epoch <= custody_.epoch();
 }
 
 }  // namespace thistle
--- a/src/coordination/ledger.cpp
+++ b/src/coordination/ledger.cpp
@@ -29,8 +29,8 @@
   double cores = 0;
   for (const auto& range : done.tasks) {
     for (auto it = job.placed.lower_bound(range.first); it != job.placed.end() && it->first < range.last; ++it) {
-      const Flavor* f = book.flavor(book.host(it->second.host).kind);
-      if (f && f->room.accelerators <= 0) cores += job.spec.need.cores;
+      const Flavor* f = book.flavor(book.host(it->second.host).machine_type);
+      if (f && f->capacity.accelerators <= 0) cores += job.spec.demand.cores;
     }
   }
   return cores;
@@ -58,7 +58,7 @@
   const auto number = term_number_;
   while (!stop.stop_requested() && term_number_ == number) {
     const bool users = for_users || users_wait_;
-    const double wait = writes_.wait(steady_now(), users);
+    const double wait = writes_.delay_s(steady_now(), users);
     if (wait == 0) return;
     queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(wait),
                            [&] { return term_number_ != number || (users_wait_ && !users); });
@@ -71,28 +71,30 @@
   const Job& job = term_->book->job(j);
   if (job.attempts == 0)
     spdlog::debug("{}: begins, {} {} of {} tasks, after {:.1f} s", job.uid, job.spec.job_class,
-                  job.spec.shape == Shape::group ? "gang" : "job", job.tasks.size(), wall_now() - job.since);
-  if (term_->within.contains(j)) guarantee_waits_.add(wall_now() - job.since);
+                  job.spec.shape == Shape::group ? "gang" : "job", job.tasks.size(), wall_now() - job.eligible_since);
+  if (term_->within.contains(j)) guarantee_waits_.add(wall_now() - job.eligible_since);
   // One for each start: a job's tasks that start together waited alike.
-  start_waits_[served_.counted_as(job.spec.job_class)].add(wall_now() - job.since);
+  start_waits_[served_.class_label(job.spec.job_class)].add(wall_now() - job.eligible_since);
 }
 
 void Controller::tell_blame() {
   Book& book = *term_->book;
-  for (const auto& n : book.blame().take_news()) {
+  for (const auto& n : book.blame().take_verdicts()) {
     const std::string& uid = book.job(n.job).uid;
     const double pause = std::max(0.0, n.until - wall_now());
-    switch (n.what) {
-      case Blame::News::What::suspected:
+    switch (n.kind) {
+      case Blame::Verdict::Kind::suspected:
         ++counters_.suspected;
         spdlog::info("{}: suspected, it failed on {} machines and succeeded on none; tries with one task", uid, n.count);
         break;
-      case Blame::News::What::cleared: spdlog::info("{}: no longer suspected, a task of it succeeded", uid); break;
-      case Blame::News::What::set_aside:
+      case Blame::Verdict::Kind::cleared: spdlog::info("{}: no longer suspected, a task of it succeeded", uid); break;
+      case Blame::Verdict::Kind::cordoned:
         ++counters_.set_aside;
         spdlog::info("{}: set aside for {:.0f} s, several jobs failed there, the last one {}", book.host(n.host).name, pause, uid);
         break;
-      case Blame::News::What::acquitted: spdlog::info("{}: in use again, by what is known now of {}", book.host(n.host).name, uid); break;
+      case Blame::Verdict::Kind::uncordoned:
+        spdlog::info("{}: in use again, by what is known now of {}", book.host(n.host).name, uid);
+        break;
     }
   }
 }
@@ -103,7 +105,7 @@
 }
 
 void Controller::ledger_duty(std::stop_token stop) {
-  StoreClient store(settings_.state);
+  StoreClient store(settings_.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
   while (!stop.stop_requested()) {
     Lock lock(mutex_);
@@ -119,7 +121,7 @@
     while (!stop.stop_requested() && term_number_ == number) {
       // Entries of another level are written anew also while nothing else is to be written.
       const double rewrite_period = 1 / (writes_.rate() * kRewriteShare);
-      const auto rewrite_due = [&] { return term_->tail.old_entries() && steady_now() >= term_->rewrote_at + rewrite_period; };
+      const auto rewrite_due = [&] { return term_->tail.has_old_entries() && steady_now() >= term_->rewrote_at + rewrite_period; };
       const auto due = [&] {
         return term_number_ != number || (term_ && (term_->bump_wanted || term_->step || rewrite_due())) ||
                (!queue_.empty() && steady_now() >= commit_at_);
@@ -129,7 +131,7 @@
       const auto something = [&] {
         return term_number_ != number || (term_ && (term_->bump_wanted || term_->step || rewrite_due())) || !queue_.empty();
       };
-      if (term_->tail.old_entries()) {
+      if (term_->tail.has_old_entries()) {
         queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(rewrite_period), something);
       } else {
         queue_filled_.wait(lock, stop, something);
@@ -161,23 +163,23 @@
   std::string from;
   for (bool first = true;; first = false) {
     EntryPage page;
-    while (store.entries(kLedgerPrefix, from, page) != StoreStatus::ok)
+    while (store.list_entries(kLedgerPrefix, from, page) != StoreStatus::ok)
       if (stop.stop_requested() || !again() || !pause_for(stop, kAskAgain)) return std::nullopt;
-    if (first) out.rev = page.rev;
+    if (first) out.revision = page.revision;
     bool readable = true;
     for (auto& row : page.rows) {
       from = row.key;
-      readable = readable && reader.take(std::move(row));
+      readable = readable && reader.add_entry(std::move(row));
     }
     if (readable && !page.truncated) readable = reader.finish();
     if (!readable) {
-      unreadable = reader.why();
+      unreadable = reader.error();
       return std::nullopt;
     }
     if (!page.truncated) break;
   }
   out.entries = reader.entries();
-  out.found = std::move(reader).found();
+  out.contents = std::move(reader).contents();
   return out;
 }
 
@@ -196,7 +198,7 @@
   // Read before it took the lead: as it is, unless another one led in between.
   if (ledger) {
     bool changed = true;
-    while (store.changed(kLedgerPrefix, ledger->rev, changed) != StoreStatus::ok)
+    while (store.has_changed(kLedgerPrefix, ledger->revision, changed) != StoreStatus::ok)
       if (!goes_on() || !pause_for(stop, kAskAgain)) return false;
     if (changed) ledger.reset();
   }
@@ -213,18 +215,18 @@
   unread_since_ = 0;
   const auto entries = ledger->entries;
   term_->first_of_all = entries == 0;
-  term_->tail = Tail(std::move(ledger->found), term_->level.writes());
+  term_->tail = Tail(std::move(ledger->contents), term_->level.writes());
   term_->book = std::move(ledger->book);
-  for (const auto& [name, at] : early_answers_) term_->book->host(term_->book->host_named(name)).answered_at = at;
+  for (const auto& [name, at] : early_answers_) term_->book->host(term_->book->host_named(name)).agent.last_answered_at = at;
   early_answers_.clear();
-  custody_.drop();
+  custody_.revoke();
   queue_.clear();
   users_wait_ = false;
   accepting_.clear();
-  term_->book->blame().take_news();  // what was judged then was told then
+  term_->book->blame().take_verdicts();  // what was judged then was told then
   role_ = Role::leading;
-  if (const auto p = term_->book->pipelines().counts(); p.unread_names > 0)
-    spdlog::error("{} jobs that others wait for are not in the ledger: what waits for them does not start", p.unread_names);
+  if (const auto p = term_->book->pipelines().counts(); p.unresolved_names > 0)
+    spdlog::error("{} jobs that others wait for are not in the ledger: what waits for them does not start", p.unresolved_names);
   spdlog::info("ledger read: {} entries, {} live jobs, {:.0f} ms after the takeover", entries, term_->book->live().size(),
                (steady_now() - began) * 1000);
   role_changed_.notify_all();
@@ -242,7 +244,7 @@
   if (stop.stop_requested() || term_number_ != number) return false;
   Term& term = *term_;
   term.rewrote_at = steady_now();
-  auto draft = term.tail.draft(*term.book, queue_, limits);
+  auto draft = term.tail.prepare_commit(*term.book, queue_, limits);
   for (const auto& what : draft.too_large) spdlog::error("a ledger record fits into no entry: {}", what);
   commit_at_ = 0;
   if (queue_.empty()) users_wait_ = false;
@@ -262,7 +264,7 @@
   bool in_doubt = false;  // an earlier try of it has no answer
   for (;;) {
     std::vector<std::string> failed;
-    auto status = store.txn(body, stamp, failed);
+    auto status = store.commit(body, stamp, failed);
     if (status == StoreStatus::in_doubt) in_doubt = true;
     if (status == StoreStatus::refused)
       spdlog::error("the state service refused a transaction of {} bytes, {} changes, largest value {} bytes", body.size(), draft.changes(),
@@ -327,7 +329,7 @@
     spdlog::info("the ledger is written again, after {:.1f} s", steady_now() - store_failing_since_);
     store_failing_since_ = 0;
   }
-  term.tail.written(draft, stamp);
+  term.tail.record_committed(draft, stamp);
   // An earlier try of it may be carried out late, when that entry is gone again: fenced by a higher epoch.
   if (in_doubt && on_lead_alone) term.bump_wanted = true;
   auto& batch = draft.batch;
@@ -337,20 +339,20 @@
     if (const auto* accept = std::get_if<AcceptRecord>(&q.record)) accepting_.erase(accept->job.uid);
     if (const auto* start = std::get_if<StartRecord>(&q.record)) {
       note_starts(*start);
-      start_watch_.started();
+      start_watch_.record_started();
       if (!std::exchange(term.started, true)) spdlog::info("first start {:.1f} s after the takeover", steady_now() - term.taken_over_at);
     }
     if (const auto* done = std::get_if<DoneRecord>(&q.record)) {
       for (const auto& r : done->tasks) counters_.finished += r.last - r.first;
       turnover_.add(cores_on_plain_machines(*term.book, *done), steady_now());
     }
-    served_.before(q.record, *term.book);
+    served_.before_apply(q.record, *term.book);
     term.book->apply(q.record);
-    served_.after(q.record, *term.book, wall_now());
+    served_.after_apply(q.record, *term.book, wall_now());
     if (const auto* cancel = std::get_if<CancelRecord>(&q.record))
       if (const JobIdx j = term.book->find(cancel->uid); j.valid()) term.book->job(j).cancelled_at = steady_now();
-    if (term.book->job_count() > jobs) term.tail.begins(draft.batch_in[i], JobIdx{static_cast<std::uint32_t>(jobs)});
-    if (const auto fact = Rewriter::fact_of(q.record, *term.book)) term.tail.begins(draft.batch_in[i], *fact);
+    if (term.book->job_count() > jobs) term.tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(jobs)});
+    if (const auto fact = Rewriter::singleton_of(q.record, *term.book)) term.tail.record_first_entry(draft.batch_entries[i], *fact);
     applied_ticket_ = q.ticket;
   }
   tell_blame();
@@ -393,7 +395,7 @@
   lock.unlock();
   std::uint64_t epoch = 0;
   std::vector<std::string> failed;
-  auto status = store.txn(step.body(), epoch, failed);
+  auto status = store.commit(step.body(), epoch, failed);
   bool deposed = status == StoreStatus::refused;
   if (status == StoreStatus::conflict) {
     Row row;
--- a/src/coordination/passes.cpp
+++ b/src/coordination/passes.cpp
@@ -50,7 +50,7 @@
     if (!book.job(j).ended() && book.job(j).team.valid()) jobs.push_back(j);
   std::sort(jobs.begin(), jobs.end(), [&](JobIdx a, JobIdx b) {
     const Job &first = book.job(a), &second = book.job(b);
-    return std::tie(first.since, first.uid) < std::tie(second.since, second.uid);
+    return std::tie(first.eligible_since, first.uid) < std::tie(second.eligible_since, second.uid);
   });
   std::vector<Resources> sums(book.teams().size());
   std::set<JobIdx> within;
@@ -59,8 +59,9 @@
     const Resources& guarantee = book.teams()[job.team.v].guarantee;
     const auto unfinished = static_cast<double>(job.tasks.size() - job.done);
     auto& sum = sums[job.team.v];
-    sum += job.spec.need * unfinished;
-    const bool named = (guarantee.cores > 0 && job.spec.need.cores > 0) || (guarantee.accelerators > 0 && job.spec.need.accelerators > 0);
+    sum += job.spec.demand * unfinished;
+    const bool named =
+        (guarantee.cores > 0 && job.spec.demand.cores > 0) || (guarantee.accelerators > 0 && job.spec.demand.accelerators > 0);
     const bool fits = (guarantee.cores <= 0 || sum.cores <= guarantee.cores + 1e-6) &&
                       (guarantee.accelerators <= 0 || sum.accelerators <= guarantee.accelerators + 1e-6);
     if (named && fits) within.insert(j);
@@ -77,7 +78,7 @@
 // How long a slot may be waited for before other work is stopped: until the aim for the wait of its class, or, when
 // that is past, until its deadline can just be kept. Services are wanted at once.
 double Controller::patience_of(const Job& job, double wall) const {
-  const double waited = wall - job.since;
+  const double waited = wall - job.eligible_since;
   if (job.spec.shape == Shape::service) return kPatience;
   for (double within_s : wait_aims(job.spec.job_class))
     if (waited < within_s) return std::max(kPatience / 4, within_s - waited - kPatience / 4);
@@ -90,39 +91,39 @@
   const Job& job = book.job(j);
   PlanJob out;
   out.job = j;
-  out.suspect = book.blame().suspect(j);
+  out.suspect = book.blame().is_suspect(j);
   // One task shows whether it is still at fault; all of a gang is one.
-  out.units = out.suspect && job.spec.shape != Shape::group ? 1 : job.waiting;
+  out.units = out.suspect && job.spec.shape != Shape::group ? 1 : job.pending;
   out.gang = job.spec.shape == Shape::group;
   out.service = job.spec.shape == Shape::service;
-  out.need = job.spec.need;
-  out.run_s = job.spec.expected_s;
+  out.demand = job.spec.demand;
+  out.estimated_run_s = job.spec.expected_s;
   out.pull_gb = job.spec.pull_gb;
   out.image = job.image;
   out.team = job.team;
-  out.key = key_of(job.draw, job.spec.expected_s, tuning_.weight, wall - job.since, out.service);
+  out.key = key_of(job.draw, job.spec.expected_s, tuning_.weight, wall - job.eligible_since, out.service);
   out.patience_s = patience_of(job, wall);
   if (out.service)
-    for (double within_s : wait_aims(job.spec.job_class)) out.run_within_s = std::max(0.0, within_s - (wall - job.since));
-  out.kinds = job.kinds;
+    for (double within_s : wait_aims(job.spec.job_class)) out.run_within_s = std::max(0.0, within_s - (wall - job.eligible_since));
+  out.machine_types = job.machine_types;
   out.yard = job.yard;
   out.one_zone = job.spec.one_zone;
   out.loaners = job.spec.loaners;
-  if (job.spec.spread) out.zone_cap = (job.spec.pieces + 1) / 2;
-  out.zone_used.assign(book.zone_count(), 0);
-  out.avoid = book.blame().avoided(j, wall);
+  if (job.spec.spread) out.max_tasks_per_zone = (job.spec.task_count + 1) / 2;
+  out.tasks_by_zone.assign(book.zone_count(), 0);
+  out.avoided_nodes = book.blame().avoided_nodes(j, wall);
   if (out.service || job.spec.spread || job.spec.one_zone) {
     for (const auto& [task, p] : job.placed) {
       const ZoneIdx zone = book.host(p.host).zone;
-      if (zone.valid()) ++out.zone_used[zone.v];
+      if (zone.valid()) ++out.tasks_by_zone[zone.v];
     }
   }
   if (out.service && !job.placed.empty()) {
-    out.host_used.assign(in.hosts.size(), 0);
+    out.tasks_by_node.assign(in.hosts.size(), 0);
     for (const auto& [task, p] : job.placed) {
       // In the order of their indices.
       const auto it = std::lower_bound(in.hosts.begin(), in.hosts.end(), p.host, [](const PlanHost& a, HostIdx h) { return a.host < h; });
-      if (it != in.hosts.end() && it->host == p.host) ++out.host_used[static_cast<std::size_t>(it - in.hosts.begin())];
+      if (it != in.hosts.end() && it->host == p.host) ++out.tasks_by_node[static_cast<std::size_t>(it - in.hosts.begin())];
     }
   }
   return out;
@@ -136,7 +137,7 @@
   // rest of them have sent theirs (lienzo fleet, restart: arrays held 50 machines for 80 s while gangs waited).
   if (term_->first_of_all && steady - term_->taken_over_at < kDemandUnknown) {
     for (auto& h : in.hosts) {
-      if (h.room.accelerators <= 0) continue;
+      if (h.capacity.accelerators <= 0) continue;
       if (h.lending == PlanHost::Lending::all) h.lent = {};
       h.lending = PlanHost::Lending::kept;
     }
@@ -145,29 +146,29 @@
   std::map<KindIdx, double> needed, patience, widest;
   for (JobIdx j : book.live()) {
     const Job& job = book.job(j);
-    if (job.spec.need.accelerators <= 0 || job.ended() || book.blame().suspect(j)) continue;
+    if (job.spec.demand.accelerators <= 0 || job.ended() || book.blame().is_suspect(j)) continue;
     std::map<KindIdx, double> units;
-    for (const auto& [task, p] : job.placed) units[book.host(p.host).kind] += 1;
-    if (job.waiting > 0) {
-      if (job.kinds.size() == 1) {
-        units[job.kinds.front()] += job.waiting;
+    for (const auto& [task, p] : job.placed) units[book.host(p.host).machine_type] += 1;
+    if (job.pending > 0) {
+      if (job.machine_types.size() == 1) {
+        units[job.machine_types.front()] += job.pending;
       } else {
         for (const auto& f : book.flavors())
-          if (job.spec.need.fits(f.room)) units[book.kind_of(f.name)] += job.waiting;
+          if (job.spec.demand.fits(f.capacity)) units[book.kind_of(f.name)] += job.pending;
       }
     }
     for (double within_s : wait_aims(job.spec.job_class))
       for (const auto& [k, n] : units) patience[k] = std::min(patience.try_emplace(k, within_s).first->second, within_s);
     for (const auto& [k, n] : units) {
       const Flavor* f = book.flavor(k);
-      if (!f || f->room.accelerators <= 0) continue;
-      const double machines = n * job.spec.need.accelerators / f->room.accelerators;
+      if (!f || f->capacity.accelerators <= 0) continue;
+      const double machines = n * job.spec.demand.accelerators / f->capacity.accelerators;
       needed[k] += machines;
       if (job.spec.shape == Shape::group) widest[k] = std::max(widest[k], machines);
     }
   }
   for (const auto& f : book.flavors()) {
-    if (f.room.accelerators <= 0) continue;
+    if (f.capacity.accelerators <= 0) continue;
     const KindIdx k = book.kind_of(f.name);
     auto& demand = accelerator_demand_[k];
     const double faded = demand.machines * std::exp(-(steady - demand.at) / kDemandMemory);
@@ -178,7 +179,7 @@
     if (demand.machines < 0.1) continue;
     std::vector<PlanHost*> hosts;
     for (auto& h : in.hosts)
-      if (h.kind == k && h.lending != PlanHost::Lending::all) hosts.push_back(&h);  // those its work may use
+      if (h.machine_type == k && h.lending != PlanHost::Lending::all) hosts.push_back(&h);  // those its work may use
     std::stable_sort(hosts.begin(), hosts.end(), [](const PlanHost* a, const PlanHost* b) { return a->lent.cores > b->lent.cores; });
     // A spare one only where an aim leaves no time for tasks that borrowed it to end. Gangs over several machines wait
     // for the last of them: for these there is room for one more of the widest (lienzo grown, steady).
@@ -193,34 +194,35 @@
   PlanInput in;
   in.now = wall;
   in.overrun_s = tuning_.overrun_s;
-  const auto waits = [&](JobIdx j) { return !book.job(j).ended() && book.job(j).waiting > 0; };
+  const auto waits = [&](JobIdx j) { return !book.job(j).ended() && book.job(j).pending > 0; };
   if (std::none_of(book.live().begin(), book.live().end(), waits)) return in;
   in.hosts.reserve(book.host_count());
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     const Host& host = book.host(HostIdx{i});
-    const Flavor* flavor = book.flavor(host.kind);
-    if (!flavor || !host.reported || host.lost || host.gone || book.blame().set_aside(HostIdx{i}, wall)) continue;
-    if (host.leaving || host.recall_at || host.no_room_until > steady) continue;
+    const Flavor* flavor = book.flavor(host.machine_type);
+    if (!flavor || !host.agent.has_reported || host.lease_expired || host.terminated || book.blame().is_cordoned(HostIdx{i}, wall))
+      continue;
+    if (host.releasing || host.agent.interruption_at || host.full_until > steady) continue;
     // Heard of by a report that may be an old one's copy, and no more: nothing is placed there before it has shown that it
     // knows this leader. Machines that this leader rented itself have no earlier reports, nor has a fleet without any.
-    if (host.epoch_seen < term_->takeover_epoch && host.rented_at == 0 && !term_->first_of_all) continue;
+    if (host.agent.highest_token < term_->takeover_epoch && host.instance.requested_at == 0 && !term_->first_of_all) continue;
     if (unheeding(host, wall, settings_.report_s)) continue;
-    if (steady - host.reported_at > kSilentReports * settings_.report_s + kDrainSlack) continue;
+    if (steady - host.agent.last_heartbeat_at > kSilentReports * settings_.report_s + kDrainSlack) continue;
     PlanHost p;
     p.host = HostIdx{i};
-    p.kind = host.kind;
+    p.machine_type = host.machine_type;
     p.zone = host.zone;
     p.loaner = host.loaner;
-    p.room = flavor->room;
+    p.capacity = flavor->capacity;
     p.fetch_gb_per_s = flavor->fetch_gb_per_s;
-    const Resources biggest = book.accelerator_need(host.kind, host.loaner);
-    if (flavor->room.accelerators > 0 && biggest.accelerators > 0 && biggest.fits(flavor->room)) {
+    const Resources biggest = book.accelerator_need(host.machine_type, host.loaner);
+    if (flavor->capacity.accelerators > 0 && biggest.accelerators > 0 && biggest.fits(flavor->capacity)) {
       p.lending = PlanHost::Lending::not_to_services;
-      p.lent = flavor->room;
-      for (Resources left = flavor->room; biggest.fits(left); left -= biggest) p.lent -= biggest;
+      p.lent = flavor->capacity;
+      for (Resources left = flavor->capacity; biggest.fits(left); left -= biggest) p.lent -= biggest;
     }
-    p.images.reserve(host.images.size());
-    for (const auto& image : host.images) p.images.push_back(image.first);
+    p.images.reserve(host.cached_images.size());
+    for (const auto& image : host.cached_images) p.images.push_back(image.first);
     p.occupants.reserve(host.placed.size());
     // Occupants that end at about the same time are taken together: they make one step of the profile.
     const auto occupy = [&](const Resources& need, double until) {
@@ -229,43 +231,43 @@
       if (same == p.occupants.end()) {
         p.occupants.push_back({need, until});
       } else {
-        same->need += need;
+        same->demand += need;
       }
     };
     std::size_t seen = 0;
     for (const auto& ref : host.placed) {
-      const Placement& at = *ref.at;
+      const Placement& at = *ref.placement;
       const Job& job = book.job(ref.job);
-      if (at.seen && at.phase != Phase::exited) ++seen;
+      if (at.reported && at.phase != Phase::exited) ++seen;
       double until = kForever;
       if (at.stopping) {
         until = wall + at.wind_down_s + 1;
       } else if (job.spec.shape != Shape::service) {
-        until = (at.running_at > 0 ? at.running_at : std::max(at.at, wall - 1)) + job.spec.expected_s;
+        until = (at.running_at > 0 ? at.running_at : std::max(at.decided_at, wall - 1)) + job.spec.expected_s;
       }
-      occupy(job.spec.need, until);
-      if (job.spec.need.accelerators == 0) p.lent -= job.spec.need;
+      occupy(job.spec.demand, until);
+      if (job.spec.demand.accelerators == 0) p.lent -= job.spec.demand;
     }
     // What the worker still holds and the book no longer places there is on its way out.
     const auto held = static_cast<std::size_t>(
-        std::count_if(host.pieces.begin(), host.pieces.end(), [](const SeenPiece& s) { return s.phase != Phase::exited; }));
-    for (const auto& s : host.pieces) {
+        std::count_if(host.agent.tasks.begin(), host.agent.tasks.end(), [](const SeenPiece& s) { return s.phase != Phase::exited; }));
+    for (const auto& s : host.agent.tasks) {
       if (held <= seen) break;
       if (s.phase == Phase::exited || !s.ref.job.valid()) continue;
       const Placement* at = book.placement(s.ref);
       if (at && at->host == HostIdx{i} && at->attempt == s.attempt) continue;
       const Job& job = book.job(s.ref.job);
-      if (!job.tasks.empty()) occupy(job.spec.need, wall + settings_.report_s);
+      if (!job.tasks.empty()) occupy(job.spec.demand, wall + settings_.report_s);
     }
     in.hosts.push_back(std::move(p));
   }
   keep_accelerators(in, steady);
   book.count_unplaced();
-  for (std::uint32_t t = 0; t < book.teams().size(); ++t) in.teams.push_back({book.accounts().left(TeamIdx{t}, kUnlimited)});
+  for (std::uint32_t t = 0; t < book.teams().size(); ++t) in.teams.push_back({book.accounts().headroom(TeamIdx{t}, kUnlimited)});
   for (JobIdx j : book.live()) {
     const Job& job = book.job(j);
-    if (job.ended() || job.waiting == 0 || book.blame().not_before(j) > wall) continue;
-    if (book.blame().suspect(j) && !job.placed.empty()) continue;
+    if (job.ended() || job.pending == 0 || book.blame().next_try_at(j) > wall) continue;
+    if (book.blame().is_suspect(j) && !job.placed.empty()) continue;
     // After a takeover a machine's zone is unknown until it is listed or reports: the zones of the job's other
     // tasks must be known before one more is placed (wrong_place).
     if ((job.spec.spread || job.spec.one_zone) &&
@@ -283,9 +285,9 @@
 // On a day of 20 guest teams that asked for half the fleet again, arrays of the lowest rank hardly ever ran.
 std::set<JobIdx> Controller::raise_starving(PlanInput& in, double wall, double steady, const std::set<JobIdx>& within) {
   const Book& book = *term_->book;
-  term_->floor.earn(turnover_.rate(steady), steady);
-  term_->floor.keep_spared(book);
-  std::vector<Floor::Starving> starving;
+  term_->floor.accrue(turnover_.rate(steady), steady);
+  term_->floor.prune_protected(book);
+  std::vector<Floor::StarvingJob> starving;
   int highest = 0;
   for (std::size_t i = 0; i < in.jobs.size(); ++i) {
     const PlanJob& p = in.jobs[i];
@@ -293,14 +295,14 @@
     // What guarantees leave: nothing is given away while work within one waits.
     if (within.contains(p.job)) return {};
     if (!p.service) highest = std::max(highest, p.tier);
-    const double waited = wall - job.since;
-    if (p.service || p.suspect || p.need.accelerators > 0 || !job.placed.empty() || waited < kStarvesAfter) continue;
-    starving.push_back({i, p.job, waited, p.need.cores * (p.gang ? p.units : 1), p.gang ? 1 : p.units});
+    const double waited = wall - job.eligible_since;
+    if (p.service || p.suspect || p.demand.accelerators > 0 || !job.placed.empty() || waited < kStarvesAfter) continue;
+    starving.push_back({i, p.job, waited, p.demand.cores * (p.gang ? p.units : 1), p.gang ? 1 : p.units});
   }
-  std::erase_if(starving, [&](const auto& s) { return in.jobs[s.at].tier >= highest; });
+  std::erase_if(starving, [&](const auto& s) { return in.jobs[s.position].tier >= highest; });
   std::set<JobIdx> out;
-  for (const auto& r : term_->floor.raise(std::move(starving))) {
-    PlanJob& p = in.jobs[r.at];
+  for (const auto& r : term_->floor.promote(std::move(starving))) {
+    PlanJob& p = in.jobs[r.position];
     const int usual = std::exchange(p.tier, std::min(highest + 1, 2 * static_cast<int>(Rank::prod) - 1));
     out.insert(p.job);
     if (p.gang || p.units <= r.units) continue;
@@ -309,7 +311,7 @@
     rest.tier = usual;
     rest.units = p.units - r.units;
     p.units = r.units;
-    if (!rest.one_zone && rest.zone_cap == UINT32_MAX) in.jobs.push_back(std::move(rest));
+    if (!rest.one_zone && rest.max_tasks_per_zone == UINT32_MAX) in.jobs.push_back(std::move(rest));
   }
   return out;
 }
@@ -318,8 +320,9 @@
   Book& book = *term_->book;
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     Host& host = book.host(HostIdx{i});
-    const bool idle = host.placed.empty() && host.reported &&
-                      std::all_of(host.pieces.begin(), host.pieces.end(), [](const SeenPiece& s) { return s.phase == Phase::exited; });
+    const bool idle =
+        host.placed.empty() && host.agent.has_reported &&
+        std::all_of(host.agent.tasks.begin(), host.agent.tasks.end(), [](const SeenPiece& s) { return s.phase == Phase::exited; });
     if (!idle) {
       host.idle_since = 0;
     } else if (host.idle_since == 0) {
@@ -327,7 +330,7 @@
     }
   }
   for (JobIdx j : book.live())
-    if (book.job(j).waiting > 0 || book.job(j).spec.shape != Shape::service) active_at_ = steady;
+    if (book.job(j).pending > 0 || book.job(j).spec.shape != Shape::service) active_at_ = steady;
 }
 
 PassCost Controller::pass(Lock& lock) {
@@ -335,12 +338,12 @@
   const double steady = steady_now(), wall = wall_now();
   const auto number = term_number_;
   Book& book = *term_->book;
-  Fencing fencing{term_->takeover_epoch, term_->taken_over_at, term_->backing.alone_since(term_->takeover_epoch, steady)};
+  Fencing fencing{term_->takeover_epoch, term_->taken_over_at, term_->backing.sole_leader_since(term_->takeover_epoch, steady)};
   note_kept(fencing, steady);
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     Host& host = book.host(HostIdx{i});
-    if (host.lost || host.gone || !lease_over(host, fencing, settings_.lease_s, steady)) continue;
-    host.lost = true;
+    if (host.lease_expired || host.terminated || !lease_over(host, fencing, settings_.lease_s, steady)) continue;
+    host.lease_expired = true;
     if (host.placed.empty()) continue;
     spdlog::info("{}: its lease is over, {} tasks are off it", host.name, host.placed.size());
     enqueue(clear_host(book, HostIdx{i}));
@@ -348,7 +351,7 @@
   // Starts in doubt are fenced by a higher epoch, one for all that came to be in doubt within a second.
   const bool doubt = [&] {
     for (std::uint32_t i = 0; i < book.host_count(); ++i)
-      if (!book.host(HostIdx{i}).lost && book.host(HostIdx{i}).doubt_epoch >= term_->epoch) return true;
+      if (!book.host(HostIdx{i}).lease_expired && book.host(HostIdx{i}).commands.uncertain_token >= term_->epoch) return true;
     return false;
   }();
   if (doubt && steady - term_->bumped_at > kBumpPeriod) {
@@ -376,7 +379,8 @@
   // What is stopped here makes room that later passes give out, highest tier first.
   std::set<std::string> starts_count;
   for (const auto& [job_class, aims] : wait_aims_) starts_count.insert(job_class);
-  const auto preemption = choose_victims({book, input, plan, within, wall, turnover_.rate(steady), starts_count, term_->floor.spared()});
+  const auto preemption =
+      choose_victims({book, input, plan, within, wall, turnover_.rate(steady), starts_count, term_->floor.protected_jobs()});
   for (const auto& s : preemption.waived)
     std::erase_if(plan.starts, [&](const Slot& p) { return p.job == s.job && p.host == s.host && p.at == s.at; });
   for (const auto& v : preemption.victims) {
@@ -390,17 +394,17 @@
   std::map<JobIdx, std::uint32_t> next_task;
   for (const auto& slot : plan.starts) {
     Job& job = book.job(slot.job);
-    if (raised.contains(slot.job)) term_->floor.started(slot.job, job.spec.need.cores * slot.count);
+    if (raised.contains(slot.job)) term_->floor.charge(slot.job, job.spec.demand.cores * slot.count);
     auto& of_job = starts.try_emplace(slot.job, StartRecord{job.uid, job.attempts + 1, wall, {}}).first->second;
     const Host& host = book.host(slot.host);
-    StartRecord::Part part{host.name, host.tenure, {}};
+    StartRecord::NodeAssignment part{host.name, host.agent.incarnation, {}};
     auto& task = next_task[slot.job];
     for (std::uint32_t n = 0; n < slot.count && task < job.tasks.size(); ++task) {
       if (job.tasks[task] != TaskState::waiting) continue;
       add_to(part.tasks, task);
       ++n;
     }
-    if (!part.tasks.empty()) of_job.parts.push_back(std::move(part));
+    if (!part.tasks.empty()) of_job.assignments.push_back(std::move(part));
     touched.insert(slot.host);
   }
   ++counters_.passes;
@@ -410,19 +414,19 @@
   pass_times_.add(cost.elapsed_s);
   spdlog::debug(
       "pass: {:.1f} ms, {:.2f} ms of processor, {} hosts, {} jobs wait, {} starts, {} holds, {} unserved, {} stopped, {:.0f} ms behind",
-      cost.elapsed_s * 1000, cost.processor_s * 1000, input.hosts.size(), input.jobs.size(), plan.starts.size(), plan.holds.size(),
+      cost.elapsed_s * 1000, cost.processor_s * 1000, input.hosts.size(), input.jobs.size(), plan.starts.size(), plan.reservations.size(),
       plan.unserved.size(), preemption.victims.size(), lag_ * 1000);
   if (!starts.empty()) {
     std::vector<Record> records;
     for (const auto& [j, of_job] : starts) {
       for (auto& r : in_fitting_records(of_job, book.record_bytes())) {
-        for (const auto& part : r.parts)
+        for (const auto& part : r.assignments)
           for (const auto& range : part.tasks) counters_.started += range.last - range.first;
         records.emplace_back(std::move(r));
       }
     }
     for (const auto& slot : plan.starts) starting_.insert(slot.host);
-    start_watch_.planned(steady);
+    start_watch_.record_planned(steady);
     const auto ticket = enqueue(std::move(records));
     // Nothing starts, and no other pass is made, until it is certain that the ledger has it.
     while (!wait_applied(lock, ticket, kStartWait))
--- a/src/coordination/peer_link.hpp
+++ b/src/coordination/peer_link.hpp
@@ -12,10 +12,10 @@
 struct PeerLink {
   Settings::Peer peer;
   std::unique_ptr<FramePool> calls;  // users' requests and reports, when the peer leads
-  std::unique_ptr<FramePool> beats;
-  Granted granted;
-  std::uint64_t marked_by = 0, mark = 0;  // of its latest answer in this term
-  double marked_sent_at = 0;              // steady seconds: when the beat was sent that it answered so
+  std::unique_ptr<FramePool> heartbeats;
+  Granted partition_lease;
+  std::uint64_t last_ack_process = 0, last_ack_clock_ms = 0;  // of its latest answer in this term
+  double last_acked_sent_at = 0;                              // steady seconds: when the beat was sent that it answered so
 };
 
 }  // namespace thistle
--- a/src/coordination/requests.cpp
+++ b/src/coordination/requests.cpp
@@ -63,10 +63,10 @@
     if (beat->epoch >= known_epoch_) {
       last_beat_ = steady_now();
       // The same controller, and a later takeover: its process began anew and leads once more.
-      const bool anew = beat->label == known_leader_ && known_takeover_ != UINT64_MAX && beat->takeover > known_takeover_;
-      known_takeover_ = beat->takeover;
+      const bool anew = beat->label == known_leader_ && known_takeover_ != UINT64_MAX && beat->takeover_epoch > known_takeover_;
+      known_takeover_ = beat->takeover_epoch;
       if (anew && role_ == Role::follower) new_lead(true);
-      if (role_ == Role::follower) custody_.heard(beat->takeover);
+      if (role_ == Role::follower) custody_.observe_leader(beat->takeover_epoch);
       if (role_ != Role::follower && beat->epoch > term_->epoch) {
         learn(beat->epoch, beat->label);
         step_down(lock, "another leader has a higher epoch");
@@ -75,12 +75,12 @@
     }
     const double now = steady_now();
     // Its own answer to an earlier beat, given back by the leader: what the leader knew then holds since before it was sent.
-    if (role_ == Role::follower && beat->epoch == known_epoch_ && beat->label == known_leader_ && beat->marked_by == incarnation_) {
+    if (role_ == Role::follower && beat->epoch == known_epoch_ && beat->label == known_leader_ && beat->echoed_process == incarnation_) {
       unread_since_ = 0;  // it may decide, so it has read the ledger
-      custody_.granted(beat->epoch, static_cast<double>(beat->mark) / 1000, beat->owed_ms / 1000.0);
+      custody_.grant(beat->epoch, static_cast<double>(beat->echoed_clock_ms) / 1000, beat->owed_ms / 1000.0);
     }
     return pack(BeatAck{known_epoch_, known_leader_, incarnation_, static_cast<std::uint64_t>(now * 1000),
-                        static_cast<std::uint32_t>(std::max(0.0, now - custody_.last_kept()) * 1000)});
+                        static_cast<std::uint32_t>(std::max(0.0, now - custody_.last_renewal()) * 1000)});
   }
   if (frame.kind == static_cast<std::uint8_t>(PeerKind::intake_batch)) return on_intake_batch(frame);
   if (const auto call = unpack_call(frame)) {
@@ -101,9 +101,9 @@
 HttpReply Controller::takes_batches() {
   Lock lock(mutex_);
   if (role_ == Role::follower) return error_reply(503, kUnavailable, kRetryAfter);
-  const bool needed =
-      tuning_.intake == IntakeMode::automatic && term_->book && intake_needed(term_->book->host_count(), settings_.cpu, budget_.clients);
-  if (tuning_.intake == IntakeMode::on || needed) term_->takes_batches = true;
+  const bool needed = tuning_.relay_mode == IntakeMode::automatic && term_->book &&
+                      intake_needed(term_->book->host_count(), settings_.cpu, budget_.clients);
+  if (tuning_.relay_mode == IntakeMode::on || needed) term_->takes_batches = true;
   if (term_->takes_batches) return {200, "{}"};
   if (!term_->book) return error_reply(503, kUnavailable, kRetryAfter);
   return error_reply(404, "batches of reports are not taken");
@@ -231,7 +231,7 @@
     const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
     const std::string uid = s.uid;
     const AcceptRecord accept{std::move(s), draw, book.accepted_next(wall_now(), settings_.skew_ms / 1000)};
-    if (!term_->tail.takes(accept, entry_bytes())) {
+    if (!term_->tail.fits_in_entry(accept, entry_bytes())) {
       ++counters_.refused;
       return error_reply(422, "its description is too long to be stored");
     }
@@ -306,7 +306,7 @@
     return error_reply(400, e.what());
   }
   const Report& report = *read;
-  if (report.repeats) ++counters_.repeated_reports;
+  if (report.repeated_serial) ++counters_.repeated_reports;
   Lock lock(mutex_);
   if (role_ == Role::follower) return report_to_follower(lock, report, body, forwarded);
   return report_to_leader(lock, report, forwarded ? ReportWay::forwarded : ReportWay::direct);
@@ -320,19 +320,19 @@
   const auto keep = [&]() -> std::optional<HttpReply> {
     const double at = steady_now();
     if (!keeps(report, at)) return std::nullopt;
-    custody_.kept(at);
+    custody_.record_renewal(at);
     ++counters_.kept;
     return HttpReply{200, orders_body(custody_.epoch(), {})};
   };
-  const bool by_intake = tuning_.intake != IntakeMode::off && intake_.in_use();
+  const bool by_intake = tuning_.relay_mode != IntakeMode::off && intake_.is_in_use();
   if (by_intake) {
-    if (const auto other = intake_.send_away()) return {421, steward_body(*other)};
+    if (const auto other = intake_.redirect_target()) return {421, steward_body(*other)};
     if (auto reply = report_by_intake(lock, report)) return *reply;
     if (role_ != Role::follower) return report_to_leader(lock, report, ReportWay::direct);
     // Cut off with its zone, this worker reaches the leader no more than this controller does. Sent there all the same, 120 to 151
     // of some 400 lost their lease in a cut of 47 s (lienzo fleet, zone).
-    const bool may_keep = report.yard == settings_.site && custody_.granted_still(now);
-    while (may_keep && intake_.cut_off() && role_ == Role::follower && steady_now() < now + kKeepWithin) {
+    const bool may_keep = report.yard == settings_.site && custody_.is_granted(now);
+    while (may_keep && intake_.is_cut_off() && role_ == Role::follower && steady_now() < now + kKeepWithin) {
       if (auto reply = keep()) return *reply;
       lock.unlock();
       std::this_thread::sleep_for(std::chrono::duration<double>(kLookAgain));
@@ -371,17 +371,17 @@
 
 std::optional<HttpReply> Controller::report_by_intake(Lock& lock, const Report& report) {
   lock.unlock();
-  const auto passed = intake_.pass_on(report, kIntakeTimeout);
+  const auto passed = intake_.relay(report, kIntakeTimeout);
   lock.lock();
-  using Outcome = IntakeSender::Passed::Outcome;
-  const bool cut_off = passed.outcome == Outcome::not_answered && intake_.cut_off();
-  if (passed.outcome == Outcome::not_taken || cut_off) return std::nullopt;
+  using Outcome = IntakeSender::RelayResult::Outcome;
+  const bool cut_off = passed.outcome == Outcome::not_answered && intake_.is_cut_off();
+  if (passed.outcome == Outcome::not_supported || cut_off) return std::nullopt;
   // Under the lead that made it alone: from when a later one is confirmed nothing is answered under an older epoch.
   const bool stands = passed.outcome == Outcome::answered && role_ == Role::follower && passed.lead_number == leads_known_;
   if (!stands || passed.answer.outcome != WorkerAnswer::Outcome::renewed) return HttpReply{421, steward_body("")};
   ++counters_.passed_on;
   HttpReply reply{200, orders_body(passed.epoch, passed.answer.orders)};
-  reply.dear = !report.pieces.empty();
+  reply.dear = !report.tasks.empty();
   return reply;
 }
 
@@ -390,20 +390,20 @@
   if (role_ == Role::follower) return {421, steward_body("")};
   if (term_->takes_batches && way == ReportWay::direct && decisive()) {
     const double now = steady_now();
-    if (const auto other = term_->balance.from_leader(own_workers(now), now)) return {421, steward_body(*other)};
+    if (const auto other = term_->balance.redirect_from_leader(own_workers(now), now)) return {421, steward_body(*other)};
   }
   const auto answer = answer_report(lock, report, way);
   if (answer.outcome != WorkerAnswer::Outcome::renewed) return {421, steward_body("")};
   HttpReply reply{200, orders_body(term_->epoch, answer.orders)};
-  reply.dear = !report.pieces.empty();
+  reply.dear = !report.tasks.empty();
   return reply;
 }
 
 std::size_t Controller::own_workers(double now) {
   if (now - term_->own_workers_at < kCountPeriod) return term_->own_workers;
   term_->own_workers_at = now;
-  const auto known = hearing(*term_->book, now, kHeardLately * settings_.report_s).lately;
-  const auto at_intakes = term_->balance.at_intakes(now);
+  const auto known = hearing(*term_->book, now, kHeardLately * settings_.report_s).recent;
+  const auto at_intakes = term_->balance.workers_at_relays(now);
   term_->own_workers = known > at_intakes ? known - at_intakes : 0;
   return term_->own_workers;
 }
@@ -423,10 +423,10 @@
   const double span = custody_span(settings_.cancel_s, settings_.lease_s);
   if (!term_->book && unread_since_ != 0 && now - unread_since_ > span) return refused;
   const Standing stands = standing(report, now);
-  const auto answer = renewal(stands, !report.pieces.empty());
-  if (answer == Renewal::none || (by_peer && !stands.certain && !stands.backed)) return refused;
-  if (!stands.certain && !stands.backed) {
-    custody_.kept(now);
+  const auto answer = renewal(stands, !report.tasks.empty());
+  if (answer == Renewal::refuse || (by_peer && !stands.lease_valid && !stands.has_quorum)) return refused;
+  if (!stands.lease_valid && !stands.has_quorum) {
+    custody_.record_renewal(now);
     ++counters_.kept;
   }
   ++counters_.reports;
@@ -443,10 +443,10 @@
   note_answer(host, stale, now);
   // A worker that stays with a peer has not tried to reach this controller: what is known is whether commands reach it.
   const double failing = term_->commands_failing_since;
-  const bool commands_reach = !host.commands_fail && (failing == 0 || now - failing < kCommandsLost);
+  const bool commands_reach = !host.commands.failing && (failing == 0 || now - failing < kCommandsLost);
   const bool reaches = way == ReportWay::direct || (way == ReportWay::intake && commands_reach);
-  if (reaches && !stale) host.direct_at = now;
-  const bool newest = host.tenure == report.tenure && host.serial == report.serial;
+  if (reaches && !stale) host.agent.last_direct_contact_at = now;
+  const bool newest = host.agent.incarnation == report.tenure && host.agent.serial == report.serial;
   // Each answer that renews a lease carries the kills of what is cancelled, also one to a report that another overtook.
   out.orders = newest ? due_orders(h) : kills_of_cancelled(book, h);
   note_orders(host, report.serial, out.orders);
@@ -466,26 +466,26 @@
   Lock lock(mutex_);
   IntakeAnswer out;
   // Of another lead, or of none: its sender looks again who leads.
-  if (role_ == Role::follower || !term_->takes_batches || batch->takeover != term_->takeover_epoch) return pack(out);
-  out.takeover = batch->takeover;
+  if (role_ == Role::follower || !term_->takes_batches || batch->takeover_epoch != term_->takeover_epoch) return pack(out);
+  out.takeover_epoch = batch->takeover_epoch;
   out.epoch = term_->epoch;
   const double now = steady_now();
-  term_->balance.heard(batch->sender, batch->workers, now);
+  term_->balance.record_worker_count(batch->sender, batch->worker_count, now);
   if (decisive()) {
-    const auto away = term_->balance.from_intake(batch->sender, now);
-    out.send_away = away.count;
-    out.send_to = away.to;
+    const auto away = term_->balance.redirect_from_relay(batch->sender, now);
+    out.redirect_count = away.count;
+    out.redirect_target = away.target;
   }
   const bool reads_ledger = !term_->book && unread_since_ == 0;
   for (const ReportDelta& delta : batch->reports) {
     if (role_ == Role::follower) {
       out.answers.push_back({WorkerAnswer::Outcome::refused, {}});
     } else if (reads_ledger) {
-      out.answers.push_back({WorkerAnswer::Outcome::not_now, {}});
-    } else if (const Report* report = term_->intake_reports.receive(delta)) {
+      out.answers.push_back({WorkerAnswer::Outcome::retry_later, {}});
+    } else if (const Report* report = term_->intake_reports.decode(delta)) {
       out.answers.push_back(answer_report(lock, *report, ReportWay::intake));
     } else {
-      out.answers.push_back({WorkerAnswer::Outcome::whole_wanted, {}});
+      out.answers.push_back({WorkerAnswer::Outcome::full_required, {}});
     }
   }
   return pack(out);
@@ -530,7 +530,7 @@
   line("commit_seconds_total", counters_.commit_seconds.load());
   line("writes_total", counters_.writes.load());
   line("writes_allowed_per_second", writes_.rate());
-  line("start_stalled_seconds", start_watch_.stalled(steady_now()));
+  line("start_stalled_seconds", start_watch_.stalled_for(steady_now()));
   line("reports_total", counters_.reports.load());
   line("reports_repeated_total", counters_.repeated_reports.load());
   line("reports_passed_on_total", counters_.passed_on.load());
@@ -548,8 +548,8 @@
   line("ledger_queue", queue_.size());
   if (term_ && term_->book) {
     const auto p = term_->book->pipelines().counts();
-    line("jobs_waiting_for_others", p.waiting);
-    line("jobs_made_ready_total", p.ready);
+    line("jobs_waiting_for_others", p.blocked);
+    line("jobs_made_ready_total", p.eligible);
     line("jobs_cancelled_through_another_total", p.cancelled);
   }
   line("renewals_late_seconds", lag_.load());
@@ -562,19 +562,19 @@
   line("senders_busy", senders_.size() - std::min(senders_.size(), senders_resting_));
   line("senders_most", budget_.senders);
   line("worker_connections", lines_.size());
-  line("worker_connections_most", budget_.lines);
+  line("worker_connections_most", budget_.worker_connections);
   line("workers_due", due_.size());
   if (term_ && term_->book) {
     std::uint64_t waiting = 0, placed = 0;
     for (JobIdx j : term_->book->live()) {
-      waiting += term_->book->job(j).waiting;
+      waiting += term_->book->job(j).pending;
       placed += term_->book->job(j).placed.size();
     }
     line("live_jobs", term_->book->live().size());
     line("waiting_tasks", waiting);
     line("placed_tasks", placed);
     for (const auto& w : what_waits(*term_->book, wall_now())) {
-      const std::string of = "{team=\"" + w.team + "\",class=\"" + w.job_class + "\",for=\"" + name_of(w.what) + "\"}";
+      const std::string of = "{team=\"" + w.team + "\",class=\"" + w.job_class + "\",for=\"" + name_of(w.reason) + "\"}";
       line(("waiting_tasks_by" + of).c_str(), w.tasks);
       line(("unstarted_seconds" + of).c_str(), w.unstarted_s);
     }
@@ -588,7 +588,7 @@
     }
     line("accounts_amiss_total", counters_.amiss.load());
   }
-  for (const auto& [key, f] : served_.figures()) {
+  for (const auto& [key, f] : served_.counts()) {
     const auto served = [&](const std::string& name, const char* what, auto value) {
       line((name + "{team=\"" + key.first + "\",class=\"" + key.second + "\",what=\"" + what + "\"}").c_str(), value);
     };
--- a/src/coordination/rollout.cpp
+++ b/src/coordination/rollout.cpp
@@ -17,13 +17,13 @@
 }  // namespace
 
 void Controller::rollout_duty(std::stop_token stop) {
-  StoreClient store(settings_.state);
+  StoreClient store(settings_.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
   std::vector<FramePool*> pools;
   for (auto& link : links_) pools.push_back(link.calls.get());
   RosterView view(settings_, able_, teams_file_, std::move(pools));
   // Before anything else its own record: a switch is conditional on what it says.
-  if (!pause_for(stop, kSettled) || !view.enlist(store, stop)) return;
+  if (!pause_for(stop, kSettled) || !view.register_self(store, stop)) return;
   while (!stop.stop_requested()) {
     {
       Lock lock(mutex_);
@@ -45,7 +45,7 @@
     Lock lock(mutex_);
     number = term_number_;
   }
-  const auto seen = view.look(store, stop);
+  const auto seen = view.observe(store, stop);
   if (!seen) return false;
   const auto& look = seen->look;
   Lock lock(mutex_);
@@ -56,8 +56,8 @@
     step_down(lock, "the state level is another one than it knows");
     return false;
   }
-  rollout::Leading leading{{settings_.label, incarnation_}, term_->epoch, term_->hold, term_->level, term_->tail.old_entries(), {}};
-  if (const auto team = term_->book->accounts().changing(); team && teams_at(look.on.level))
+  rollout::Leading leading{{settings_.label, incarnation_}, term_->epoch, term_->hold, term_->level, term_->tail.has_old_entries(), {}};
+  if (const auto team = term_->book->accounts().changing_team(); team && teams_at(look.on.level))
     leading.no_older_form = "the terms of team " + *team;
   if (const auto job = term_->book->in_pipeline(); job && pipelines_at(look.on.level)) leading.no_older_form = *job;
   if (term_->tail.generation() != 0) leading.no_older_form = "generation " + std::to_string(term_->tail.generation());
@@ -104,7 +104,7 @@
   }
   term_->level = on;
   term_->level_stamp = stamp;
-  term_->tail.write_at(on.writes());
+  term_->tail.set_format_version(on.writes());
 }
 
 bool Controller::take_step(StoreClient& store, std::stop_token stop, Lock& lock) {
@@ -117,13 +117,13 @@
   lock.unlock();
   std::uint64_t rev = 0;
   std::vector<std::string> failed;
-  auto status = store.txn(step.body(), rev, failed);
+  auto status = store.commit(step.body(), rev, failed);
   // Without an answer, or where an earlier try may have been applied, the keys tell. Until they do nothing is
   // written, for it is not known at which level, nor under which epoch.
   std::optional<rollout::Look> look;
   while (status == StoreStatus::conflict || status == StoreStatus::in_doubt) {
     Rows rows;
-    if (store.rows(kLeadPrefix, rows) == StoreStatus::ok) {
+    if (store.list(kLeadPrefix, rows) == StoreStatus::ok) {
       try {
         look = rollout::look(rows.rows);
         break;
--- a/src/coordination/roster_view.cpp
+++ b/src/coordination/roster_view.cpp
@@ -20,7 +20,7 @@
   while (expected_.size() < settings.count) expected_.push_back("unnamed-" + std::to_string(expected_.size()));
 }
 
-bool RosterView::enlist(StoreClient& store, std::stop_token stop) const {
+bool RosterView::register_self(StoreClient& store, std::stop_token stop) const {
   const std::string key = kRosterPrefix + settings_.label;
   for (;;) {
     Row row;
@@ -32,7 +32,7 @@
       std::uint64_t rev = 0;
       std::vector<std::string> failed;
       // Without an answer the record is looked at once more.
-      if (step.kind == rollout::Step::Kind::none || store.txn(step.body(), rev, failed) == StoreStatus::ok) break;
+      if (step.kind == rollout::Step::Kind::none || store.commit(step.body(), rev, failed) == StoreStatus::ok) break;
     }
     if (!pause_for(stop, kTryAgain)) return false;
   }
@@ -82,11 +82,11 @@
   return out;
 }
 
-std::optional<RosterView::Seen> RosterView::look(StoreClient& store, std::stop_token stop) {
+std::optional<RosterView::Seen> RosterView::observe(StoreClient& store, std::stop_token stop) {
   Rows keys, records;
   // The roster first, then the peers themselves: an answer is newer than the record that it corrects, and a
   // record written in between makes the correction fail.
-  if (store.rows(kLeadPrefix, keys) != StoreStatus::ok || store.rows(kRosterPrefix, records) != StoreStatus::ok) return std::nullopt;
+  if (store.list(kLeadPrefix, keys) != StoreStatus::ok || store.list(kRosterPrefix, records) != StoreStatus::ok) return std::nullopt;
   Seen seen;
   try {
     seen.look = rollout::look(keys.rows);
--- a/src/coordination/roster_view.hpp
+++ b/src/coordination/roster_view.hpp
@@ -22,7 +22,7 @@
   RosterView(const Settings& settings, Able able, TeamsFile file, std::vector<FramePool*> pools);
 
   // Writes this controller's own record, and tries again until it is there; false when asked to stop.
-  bool enlist(StoreClient& store, std::stop_token stop) const;
+  bool register_self(StoreClient& store, std::stop_token stop) const;
 
   struct Seen {
     rollout::Look look;
@@ -31,7 +31,7 @@
     std::map<std::string, std::optional<TeamsFile>> files;  // of all controllers; nullopt: not known
   };
   // Nothing where the state service did not answer.
-  std::optional<Seen> look(StoreClient& store, std::stop_token stop);
+  std::optional<Seen> observe(StoreClient& store, std::stop_token stop);
   // All controllers of the settings, by label; those that it counts and does not name have names of their
   // own.
   [[nodiscard]] const std::vector<std::string>& expected() const { return expected_; }
--- a/src/coordination/standing_back.hpp
+++ b/src/coordination/standing_back.hpp
@@ -8,14 +8,14 @@
 class StandingBack {
  public:
   // It gives the lead back for a reason of its own: for how long it is to stand back.
-  double again(double now) {
+  double record_hand_over(double now) {
     in_a_row_ = now - handed_over_at_ < kMemory ? std::min(in_a_row_ + 1, kMost) : 0;
     handed_over_at_ = now;
     return kLong * (1u << in_a_row_);
   }
-  void until(double at) { until_ = at; }
-  [[nodiscard]] double ends() const { return until_; }
-  [[nodiscard]] double left(double now) const { return std::max(0.0, until_ - now); }
+  void extend_until(double at) { until_ = at; }
+  [[nodiscard]] double ends_at() const { return until_; }
+  [[nodiscard]] double remaining(double now) const { return std::max(0.0, until_ - now); }
 
  private:
   static constexpr double kLong = 15.0;  // one that the workers do not reach, or that can't read the ledger
--- a/src/coordination/start_watch.hpp
+++ b/src/coordination/start_watch.hpp
@@ -6,14 +6,14 @@
 
 class StartWatch {
  public:
-  void planned(double now) {
+  void record_planned(double now) {
     if (since_ == 0) since_ = now;
   }
-  void started() { *this = {}; }
-  [[nodiscard]] double stalled(double now) const { return since_ != 0 ? now - since_ : 0; }
+  void record_started() { *this = {}; }
+  [[nodiscard]] double stalled_for(double now) const { return since_ != 0 ? now - since_ : 0; }
   // Whether it is time to tell the operator, once for each stall.
-  bool tell(double now) {
-    if (told_ || stalled(now) < kStalled) return false;
+  bool should_report(double now) {
+    if (told_ || stalled_for(now) < kStalled) return false;
     told_ = true;
     return true;
   }
--- a/src/coordination/store_client.cpp
+++ b/src/coordination/store_client.cpp
@@ -41,26 +41,26 @@
   return parsed(status_of(r), [&] { out = parse_row(r.body); });
 }
 
-StoreStatus StoreClient::rows(const std::string& prefix, Rows& out) {
+StoreStatus StoreClient::list(const std::string& prefix, Rows& out) {
   out = {};
   for (std::string from;;) {
     auto r = http_.get(list_path(prefix, from), kTimeout);
     Rows page;
     const auto status = parsed(status_of(r), [&] { page = parse_rows(r.body); });
     if (status != StoreStatus::ok) return status;
-    if (from.empty()) out.rev = page.rev;
+    if (from.empty()) out.revision = page.revision;
     for (auto& row : page.rows) out.rows.push_back(std::move(row));
     if (!page.truncated || out.rows.empty()) return status;
     from = out.rows.back().key;
   }
 }
 
-StoreStatus StoreClient::entries(const std::string& prefix, const std::string& from, EntryPage& out) {
+StoreStatus StoreClient::list_entries(const std::string& prefix, const std::string& from, EntryPage& out) {
   auto r = http_.get(list_path(prefix, from), kListTimeout);
   return parsed(status_of(r), [&] { out = parse_entries(r.body); });
 }
 
-StoreStatus StoreClient::txn(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed) {
+StoreStatus StoreClient::commit(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed) {
   auto r = http_.post(kTxnPath, body, kTimeout);
   auto status = status_of(r);
   failed.clear();
@@ -75,27 +75,27 @@
   return parsed(status, [&] { rev = parse_rev(r.body); });
 }
 
-StoreStatus StoreClient::hold(unsigned life_ms, std::uint64_t& out) {
+StoreStatus StoreClient::create_lease(unsigned life_ms, std::uint64_t& out) {
   auto r = http_.post(kHoldsPath, hold_body(life_ms), kTimeout);
   return parsed(status_of(r), [&] { out = parse_hold(r.body); });
 }
 
-StoreStatus StoreClient::renew(std::uint64_t hold) {
+StoreStatus StoreClient::renew_lease(std::uint64_t hold) {
   return status_of(http_.post(hold_path(hold, true), "", kTimeout));
 }
 
-StoreStatus StoreClient::drop(std::uint64_t hold) {
+StoreStatus StoreClient::revoke_lease(std::uint64_t hold) {
   return status_of(http_.call("DELETE", hold_path(hold, false), "", kTimeout));
 }
 
-StoreStatus StoreClient::changed(const std::string& prefix, std::uint64_t from, bool& out) {
+StoreStatus StoreClient::has_changed(const std::string& prefix, std::uint64_t from, bool& out) {
   auto r = http_.get(follow_path(prefix, from, 0), kTimeout);
   out = true;  // 410: too much has changed since to tell
   if (r.is(410)) return StoreStatus::ok;
   return parsed(status_of(r), [&] { out = parse_changed(r.body); });
 }
 
-StoreStatus StoreClient::follow(const std::string& prefix, std::uint64_t from, unsigned block_ms) {
+StoreStatus StoreClient::watch(const std::string& prefix, std::uint64_t from, unsigned block_ms) {
   auto r = http_.get(follow_path(prefix, from, block_ms), block_ms / 1000.0 + 5.0);
   // 410: too much has changed since; what matters is that something has.
   if (r.is(410)) return StoreStatus::ok;
--- a/src/coordination/store_client.hpp
+++ b/src/coordination/store_client.hpp
@@ -24,17 +24,17 @@
 
   StoreStatus get(const std::string& key, Row& out);
   // All rows under a prefix; `out.rev` is from before or at the look.
-  StoreStatus rows(const std::string& prefix, Rows& out);
-  StoreStatus entries(const std::string& prefix, const std::string& from, EntryPage& out);
+  StoreStatus list(const std::string& prefix, Rows& out);
+  StoreStatus list_entries(const std::string& prefix, const std::string& from, EntryPage& out);
   // On ok, `rev` is the revision of its changes; on conflict, `failed` names the keys.
-  StoreStatus txn(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed);
-  StoreStatus hold(unsigned life_ms, std::uint64_t& out);
-  StoreStatus renew(std::uint64_t hold);
-  StoreStatus drop(std::uint64_t hold);
+  StoreStatus commit(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed);
+  StoreStatus create_lease(unsigned life_ms, std::uint64_t& out);
+  StoreStatus renew_lease(std::uint64_t create_lease);
+  StoreStatus revoke_lease(std::uint64_t create_lease);
   // Blocks until something under the prefix changes after `from`, or the time is over.
   // Whether a key with the prefix has changed after the given revision.
-  StoreStatus changed(const std::string& prefix, std::uint64_t from, bool& out);
-  StoreStatus follow(const std::string& prefix, std::uint64_t from, unsigned block_ms);
+  StoreStatus has_changed(const std::string& prefix, std::uint64_t from, bool& out);
+  StoreStatus watch(const std::string& prefix, std::uint64_t from, unsigned block_ms);
   void abort() { http_.abort(); }
 
  private:
--- a/src/coordination/tuning.hpp
+++ b/src/coordination/tuning.hpp
@@ -17,8 +17,8 @@
   std::uint32_t state_level_most = rollout::kMostLevel;   // highest state level that it lets be switched on
   double state_level_soak_s = 2;                          // all controllers must have had a level for so long
   std::uint32_t state_level_reads = rollout::kMostLevel;  // tests alone: plays an older build
-  bool rent = true;                                       // rent machines for work that can't be served in time
-  IntakeMode intake = IntakeMode::automatic;              // workers may report to any controller, which passes it on
+  bool scale_out = true;                                  // rent machines for work that can't be served in time
+  IntakeMode relay_mode = IntakeMode::automatic;          // workers may report to any controller, which passes it on
 };
 
 }  // namespace thistle
--- a/src/coordination/workers.cpp
+++ b/src/coordination/workers.cpp
@@ -21,18 +21,18 @@
   const Moment now{steady_now(), wall_now()};
   Book& book = *term_->book;
   const HostIdx known = book.find_host(report.host);
-  if (known.valid() && report.tenure > book.host(known).tenure) {
+  if (known.valid() && report.tenure > book.host(known).agent.incarnation) {
     const auto& placed = book.host(known).placed;
-    const auto forgot = std::count_if(placed.begin(), placed.end(), [&](const auto& p) { return p.at->tenure < report.tenure; });
+    const auto forgot = std::count_if(placed.begin(), placed.end(), [&](const auto& p) { return p.placement->tenure < report.tenure; });
     if (forgot > 0) spdlog::info("{}: its worker's lease ran out, {} tasks are off it", report.host, forgot);
   }
   Host& host = book.host(book.host_named(report.host));
-  const bool deaf = host.deaf_since > 0;
+  const bool deaf = host.agent.unresponsive_since > 0;
   listen(host, report, by_report, now.steady, settings_.lease_s);
-  if (host.deaf_since > 0 && !deaf) {
+  if (host.agent.unresponsive_since > 0 && !deaf) {
     ++counters_.deaf;
     spdlog::info("{}: its reports come and no answer reaches it; nothing is placed there", report.host);
-  } else if (deaf && host.deaf_since == 0) {
+  } else if (deaf && host.agent.unresponsive_since == 0) {
     spdlog::info("{}: answers reach it again", report.host);
   }
   auto outcome = take_report(book, report, now, by_report, term_->takeover_epoch);
@@ -48,7 +48,7 @@
 }
 
 void Controller::poke(HostIdx h, bool greet) {
-  due_.add(h, greet, steady_now());
+  due_.enqueue(h, greet, steady_now());
   give_turns();
 }
 
@@ -61,7 +61,7 @@
 // Room made for 58 starts at once kept a controller at half speed busy past the end of its hold (lienzo grown, apart): few
 // senders make and read commands at a time, and the rest of them wait for slow workers, or rest.
 void Controller::give_turns() {
-  while (turns_ < kTurns && turns_given_ < due_.size() && due_.any()) {
+  while (turns_ < kTurns && turns_given_ < due_.size() && due_.has_ready()) {
     if (senders_resting_ > turns_given_) {
       ++turns_;
       ++turns_given_;
@@ -93,7 +93,7 @@
     while (!stop.stop_requested()) {
       // Its turn was given up for a slow worker: it goes on if there is another.
       if (!held && turns_ >= kTurns) break;
-      const auto next = due_.take();
+      const auto next = due_.dequeue();
       if (!next) break;
       if (!held) ++turns_;
       held = true;
@@ -105,24 +105,24 @@
   }
 }
 
-void Controller::command(Lock& lock, DueWorkers::Next next, bool& held) {
+void Controller::command(Lock& lock, DueWorkers::Item next, bool& held) {
   const auto number = term_number_;
   const HostIdx h = next.host;
   if (!term_ || !term_->book) return;
   Host& host = term_->book->host(h);
   std::vector<Order> orders;
-  const bool may = !host.gone && !host.address.empty();
+  const bool may = !host.terminated && !host.address.empty();
   if (may) orders = due_orders(h);
-  if (!may || (orders.empty() && !(next.greet && decisive()))) {
-    due_.served(h);
+  if (!may || (orders.empty() && !(next.announce && decisive()))) {
+    due_.complete(h);
     return;
   }
-  const bool starts = std::any_of(orders.begin(), orders.end(), [](auto& o) { return o.verb == Verb::run; });
+  const bool starts = std::any_of(orders.begin(), orders.end(), [](auto& o) { return o.type == Verb::run; });
   const auto epoch = term_->epoch;
-  const auto body = commands_body(epoch, std::max<std::uint64_t>(host.tenure, 1), orders);
+  const auto body = commands_body(epoch, std::max<std::uint64_t>(host.agent.incarnation, 1), orders);
   const auto address = host.address;
-  auto client = lines_.take(address);
-  if (starts) host.in_flight_epoch = epoch;
+  auto client = lines_.acquire(address);
+  if (starts) host.commands.in_flight_token = epoch;
   lock.unlock();
   Late late{steady_now() + kTurn, [&] {
               Lock again(mutex_);
@@ -143,31 +143,31 @@
   }
   lock.lock();
   if (term_number_ != number) return;
-  lines_.keep(address, std::move(client));
+  lines_.release(address, std::move(client));
   Host& again = term_->book->host(h);
-  again.in_flight_epoch = 0;
+  again.commands.in_flight_token = 0;
   if (starts && result.delivery == Delivery::in_doubt) {
     // It may be executed much later. Until the worker has seen a higher epoch, nothing is concluded there.
-    again.doubt_epoch = std::max(again.doubt_epoch, epoch);
+    again.commands.uncertain_token = std::max(again.commands.uncertain_token, epoch);
     want_pass();
     spdlog::debug("{}: a start is in doubt", again.name);
   }
-  again.commands_fail = !understood;
+  again.commands.failing = !understood;
   if (understood)
     term_->commands_failing_since = 0;
   else if (term_->commands_failing_since == 0)
     term_->commands_failing_since = steady_now();
   if (!understood) {
-    due_.failed(h, steady_now() + kPauseAfterFailure);
+    due_.back_off(h, steady_now() + kPauseAfterFailure);
     return;
   }
-  due_.served(h);
+  due_.complete(h);
   if (report.epoch > term_->epoch) {
     step_down(lock, "a worker knows of a higher epoch");
     return;
   }
   if (report.host != again.name) return;
-  again.direct_at = steady_now();
+  again.agent.last_direct_contact_at = steady_now();
   absorb(report, false);
 }
 
--- a/src/fleet/custody.hpp
+++ b/src/fleet/custody.hpp
@@ -15,26 +15,26 @@
 class Custody {
  public:
   // What an earlier process of this controller did is bounded by this one's start.
-  Custody(double span_s, double started_at) : span_s_(span_s), last_kept_(started_at) {}
+  Custody(double span_s, double started_at) : span_s_(span_s), last_renewal_(started_at) {}
 
   // The leader answered what was asked at `asked_at`. `owed_s`: how long ago the oldest cancellation was made
   // that is not yet carried out in this zone; it must be carried out in time as well.
-  void granted(std::uint64_t epoch, double asked_at, double owed_s);
+  void grant(std::uint64_t epoch, double asked_at, double owed_s);
   // A leader of this takeover was heard of: what an earlier one granted is over, also where it was of the same name.
-  void heard(std::uint64_t takeover);
+  void observe_leader(std::uint64_t takeover);
   // Another leads.
-  void drop();
+  void revoke();
   // Nothing was heard of the leader for some time, and not yet for too long.
-  [[nodiscard]] bool keeps(double now) const;
+  [[nodiscard]] bool is_active(double now) const;
   // The same for one that has meanwhile taken the lead itself, without knowing the ledger: what it was granted is not over.
-  [[nodiscard]] bool granted_still(double now) const { return now < until_; }
-  void kept(double now) { last_kept_ = now; }
-  [[nodiscard]] double last_kept() const { return last_kept_; }
+  [[nodiscard]] bool is_granted(double now) const { return now < until_; }
+  void record_renewal(double now) { last_renewal_ = now; }
+  [[nodiscard]] double last_renewal() const { return last_renewal_; }
   // Under which it was granted: a later one, known by other ways only, may be another leader's.
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
 
  private:
-  double span_s_, last_kept_;
+  double span_s_, last_renewal_;
   double asked_at_ = 0, until_ = 0;
   std::uint64_t epoch_ = 0, takeover_ = 0;
 };
@@ -50,18 +50,18 @@
   // A beat goes out that gives the mark of the peer's latest answer back. What it grants counts from that
   // mark, however often it is sent: with the time of sending, a peer that was cut off for good seemed to keep
   // its zone for good.
-  void sends() { granted_at_ = marked_at_; }
+  void record_sent() { granted_at_ = acked_at_; }
   // The peer answered the beat sent at `sent_at`, which answered its own of the beat sent at `echoed_sent_at`
   // (0: of none).
-  void answered(double echoed_sent_at, double now, double kept_ago_s);
+  void record_ack(double echoed_sent_at, double now, double kept_ago_s);
   // Under this leader's epoch; and under an earlier one, which no worker takes that has seen this leader's.
-  [[nodiscard]] double kept_until(double now) const;
-  [[nodiscard]] double kept_before(double now) const;
+  [[nodiscard]] double renewals_until(double now) const;
+  [[nodiscard]] double earlier_renewals_until(double now) const;
 
  private:
   double span_s_ = 0, taken_over_at_ = 0;
-  double marked_at_ = 0, granted_at_ = 0, attached_until_ = 0, kept_at_ = 0;
-  bool answered_ = false;
+  double acked_at_ = 0, granted_at_ = 0, attached_until_ = 0, renewed_at_ = 0;
+  bool acked_ = false;
 };
 
 }  // namespace thistle
--- a/src/fleet/deafness.cpp
+++ b/src/fleet/deafness.cpp
@@ -14,24 +14,25 @@
 }  // namespace
 
 void listen(Host& host, const Report& report, bool by_report, double now, double lease_s) {
-  if (std::pair(report.tenure, report.serial) <= std::pair(host.tenure, host.serial)) return;
-  const bool began_anew = host.tenure > 0 && report.tenure > host.tenure;
-  if (began_anew && by_report && host.answered_at > 0 && now - host.answered_at < lease_s) {
-    if (host.deaf_since == 0) host.deaf_since = now;
-    host.deaf_epoch = report.epoch;
+  if (std::pair(report.tenure, report.serial) <= std::pair(host.agent.incarnation, host.agent.serial)) return;
+  const bool began_anew = host.agent.incarnation > 0 && report.tenure > host.agent.incarnation;
+  if (began_anew && by_report && host.agent.last_answered_at > 0 && now - host.agent.last_answered_at < lease_s) {
+    if (host.agent.unresponsive_since == 0) host.agent.unresponsive_since = now;
+    host.agent.unresponsive_token = report.epoch;
     return;
   }
-  if (host.deaf_since == 0) return;
+  if (host.agent.unresponsive_since == 0) return;
   // A command that it answered, a token that it had not seen, or a tenure that outlived its lease.
-  const bool outlived = !began_anew && host.tenure_at > 0 && now - host.tenure_at > kSurelyHears * lease_s;
-  if (!by_report || report.epoch > host.deaf_epoch || outlived) host.deaf_since = 0;
+  const bool outlived = !began_anew && host.agent.incarnation_since > 0 && now - host.agent.incarnation_since > kSurelyHears * lease_s;
+  if (!by_report || report.epoch > host.agent.unresponsive_token || outlived) host.agent.unresponsive_since = 0;
 }
 
 bool unheeding(const Host& host, double wall, double report_s) {
-  if (host.deaf_since > 0) return true;
+  if (host.agent.unresponsive_since > 0) return true;
   return std::any_of(host.placed.begin(), host.placed.end(), [&](const PlacedPiece& ref) {
-    const Placement& p = *ref.at;
-    return !p.seen && !p.closing && p.tenure == host.tenure && wall - p.at > kUnheededReports * report_s + kUnheededSlack;
+    const Placement& p = *ref.placement;
+    return !p.reported && !p.end_pending && p.tenure == host.agent.incarnation &&
+           wall - p.decided_at > kUnheededReports * report_s + kUnheededSlack;
   });
 }
 
@@ -40,11 +41,12 @@
   std::vector<HostIdx> out;
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     const Host& host = book.host(HostIdx{i});
-    if (!host.reported || host.gone || host.lost) continue;
+    if (!host.agent.has_reported || host.terminated || host.lease_expired) continue;
     auto& [known, deaf] = zones[host.zone];
     ++known;
-    deaf += host.deaf_since > 0;
-    if (host.deaf_since > 0 && now - host.deaf_since > kGivenUpLeases * lease_s && host.placed.empty()) out.push_back(HostIdx{i});
+    deaf += host.agent.unresponsive_since > 0;
+    if (host.agent.unresponsive_since > 0 && now - host.agent.unresponsive_since > kGivenUpLeases * lease_s && host.placed.empty())
+      out.push_back(HostIdx{i});
   }
   std::erase_if(out, [&](HostIdx h) {
     const auto& [known, deaf] = zones[book.host(h).zone];
--- a/src/fleet/dealings.hpp
+++ b/src/fleet/dealings.hpp
@@ -52,7 +52,7 @@
   double peers_acked_at = -1;  // steady seconds; below 0: some peer may still answer under an older epoch
   // By zone, steady seconds: until when a peer there may have answered on its own, under this leader's epoch and under an
   // earlier one.
-  std::vector<double> kept_until = {}, kept_before = {};
+  std::vector<double> renewed_until_by_zone = {}, earlier_renewed_until_by_zone = {};
 };
 // Whether the worker's lease is over for certain, wherever its reports were answered.
 bool lease_over(const Host& host, const Fencing& fencing, double lease_s, double steady);
--- a/src/fleet/due_workers.cpp
+++ b/src/fleet/due_workers.cpp
@@ -9,43 +9,43 @@
   (w.slow ? slow_ : prompt_).push_back(h);
 }
 
-void DueWorkers::add(HostIdx h, bool greet, double now) {
+void DueWorkers::enqueue(HostIdx h, bool greet, double now) {
   Worker& w = workers_[h];
-  w.greet = w.greet || greet;
-  if (w.served) {
+  w.announce = w.announce || greet;
+  if (w.being_served) {
     w.again = true;
   } else if (!w.queued && now >= w.not_before) {
     queue(h, w);
   }
 }
 
-std::optional<DueWorkers::Next> DueWorkers::take() {
-  if (!any()) return std::nullopt;
+std::optional<DueWorkers::Item> DueWorkers::dequeue() {
+  if (!has_ready()) return std::nullopt;
   auto& from = prompt_.empty() ? slow_ : prompt_;
   const HostIdx h = from.front();
   from.pop_front();
   Worker& w = workers_[h];
   w.queued = false;
-  w.served = true;
-  w.counted = w.slow;
-  slow_now_ += w.counted;
-  return Next{h, std::exchange(w.greet, false)};
+  w.being_served = true;
+  w.counted_as_slow = w.slow;
+  slow_now_ += w.counted_as_slow;
+  return Item{h, std::exchange(w.announce, false)};
 }
 
 void DueWorkers::end(HostIdx h, Worker& w) {
-  slow_now_ -= std::exchange(w.counted, false);
-  w.served = false;
+  slow_now_ -= std::exchange(w.counted_as_slow, false);
+  w.being_served = false;
   if (std::exchange(w.again, false) && !w.slow) queue(h, w);
 }
 
-void DueWorkers::served(HostIdx h) {
+void DueWorkers::complete(HostIdx h) {
   const auto it = workers_.find(h);
   if (it == workers_.end()) return;
   it->second.slow = false;
   end(h, it->second);
 }
 
-void DueWorkers::failed(HostIdx h, double until) {
+void DueWorkers::back_off(HostIdx h, double until) {
   const auto it = workers_.find(h);
   if (it == workers_.end()) return;
   it->second.slow = true;
--- a/src/fleet/due_workers.hpp
+++ b/src/fleet/due_workers.hpp
@@ -16,24 +16,24 @@
  public:
   explicit DueWorkers(std::size_t most_slow) : most_slow_(most_slow) {}
 
-  struct Next {
+  struct Item {
     HostIdx host;
-    bool greet = false;  // even with nothing to be told
+    bool announce = false;  // even with nothing to be told
   };
   // Due now, or again if it is being served. One that failed to answer is left alone for a while: what it is
   // due for goes with its next report.
-  void add(HostIdx h, bool greet, double now);
-  std::optional<Next> take();
-  void served(HostIdx h);
-  void failed(HostIdx h, double until);
-  [[nodiscard]] bool any() const { return !prompt_.empty() || (!slow_.empty() && slow_now_ < most_slow_); }
+  void enqueue(HostIdx h, bool greet, double now);
+  std::optional<Item> dequeue();
+  void complete(HostIdx h);
+  void back_off(HostIdx h, double until);
+  [[nodiscard]] bool has_ready() const { return !prompt_.empty() || (!slow_.empty() && slow_now_ < most_slow_); }
   [[nodiscard]] std::size_t size() const { return prompt_.size() + slow_.size(); }
   void clear();
 
  private:
   struct Worker {
-    bool queued = false, served = false, again = false, greet = false;
-    bool slow = false, counted = false;  // counted: as one of the slow ones being served
+    bool queued = false, being_served = false, again = false, announce = false;
+    bool slow = false, counted_as_slow = false;  // counted: as one of the slow ones being served
     double not_before = 0;
   };
   void queue(HostIdx h, Worker& w);
--- a/src/fleet/hearing.cpp
+++ b/src/fleet/hearing.cpp
@@ -8,12 +8,12 @@
   Hearing out;
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     const Host& host = book.host(HostIdx{i});
-    if (!host.reported || host.gone || host.lost) continue;
-    const bool lately = now - host.reported_at < lately_s, direct = now - host.direct_at < lately_s;
+    if (!host.agent.has_reported || host.terminated || host.lease_expired) continue;
+    const bool lately = now - host.agent.last_heartbeat_at < lately_s, direct = now - host.agent.last_direct_contact_at < lately_s;
     ++out.known;
-    out.lately += lately;
+    out.recent += lately;
     out.direct += direct;
-    out.by_peers += lately && !direct;
+    out.via_peers += lately && !direct;
   }
   return out;
 }
@@ -22,14 +22,15 @@
   std::vector<HeardOf> out;
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     const Host& host = book.host(HostIdx{i});
-    if (host.gone || host.lost) continue;
+    if (host.terminated || host.lease_expired) continue;
     // One that holds work and was never heard of since the takeover may have died with the earlier leader
     // (lienzo grown, troubles: 12 machines die as the leader ends, and their replicas waited for the whole
     // lease).
-    if (!host.reported && (host.placed.empty() || host.address.empty())) continue;
+    if (!host.agent.has_reported && (host.placed.empty() || host.address.empty())) continue;
     const bool serves = std::any_of(host.placed.begin(), host.placed.end(),
                                     [&](const PieceRef& ref) { return book.job(ref.job).spec.shape == Shape::service; });
-    out.push_back({HostIdx{i}, host.zone, now - (host.reported ? host.reported_at : taken_over_at), serves, !host.placed.empty()});
+    out.push_back({HostIdx{i}, host.zone, now - (host.agent.has_reported ? host.agent.last_heartbeat_at : taken_over_at), serves,
+                   !host.placed.empty()});
   }
   return out;
 }
--- a/src/fleet/hearing.hpp
+++ b/src/fleet/hearing.hpp
@@ -12,9 +12,9 @@
 // Of the machines that reported to this leader and are not known to be gone.
 struct Hearing {
   std::size_t known = 0;
-  std::size_t lately = 0;    // heard of within the time asked for, by whatever way
-  std::size_t direct = 0;    // by the leader itself
-  std::size_t by_peers = 0;  // lately, and by way of other controllers only
+  std::size_t recent = 0;     // heard of within the time asked for, by whatever way
+  std::size_t direct = 0;     // by the leader itself
+  std::size_t via_peers = 0;  // lately, and by way of other controllers only
 };
 Hearing hearing(const Book& book, double now, double lately_s);
 
--- a/src/fleet/renewal.hpp
+++ b/src/fleet/renewal.hpp
@@ -9,16 +9,16 @@
 
 // How a controller that took the lead, and knows of no later one, stands at this moment.
 struct Standing {
-  bool read = false;     // the ledger, so it knows of all that was cancelled before and by it
-  bool certain = false;  // its hold is alive: no one else leads
-  bool backed = false;   // a majority of the controllers stands behind it (duties/backing)
-  bool granted = false;  // the worker is of its own zone, and what it was granted for that is not over (fleet/custody)
+  bool ledger_read = false;          // the ledger, so it knows of all that was cancelled before and by it
+  bool lease_valid = false;          // its hold is alive: no one else leads
+  bool has_quorum = false;           // a majority of the controllers stands behind it (duties/backing)
+  bool has_partition_lease = false;  // the worker is of its own zone, and what it was granted for that is not over (fleet/custody)
 };
 
 enum class Renewal {
-  none,   // the report is not answered: the worker's lease runs on towards its end
-  kills,  // the kills of what is cancelled, as far as it knows of it, and nothing else
-  orders  // all that the worker is due
+  refuse,       // the report is not answered: the worker's lease runs on towards its end
+  kills_only,   // the kills of what is cancelled, as far as it knows of it, and nothing else
+  all_commands  // all that the worker is due
 };
 
 // `holds_tasks`: the worker showed some. One that has not read the ledger knows of no kill, and renews no lease that keeps a
--- a/src/fleet/silence.cpp
+++ b/src/fleet/silence.cpp
@@ -38,7 +38,7 @@
   const double suspicious = kSilentReports * report_s + kSilentSlack;
   std::vector<HostIdx> out;
   for (const auto& m : machines) {
-    if (!m.serves && !m.works) continue;
+    if (!m.runs_services && !m.runs_tasks) continue;
     const Zone& z = zones[m.zone];
     const double expected = static_cast<double>(z.known) * kWindow / report_s;
     const bool brisk = expected >= kReportsAWindow && static_cast<double>(z.just_now) >= kOfExpected * expected;
@@ -46,7 +46,7 @@
       out.push_back(m.host);
       continue;
     }
-    if (m.silence_s < (m.serves ? suspicious : kBatchPatience * suspicious)) continue;
+    if (m.silence_s < (m.runs_services ? suspicious : kBatchPatience * suspicious)) continue;
     const std::size_t stale = z.known - z.fresh;
     const bool few = z.fresh > 0 && (stale <= 1 || kFew * stale <= z.known);
     const bool no_cut = z.fresh > 0 && kStillHeard * z.fresh >= z.known && m.silence_s > kSurelyCutReports * report_s;
--- a/src/fleet/silence.hpp
+++ b/src/fleet/silence.hpp
@@ -9,9 +9,9 @@
 struct HeardOf {
   HostIdx host;
   ZoneIdx zone;
-  double silence_s = 0;  // since it was last heard of, by whatever way
-  bool serves = false;   // replicas are placed there
-  bool works = false;    // any task is
+  double silence_s = 0;        // since it was last heard of, by whatever way
+  bool runs_services = false;  // replicas are placed there
+  bool runs_tasks = false;     // any task is
 };
 
 // Those worth asking whether they are alive. A cut silences a whole zone within a report period, a loss of
--- a/src/intake/report_exchange.cpp
+++ b/src/intake/report_exchange.cpp
@@ -15,7 +15,7 @@
   return a.attempt == b.attempt && a.id.task == b.id.task && a.id.uid == b.id.uid;
 }
 bool same_state(const ReportedPiece& a, const ReportedPiece& b) {
-  return a.phase == b.phase && a.cause == b.cause && a.kept == b.kept;
+  return a.phase == b.phase && a.cause == b.cause && a.checkpointed == b.checkpointed;
 }
 bool same_piece(const ReportedPiece& a, const ReportedPiece& b) {
   return same_attempt(a, b) && same_state(a, b);
@@ -23,7 +23,7 @@
 
 // Everything that a difference does not carry.
 bool same_machine(const Report& a, const Report& b) {
-  return a.address == b.address && a.kind == b.kind && a.yard == b.yard && a.loaner == b.loaner;
+  return a.address == b.address && a.machine_type == b.machine_type && a.yard == b.yard && a.loaner == b.loaner;
 }
 
 std::vector<const ReportedPiece*> sorted(const std::vector<ReportedPiece>& pieces) {
@@ -41,14 +41,14 @@
 
 // Fills in what has changed between two lists of tasks; false where a difference can't tell.
 bool note_difference(const Report& base, const Report& report, ReportDelta& delta) {
-  const auto before = sorted(base.pieces), after = sorted(report.pieces);
+  const auto before = sorted(base.tasks), after = sorted(report.tasks);
   if (names_one_twice(before) || names_one_twice(after)) return false;
   auto old = before.begin();
   const auto is_before = [](const ReportedPiece& a, const ReportedPiece& b) { return key_of(a.id, a.attempt) < key_of(b.id, b.attempt); };
   for (const auto* piece : after) {
     for (; old != before.end() && is_before(**old, *piece); ++old) delta.removed.push_back({(*old)->id, (*old)->attempt});
     const bool known = old != before.end() && same_attempt(**old, *piece);
-    if (!known || !same_state(**old, *piece)) delta.pieces.push_back(*piece);
+    if (!known || !same_state(**old, *piece)) delta.tasks.push_back(*piece);
     if (known) ++old;
   }
   for (; old != before.end(); ++old) delta.removed.push_back({(*old)->id, (*old)->attempt});
@@ -64,16 +64,16 @@
   delta.epoch = report.epoch;
   delta.recall_s = report.recall_s;
   delta.address = report.address;
-  delta.host_kind = report.kind;
+  delta.machine_type = report.machine_type;
   delta.yard = report.yard;
   delta.loaner = report.loaner;
-  delta.pieces = report.pieces;
+  delta.tasks = report.tasks;
   return delta;
 }
 
 Report from_whole(const ReportDelta& delta) {
-  return {delta.host,   delta.address, delta.host_kind, delta.yard,     delta.loaner,
-          delta.tenure, delta.serial,  delta.epoch,     delta.recall_s, delta.pieces};
+  return {delta.host,   delta.address, delta.machine_type, delta.yard,     delta.loaner,
+          delta.tenure, delta.serial,  delta.epoch,        delta.recall_s, delta.tasks};
 }
 
 void apply_difference(const ReportDelta& delta, std::vector<ReportedPiece>& pieces) {
@@ -81,7 +81,7 @@
     return std::any_of(delta.removed.begin(), delta.removed.end(),
                        [&](const AttemptKey& key) { return key_of(key.id, key.attempt) == key_of(p.id, p.attempt); });
   });
-  for (const auto& changed : delta.pieces) {
+  for (const auto& changed : delta.tasks) {
     const auto known = std::find_if(pieces.begin(), pieces.end(), [&](const ReportedPiece& p) { return same_attempt(p, changed); });
     if (known != pieces.end())
       *known = changed;
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-ReportDelta ReportSender::delta(const Report& report) const {
+ReportDelta ReportSender::encode(const Report& report) const {
   const auto it = acknowledged_.find(report.host);
   if (it == acknowledged_.end()) return whole(report);
   const Report& base = it->second;
@@ -105,19 +105,19 @@
   delta.epoch = report.epoch;
   delta.recall_s = report.recall_s;
   delta.base_serial = base.serial;
-  if (report.repeats == base.serial) return delta;
-  if (std::equal(base.pieces.begin(), base.pieces.end(), report.pieces.begin(), report.pieces.end(), same_piece)) return delta;
+  if (report.repeated_serial == base.serial) return delta;
+  if (std::equal(base.tasks.begin(), base.tasks.end(), report.tasks.begin(), report.tasks.end(), same_piece)) return delta;
   if (!note_difference(base, report, delta)) return whole(report);
-  const bool changed = !delta.pieces.empty() || !delta.removed.empty();
+  const bool changed = !delta.tasks.empty() || !delta.removed.empty();
   delta.kind = changed ? ReportDelta::Kind::difference : ReportDelta::Kind::unchanged;
   return packed_size(delta) < packed_size(whole(report)) ? delta : whole(report);
 }
 
-void ReportSender::acknowledged(const Report& report) {
+void ReportSender::record_acknowledged(const Report& report) {
   Report& known = acknowledged_[report.host];
   if (std::tie(report.tenure, report.serial) < std::tie(known.tenure, known.serial)) return;
   // The tasks are those that stand here already.
-  if (report.repeats == known.serial && report.tenure == known.tenure) {
+  if (report.repeated_serial == known.serial && report.tenure == known.tenure) {
     known.serial = report.serial;
     return;
   }
@@ -128,17 +128,17 @@
   if (const auto it = acknowledged_.find(host); it != acknowledged_.end()) acknowledged_.erase(it);
 }
 
-const Report* ReportReceiver::receive(const ReportDelta& delta) {
+const Report* ReportReceiver::decode(const ReportDelta& delta) {
   if (delta.kind == ReportDelta::Kind::whole) return &(received_[delta.host] = from_whole(delta));
   const auto it = received_.find(delta.host);
   if (it == received_.end()) return nullptr;
   Report& report = it->second;
   if (report.tenure != delta.tenure || report.serial != delta.base_serial) return nullptr;
-  report.repeats.reset();
+  report.repeated_serial.reset();
   if (delta.kind == ReportDelta::Kind::unchanged)
-    report.repeats = report.serial;
+    report.repeated_serial = report.serial;
   else
-    apply_difference(delta, report.pieces);
+    apply_difference(delta, report.tasks);
   report.serial = delta.serial;
   report.epoch = delta.epoch;
   report.recall_s = delta.recall_s;
--- a/src/intake/report_exchange.hpp
+++ b/src/intake/report_exchange.hpp
@@ -13,9 +13,9 @@
 class ReportSender {
  public:
   // What is to be sent of this report.
-  [[nodiscard]] ReportDelta delta(const Report& report) const;
+  [[nodiscard]] ReportDelta encode(const Report& report) const;
   // The leader has this report.
-  void acknowledged(const Report& report);
+  void record_acknowledged(const Report& report);
   // The leader does not have the report that the last delta of this worker was built on.
   void forget(const std::string& host);
   // Another lead: nothing is known of what it has.
@@ -29,7 +29,7 @@
 class ReportReceiver {
  public:
   // The report that was sent, valid until the next call; null where the whole of it is needed.
-  const Report* receive(const ReportDelta& delta);
+  const Report* decode(const ReportDelta& delta);
   [[nodiscard]] std::size_t size() const { return received_.size(); }
 
  private:
--- a/src/intake/worker_balance.cpp
+++ b/src/intake/worker_balance.cpp
@@ -14,37 +14,37 @@
 constexpr double kMostAtOnce = 16;
 }  // namespace
 
-void WorkerBalance::heard(const std::string& intake, std::uint32_t workers, double now) {
-  intakes_[intake] = {workers, now};
+void WorkerBalance::record_worker_count(const std::string& intake, std::uint32_t workers, double now) {
+  relays_[intake] = {workers, now};
 }
 
-bool WorkerBalance::lately(const Intake& intake, double now) const {
+bool WorkerBalance::is_recent(const Relay& intake, double now) const {
   return now - intake.heard_at < kLately;
 }
 
-std::size_t WorkerBalance::at_intakes(double now) const {
+std::size_t WorkerBalance::workers_at_relays(double now) const {
   std::size_t out = 0;
-  for (const auto& [label, intake] : intakes_)
-    if (lately(intake, now)) out += intake.workers;
+  for (const auto& [label, intake] : relays_)
+    if (is_recent(intake, now)) out += intake.workers;
   return out;
 }
 
-double WorkerBalance::intake_share(double now) const {
-  const auto active = std::count_if(intakes_.begin(), intakes_.end(), [&](const auto& i) { return lately(i.second, now); });
-  return static_cast<double>(at_intakes(now) + own_) / (static_cast<double>(active) + kLeaderWeight);
+double WorkerBalance::relay_share(double now) const {
+  const auto active = std::count_if(relays_.begin(), relays_.end(), [&](const auto& i) { return is_recent(i.second, now); });
+  return static_cast<double>(workers_at_relays(now) + own_) / (static_cast<double>(active) + kLeaderWeight);
 }
 
-const std::pair<const std::string, WorkerBalance::Intake>* WorkerBalance::emptiest(const std::string& but, double now) const {
-  const std::pair<const std::string, Intake>* out = nullptr;
-  for (const auto& entry : intakes_) {
-    if (entry.first == but || !lately(entry.second, now)) continue;
+const std::pair<const std::string, WorkerBalance::Relay>* WorkerBalance::least_loaded(const std::string& but, double now) const {
+  const std::pair<const std::string, Relay>* out = nullptr;
+  for (const auto& entry : relays_) {
+    if (entry.first == but || !is_recent(entry.second, now)) continue;
     if (!out || entry.second.workers < out->second.workers) out = &entry;
   }
   return out;
 }
 
-std::uint32_t WorkerBalance::allowed(double wanted, double now) {
-  const double rate = std::max(1.0, static_cast<double>(at_intakes(now) + own_) / kEvenOutSeconds);
+std::uint32_t WorkerBalance::take_allowance(double wanted, double now) {
+  const double rate = std::max(1.0, static_cast<double>(workers_at_relays(now) + own_) / kEvenOutSeconds);
   allowance_ = std::min(allowance_ + std::max(0.0, now - allowance_at_) * rate, std::max(1.0, std::min(rate, kMostAtOnce)));
   allowance_at_ = now;
   const double out = std::floor(std::min(wanted, allowance_));
@@ -52,28 +52,28 @@
   return static_cast<std::uint32_t>(out);
 }
 
-WorkerBalance::SendAway WorkerBalance::from_intake(const std::string& intake, double now) {
-  const auto it = intakes_.find(intake);
-  const auto* other = emptiest(intake, now);
-  if (it == intakes_.end() || !other) return {};
-  const double share = intake_share(now), workers = it->second.workers;
+WorkerBalance::Redirection WorkerBalance::redirect_from_relay(const std::string& intake, double now) {
+  const auto it = relays_.find(intake);
+  const auto* other = least_loaded(intake, now);
+  if (it == relays_.end() || !other) return {};
+  const double share = relay_share(now), workers = it->second.workers;
   if (workers <= share * kTolerance + kToleranceWorkers || other->second.workers + 1 > share) return {};
-  const auto count = allowed(std::min(workers - share, share - other->second.workers), now);
+  const auto count = take_allowance(std::min(workers - share, share - other->second.workers), now);
   const std::string to = other->first;
-  intakes_[to].workers += count;  // until it says itself
+  relays_[to].workers += count;  // until it says itself
   return {count, count > 0 ? to : std::string()};
 }
 
-std::optional<std::string> WorkerBalance::from_leader(std::size_t own, double now) {
+std::optional<std::string> WorkerBalance::redirect_from_leader(std::size_t own, double now) {
   own_ = own;
-  const auto* other = emptiest({}, now);
+  const auto* other = least_loaded({}, now);
   if (!other) return std::nullopt;
-  const double share = intake_share(now);
+  const double share = relay_share(now);
   if (static_cast<double>(own) <= share * kLeaderWeight * kTolerance + kToleranceWorkers || other->second.workers > share)
     return std::nullopt;
-  if (allowed(1, now) == 0) return std::nullopt;
+  if (take_allowance(1, now) == 0) return std::nullopt;
   const std::string to = other->first;
-  ++intakes_[to].workers;
+  ++relays_[to].workers;
   --own_;
   return to;
 }
--- a/src/intake/worker_balance.hpp
+++ b/src/intake/worker_balance.hpp
@@ -13,32 +13,32 @@
 class WorkerBalance {
  public:
   // Workers to be sent to another controller; 0: none.
-  struct SendAway {
+  struct Redirection {
     std::uint32_t count = 0;
-    std::string to;
+    std::string target;
   };
   // An intake said how many workers it holds.
-  void heard(const std::string& intake, std::uint32_t workers, double now);
+  void record_worker_count(const std::string& intake, std::uint32_t workers, double now);
   // What that intake is to send away.
-  SendAway from_intake(const std::string& intake, double now);
+  Redirection redirect_from_relay(const std::string& intake, double now);
   // Where the leader is to send one of its own workers, of which it holds `own`.
-  std::optional<std::string> from_leader(std::size_t own, double now);
+  std::optional<std::string> redirect_from_leader(std::size_t own, double now);
   // Workers at intakes that were heard of lately.
-  [[nodiscard]] std::size_t at_intakes(double now) const;
+  [[nodiscard]] std::size_t workers_at_relays(double now) const;
 
  private:
-  struct Intake {
+  struct Relay {
     std::uint32_t workers = 0;
     double heard_at = 0;
   };
-  [[nodiscard]] bool lately(const Intake& intake, double now) const;
+  [[nodiscard]] bool is_recent(const Relay& intake, double now) const;
   // The intake that holds fewest, but this one; null where there is none.
-  const std::pair<const std::string, Intake>* emptiest(const std::string& but, double now) const;
-  [[nodiscard]] double intake_share(double now) const;
+  const std::pair<const std::string, Relay>* least_loaded(const std::string& but, double now) const;
+  [[nodiscard]] double relay_share(double now) const;
   // How many of these may go now.
-  std::uint32_t allowed(double wanted, double now);
+  std::uint32_t take_allowance(double wanted, double now);
 
-  NameMap<Intake> intakes_;
+  NameMap<Relay> relays_;
   std::size_t own_ = 0;
   double allowance_ = 0, allowance_at_ = 0;
 };
--- a/src/ledger/reader.hpp
+++ b/src/ledger/reader.hpp
@@ -15,36 +15,36 @@
   Reader(Book& book, std::uint32_t least, std::uint32_t most) : book_(book), least_(least), most_(most) {}
   // One more entry, in the order of keys, which need not be theirs. False: it can't be read, and why() tells entry, place
   // and reason; a part of the ledger must not be led on, for an accepted job could be in the rest.
-  bool take(EntryPage::Row row);
+  bool add_entry(EntryPage::Row row);
   // All are there: they are read in their order, but for those that are not needed any more. False as above.
   bool finish();
-  [[nodiscard]] const std::string& why() const { return why_; }
+  [[nodiscard]] const std::string& error() const { return error_; }
   [[nodiscard]] std::size_t entries() const { return entries_; }
-  [[nodiscard]] Tail::Found found() && { return std::move(found_); }
+  [[nodiscard]] Tail::Contents contents() && { return std::move(contents_); }
 
  private:
-  struct Taken {
-    std::uint64_t n = 0;
+  struct PendingEntry {
+    std::uint64_t number = 0;
     LedgerSlot slot;
     LedgerEntry entry;
   };
   bool fail(const std::string& key, const std::string& reason);
-  bool read(const Taken& taken);
+  bool replay(const PendingEntry& taken);
 
   Book& book_;
   std::uint32_t least_, most_;
-  std::vector<Taken> taken_;
+  std::vector<PendingEntry> pending_;
   std::size_t entries_ = 0, jobs_ = 0;
-  Tail::Found found_;
-  std::string why_;
+  Tail::Contents contents_;
+  std::string error_;
 };
 
 // The ledger as it was read while nobody led, when nothing in it changes.
 struct ReadLedger {
   std::unique_ptr<Book> book;
-  Tail::Found found;
+  Tail::Contents contents;
   std::size_t entries = 0;
-  std::uint64_t rev = 0;  // of the state service when its reading began
+  std::uint64_t revision = 0;  // of the state service when its reading began
 };
 
 }  // namespace thistle
