--- a/src/ledger/rewriter.cpp
+++ b/src/ledger/rewriter.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kLeastItems = 4, kMostItems = 100;  // ranges in one record, a placement's head counting as three
 
 std::uint64_t most_entries(const Book& book, std::size_t entry_bytes, double longer) {
-  const auto held = book.pipelines().counts().waiting;
+  const auto held = book.pipelines().counts().blocked;
   std::size_t bytes = (book.job_count() - book.live().size() - held) * kEndedBytes + held * kJobBytes;
   for (JobIdx j : book.live()) bytes += kJobBytes + book.job(j).placed.size() * kTaskBytes;
   const auto of_book = static_cast<double>(bytes / std::max<std::size_t>(entry_bytes, 1));
@@ -38,13 +38,13 @@
 }
 }  // namespace
 
-std::optional<JobIdx> Rewriter::fact_of(const Record& record, const Book& book) {
+std::optional<JobIdx> Rewriter::singleton_of(const Record& record, const Book& book) {
   if (std::holds_alternative<FlavorsRecord>(record)) return JobIdx{};
   if (const auto* team = std::get_if<TeamRecord>(&record)) return JobIdx{kTeams + book.accounts().find(team->name).v};
   return std::nullopt;
 }
 
-void Rewriter::begins(std::uint64_t entry, JobIdx job) {
+void Rewriter::record_first_entry(std::uint64_t entry, JobIdx job) {
   if (is_fact(job)) {
     for (auto& [n, jobs] : begin_there_) std::erase(jobs, job);
     std::erase_if(begin_there_, [](const auto& e) { return e.second.empty(); });
@@ -52,13 +52,13 @@
   begin_there_[entry].push_back(job);
 }
 
-std::vector<Rewriter::Item> Rewriter::next(const Book& book, std::uint64_t first, std::uint64_t next, std::size_t entry_bytes,
-                                           double longer) const {
+std::vector<Rewriter::Item> Rewriter::next_rewrites(const Book& book, std::uint64_t first, std::uint64_t next, std::size_t entry_bytes,
+                                                    double longer) const {
   if (next - first <= most_entries(book, entry_bytes, longer)) return {};
-  return oldest(book, next, entry_bytes / 2);
+  return rewrites_of_oldest(book, next, entry_bytes / 2);
 }
 
-std::vector<Rewriter::Item> Rewriter::oldest(const Book& book, std::uint64_t next, std::size_t budget) const {
+std::vector<Rewriter::Item> Rewriter::rewrites_of_oldest(const Book& book, std::uint64_t next, std::size_t budget) const {
   std::vector<Item> out;
   const auto oldest = begin_there_.begin();
   // Nothing is moved into the entry that it comes from.
@@ -87,7 +87,7 @@
   return out;
 }
 
-void Rewriter::written(const std::vector<Item>& items, const std::vector<std::uint64_t>& entries) {
+void Rewriter::record_rewritten(const std::vector<Item>& items, const std::vector<std::uint64_t>& entries) {
   for (std::size_t i = 0; i < std::min(items.size(), entries.size()); ++i) {
     const Item& item = items[i];
     const bool whole = item.begins && item.ends;
--- a/src/ledger/rewriter.hpp
+++ b/src/ledger/rewriter.hpp
@@ -24,21 +24,21 @@
   };
 
   // Facts have no job; of each the newest record is all that is needed. Nothing where the record is none.
-  static std::optional<JobIdx> fact_of(const Record& record, const Book& book);
+  static std::optional<JobIdx> singleton_of(const Record& record, const Book& book);
   // A job's first record, or a fact, is in this entry.
-  void begins(std::uint64_t entry, JobIdx job);
+  void record_first_entry(std::uint64_t entry, JobIdx job);
   // What to write next so that the oldest entry can go; nothing while the ledger is short for what the book
   // holds. `next` is the number of the entry after the newest, `entry_bytes` about what one entry holds; `longer`:
   // entries kept for each that the book itself would take.
-  [[nodiscard]] std::vector<Item> next(const Book& book, std::uint64_t first, std::uint64_t next, std::size_t entry_bytes,
-                                       double longer = kLogFactor) const;
+  [[nodiscard]] std::vector<Item> next_rewrites(const Book& book, std::uint64_t first, std::uint64_t next_rewrites, std::size_t entry_bytes,
+                                                double longer = kLogFactor) const;
   static constexpr double kLogFactor = 2;
   // The same for the oldest entry's jobs however short the ledger is, about `budget` bytes at a time: entries
   // of a level that is no longer written go this way.
-  [[nodiscard]] std::vector<Item> oldest(const Book& book, std::uint64_t next, std::size_t budget) const;
+  [[nodiscard]] std::vector<Item> rewrites_of_oldest(const Book& book, std::uint64_t next_rewrites, std::size_t budget) const;
   // These, in the order of next() or with ended jobs put first, are in the ledger: items[i] in entries[i] or
   // a later one. Fewer entries than items: the rest was not written.
-  void written(const std::vector<Item>& items, const std::vector<std::uint64_t>& entries);
+  void record_rewritten(const std::vector<Item>& items, const std::vector<std::uint64_t>& entries);
   // Entries below this one are not needed.
   [[nodiscard]] std::uint64_t oldest_needed(std::uint64_t otherwise) const;
 
--- a/src/ledger/tail.cpp
+++ b/src/ledger/tail.cpp
@@ -31,7 +31,7 @@
   return std::stoull(key.substr(std::string(kLedgerPrefix).size()));
 }
 
-Tail::Tail(Found found, std::uint32_t level)
+Tail::Tail(Contents found, std::uint32_t level)
     : level_(found.level == 0 ? level : found.level),
       generation_(found.generation),
       first_(found.first),
@@ -43,10 +43,10 @@
       kept_(std::move(found.kept)),
       free_(std::move(found.free)) {
   // The newest entry found is left as it is; this writer's records go into entries of its own.
-  write_at(level);
+  set_format_version(level);
 }
 
-void Tail::write_at(std::uint32_t level) {
+void Tail::set_format_version(std::uint32_t level) {
   if (level == level_) return;
   if (tail_stamp_ != 0) before_ = tail_link_;
   tail_stamp_ = 0;
@@ -109,18 +109,18 @@
   return std::min(kRecordBytes, static_cast<std::size_t>(static_cast<double>(room) * kRecordShare));
 }
 
-bool Tail::takes(const AcceptRecord& accept, std::size_t value_bytes) {
+bool Tail::fits_in_entry(const AcceptRecord& accept, std::size_t value_bytes) {
   JobRecord job;
   job.accept = accept;
   return encode_record(job, kWidestLevel).text.size() + kItemsBeside + kCheckedBytes <= value_bytes;
 }
 
-bool Tail::takes(const FlavorsRecord& flavors, std::size_t value_bytes) {
+bool Tail::fits_in_entry(const FlavorsRecord& flavors, std::size_t value_bytes) {
   return encode_record(flavors, kWidestLevel).text.size() + kCheckedBytes <= value_bytes;
 }
 
-Tail::Draft Tail::draft(const Book& book, std::deque<Pending>& queue, const Limits& limits) const {
-  Draft out;
+Tail::PendingCommit Tail::prepare_commit(const Book& book, std::deque<Pending>& queue, const Limits& limits) const {
+  PendingCommit out;
   out.first = first_;
   out.seq = seq_ + 1;
   auto& entries = out.entries;
@@ -132,7 +132,7 @@
     if (text.size() + head > limits.value_bytes) out.too_large.push_back(std::to_string(text.size()) + " bytes: " + text.substr(0, 60));
     const auto& last = entries.back();
     if (!last.records.empty() && last.records.size() + text.size() + head > limits.value_bytes) {
-      if (entries.size() >= limits.puts) return false;
+      if (entries.size() >= limits.max_puts) return false;
       entries.push_back({last.n + 1, {}, {}, 0, 0, 0});
     }
     auto& to = entries.back();
@@ -143,9 +143,10 @@
   };
   // First what is written anew: it is true at this point of the ledger, before the records that follow.
   auto& rewrites = out.rewrites;
-  rewrites = rewriter_.next(book, first_, next_, limits.value_bytes, limits.longer);
+  rewrites = rewriter_.next_rewrites(book, first_, next_, limits.value_bytes, limits.length_factor);
   // Entries of another level go a little sooner than the ledger's length asks for.
-  if (rewrites.empty() && old_entries()) rewrites = rewriter_.oldest(book, tail_stamp_ ? next_ : next_ + 1, limits.value_bytes / 8);
+  if (rewrites.empty() && has_old_entries())
+    rewrites = rewriter_.rewrites_of_oldest(book, tail_stamp_ ? next_ : next_ + 1, limits.value_bytes / 8);
   EndedRecord ended[2] = {{JobStatus::done, {}}, {JobStatus::aborted, {}}};
   std::size_t ended_bytes[2] = {0, 0};
   bool all_fit = true;
@@ -175,7 +176,7 @@
     // A list of machine types that fits into no entry is each leader's own, from the cloud.
     const auto* flavors = std::get_if<FlavorsRecord>(&r.record);
     const bool no_form =
-        (std::holds_alternative<TeamRecord>(r.record) && !teams_at(level_)) || (flavors && !takes(*flavors, limits.value_bytes));
+        (std::holds_alternative<TeamRecord>(r.record) && !teams_at(level_)) || (flavors && !fits_in_entry(*flavors, limits.value_bytes));
     if (!no_form && !fit(r.record)) break;
     out.rewritten_in.push_back(entries.back().n);
   }
@@ -185,14 +186,14 @@
   while (!queue.empty()) {
     if (!fit(queue.front().record)) break;
     out.batch.push_back(std::move(queue.front()));
-    out.batch_in.push_back(entries.back().n);
+    out.batch_entries.push_back(entries.back().n);
     queue.pop_front();
   }
   // A tail already full needs no rewriting.
   const bool tail_as_it_was = entries.front().records.size() == tail_.size();
   const bool nothing = tail_as_it_was && entries.size() == 1;
   out.free = free_;
-  if (nothing && !old_entries()) return out;
+  if (nothing && !has_old_entries()) return out;
   const auto written_from = tail_as_it_was ? 1u : 0u;
   // The oldest entries in which no job begins any more. One entry stays, whatever it holds: an empty ledger would be a new
   // fleet's.
@@ -205,7 +206,7 @@
   for (std::size_t i = 0; i < entries.size(); ++i) {
     auto& e = entries[i];
     if (i > 0) e.before = entries[i - 1].link;
-    said.n = e.n;
+    said.number = e.n;
     const bool unchanged = i < written_from && tail_stamp_ != 0;
     e.link = unchanged ? tail_link_ : checked_at(level_) ? link_of(e.before, e.n, check_of(said, e.digest)) : 0;
   }
@@ -219,16 +220,16 @@
   if (tail_as_it_was) entries.erase(entries.begin());
   for (const auto& e : entries) {
     assert(e.n >= same_level_from_);
-    said.n = e.n;
-    said.before = e.before;
+    said.number = e.n;
+    said.previous_link = e.before;
     out.conditions.push_back({entry_key(e.slot.number), e.slot.stamp});
     out.puts.push_back({entry_key(e.slot.number), entry_value(said, e.records, e.digest), 0});
   }
   return out;
 }
 
-void Tail::shorten(Draft& out, std::uint64_t below, std::size_t puts, const Limits& limits) const {
-  const auto room = [&] { return out.removes.size() < kRemovesACommit && puts + out.removes.size() < limits.ops; };
+void Tail::shorten(PendingCommit& out, std::uint64_t below, std::size_t puts, const Limits& limits) const {
+  const auto room = [&] { return out.removes.size() < kRemovesACommit && puts + out.removes.size() < limits.max_changes; };
   const auto remove = [&](const LedgerSlot& slot) { out.removes.push_back(entry_key(slot.number)); };
   const bool reuses = slots_at(level_) && puts > 0;
   if (reuses) {
@@ -252,7 +253,7 @@
   for (; reuses && out.free.size() > kSpareSlots && room(); out.free.pop_back()) remove(out.free.back());
 }
 
-void Tail::written(const Draft& draft, std::uint64_t stamp) {
+void Tail::record_committed(const PendingCommit& draft, std::uint64_t stamp) {
   first_ = draft.first;
   free_ = draft.free;
   kept_.erase(kept_.begin(), kept_.lower_bound(first_));
@@ -267,7 +268,7 @@
     next_ = last.n + 1;
     for (const auto& e : draft.entries) kept_[e.n] = {e.slot.number, stamp};
   }
-  rewriter_.written(draft.rewrites, draft.rewritten_in);
+  rewriter_.record_rewritten(draft.rewrites, draft.rewritten_in);
 }
 
 }  // namespace thistle
--- a/src/ledger/tail.hpp
+++ b/src/ledger/tail.hpp
@@ -46,7 +46,7 @@
 class Tail {
  public:
   // What a reader found; entries of a level other than `level` are to be written anew.
-  struct Found {
+  struct Contents {
     std::uint64_t first = 0, next = 0, seq = 0;
     std::uint64_t same_level_from = 0;  // all entries from this one on are of the newest one's level
     std::uint32_t level = 0;            // of the newest; 0: there is none
@@ -57,22 +57,22 @@
     std::deque<LedgerSlot> free;               // of entries that are not needed any more
   };
   Tail() = default;
-  Tail(Found found, std::uint32_t level);
+  Tail(Contents found, std::uint32_t level);
 
   // Entries are written at this level from now on.
-  void write_at(std::uint32_t level);
+  void set_format_version(std::uint32_t level);
   [[nodiscard]] std::uint32_t level() const { return level_; }
   // Some entries are of another level than the one that is written.
-  [[nodiscard]] bool old_entries() const { return first_ < same_level_from_ || (!free_.empty() && !slots_at(level_)); }
+  [[nodiscard]] bool has_old_entries() const { return first_ < same_level_from_ || (!free_.empty() && !slots_at(level_)); }
   [[nodiscard]] std::uint64_t generation() const { return generation_; }
 
   struct Limits {
-    std::size_t value_bytes = 0;           // an entry stays below
-    std::size_t puts = 0;                  // entries in one transaction
-    std::size_t ops = 0;                   // puts and removes in one transaction
-    double longer = Rewriter::kLogFactor;  // entries kept for each that the book would take
+    std::size_t value_bytes = 0;                  // an entry stays below
+    std::size_t max_puts = 0;                     // entries in one transaction
+    std::size_t max_changes = 0;                  // puts and removes in one transaction
+    double length_factor = Rewriter::kLogFactor;  // entries kept for each that the book would take
   };
-  struct Draft {
+  struct PendingCommit {
     struct Entry {
       std::uint64_t n = 0;
       LedgerSlot slot;
@@ -84,8 +84,8 @@
     std::vector<Rewriter::Item> rewrites;
     std::vector<std::uint64_t> rewritten_in;
     std::vector<Pending> batch;
-    std::vector<std::uint64_t> batch_in;  // entries
-    std::vector<std::string> too_large;   // beginnings of records that fit into no entry
+    std::vector<std::uint64_t> batch_entries;  // entries
+    std::vector<std::string> too_large;        // beginnings of records that fit into no entry
     std::uint64_t seq = 0, first = 0;
     std::vector<Condition> conditions;  // of the entries; the leader's own comes on top
     std::vector<Put> puts;
@@ -95,19 +95,19 @@
   };
   // Whether a job's description, and this list, fit into an entry now and when they are written anew; `value_bytes` as in
   // Limits. What does not fit must not come into the ledger's queue.
-  [[nodiscard]] static bool takes(const AcceptRecord& accept, std::size_t value_bytes);
-  [[nodiscard]] static bool takes(const FlavorsRecord& flavors, std::size_t value_bytes);
+  [[nodiscard]] static bool fits_in_entry(const AcceptRecord& accept, std::size_t value_bytes);
+  [[nodiscard]] static bool fits_in_entry(const FlavorsRecord& flavors, std::size_t value_bytes);
   // What goes next: some of what is to be written anew, then as much of the queue as fits, which is taken off
   // it. No puts: there is nothing to write.
-  Draft draft(const Book& book, std::deque<Pending>& queue, const Limits& limits) const;
+  PendingCommit prepare_commit(const Book& book, std::deque<Pending>& queue, const Limits& limits) const;
   // It is in the ledger; `stamp` is its revision. The batch's records are still to be applied to the book.
-  void written(const Draft& draft, std::uint64_t stamp);
+  void record_committed(const PendingCommit& prepare_commit, std::uint64_t stamp);
   // A record of the batch made a job known, or is a fact.
-  void begins(std::uint64_t entry, JobIdx job) { rewriter_.begins(entry, job); }
+  void record_first_entry(std::uint64_t entry, JobIdx job) { rewriter_.record_first_entry(entry, job); }
 
  private:
   // Which of the oldest entries go, and where the new ones stand; `puts`: entries that are written.
-  void shorten(Draft& out, std::uint64_t below, std::size_t puts, const Limits& limits) const;
+  void shorten(PendingCommit& out, std::uint64_t below, std::size_t puts, const Limits& limits) const;
 
   std::uint32_t level_ = 1;
   std::uint64_t generation_ = 0;
--- a/src/ledger/write_budget.hpp
+++ b/src/ledger/write_budget.hpp
@@ -18,7 +18,7 @@
     return std::clamp(kLeastLog * kAmple / (rate_ * static_cast<double>(entry_bytes)), kLeastLog, kMostLog);
   }
   // Seconds until a write may be made; 0: now. `now`: steady seconds.
-  double wait(double now, bool for_users) {
+  double delay_s(double now, bool for_users) {
     tokens_ = std::min(burst_, tokens_ + (now - at_) * rate_);
     at_ = now;
     const double enough = for_users ? 1 : std::max(1.0, burst_ * kUsersShare);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -52,12 +52,12 @@
       ->envname("THISTLEFRONT_STATE_LEVEL_SOAK")
       ->check(CLI::Range(0.0, 604800.0))
       ->capture_default_str();
-  app.add_option("--rent", tuning.rent, "rent machines for work that can't be served in time")
+  app.add_option("--rent", tuning.scale_out, "rent machines for work that can't be served in time")
       ->envname("THISTLEFRONT_RENT")
       ->capture_default_str();
   const std::map<std::string, thistle::IntakeMode> intake_modes{
       {"off", thistle::IntakeMode::off}, {"on", thistle::IntakeMode::on}, {"auto", thistle::IntakeMode::automatic}};
-  app.add_option("--intake", tuning.intake,
+  app.add_option("--intake", tuning.relay_mode,
                  "workers stay with any controller, which passes their reports to the leader in batches: on, off or auto")
       ->envname("THISTLEFRONT_INTAKE")
       ->transform(CLI::CheckedTransformer(intake_modes))
--- a/src/planning/floor.cpp
+++ b/src/planning/floor.cpp
@@ -9,34 +9,34 @@
 constexpr double kSavings = 20.0;  // seconds' worth of it at most
 }  // namespace
 
-void Floor::earn(double rate, double now) {
+void Floor::accrue(double rate, double now) {
   const double since = at_ < 0 ? 0 : std::min(now - at_, kSavings);
   at_ = now;
-  earned_ = std::min(earned_ + kShare * rate * since, std::max(kShare * rate * kSavings, earned_));
+  balance_ = std::min(balance_ + kShare * rate * since, std::max(kShare * rate * kSavings, balance_));
 }
 
-std::vector<Floor::Raised> Floor::raise(std::vector<Starving> starving) const {
-  std::stable_sort(starving.begin(), starving.end(), [](const Starving& a, const Starving& b) { return a.waited_s > b.waited_s; });
-  std::vector<Raised> out;
-  double left = earned_;
+std::vector<Floor::Promotion> Floor::promote(std::vector<StarvingJob> starving) const {
+  std::stable_sort(starving.begin(), starving.end(), [](const StarvingJob& a, const StarvingJob& b) { return a.waited_s > b.waited_s; });
+  std::vector<Promotion> out;
+  double left = balance_;
   for (const auto& s : starving) {
     if (left <= 0) break;
     const double cores = std::max(s.unit_cores, 1e-3);
     const auto whole = static_cast<std::uint32_t>(std::min(left / cores, static_cast<double>(s.units)));
     const auto units = std::max<std::uint32_t>(whole, 1);
-    out.push_back({s.at, units});
+    out.push_back({s.position, units});
     left -= units * cores;
   }
   return out;
 }
 
-void Floor::started(JobIdx job, double cores) {
-  earned_ -= cores;
-  spared_.insert(job);
+void Floor::charge(JobIdx job, double cores) {
+  balance_ -= cores;
+  protected_jobs_.insert(job);
 }
 
-void Floor::keep_spared(const Book& book) {
-  std::erase_if(spared_, [&](JobIdx j) { return book.job(j).ended() || book.job(j).placed.empty(); });
+void Floor::prune_protected(const Book& book) {
+  std::erase_if(protected_jobs_, [&](JobIdx j) { return book.job(j).ended() || book.job(j).placed.empty(); });
 }
 
 }  // namespace thistle
--- a/src/planning/floor.hpp
+++ b/src/planning/floor.hpp
@@ -14,32 +14,32 @@
 
 class Floor {
  public:
-  struct Starving {
-    std::size_t at = 0;  // the caller's position of it
+  struct StarvingJob {
+    std::size_t position = 0;  // the caller's position of it
     JobIdx job;
     double waited_s = 0;
     double unit_cores = 0;
     std::uint32_t units = 0;
   };
-  struct Raised {
-    std::size_t at = 0;
+  struct Promotion {
+    std::size_t position = 0;
     std::uint32_t units = 0;
-    friend bool operator==(const Raised&, const Raised&) = default;
+    friend bool operator==(const Promotion&, const Promotion&) = default;
   };
   // `rate`: cores that come free in a second, lately.
-  void earn(double rate, double now);
+  void accrue(double rate, double now);
   // Which go first in this pass, and how many units of each: the longest wait first, as far as what was earned lasts. One
   // unit is never too large: what it takes beyond is owed, and earned before the next one.
-  [[nodiscard]] std::vector<Raised> raise(std::vector<Starving> starving) const;
+  [[nodiscard]] std::vector<Promotion> promote(std::vector<StarvingJob> starving) const;
   // Units of a raised job were started.
-  void started(JobIdx job, double cores);
+  void charge(JobIdx job, double cores);
   // Jobs that run by it are spared while anything of them runs; the others are forgotten.
-  void keep_spared(const Book& book);
-  [[nodiscard]] const std::set<JobIdx>& spared() const { return spared_; }
+  void prune_protected(const Book& book);
+  [[nodiscard]] const std::set<JobIdx>& protected_jobs() const { return protected_jobs_; }
 
  private:
-  double earned_ = 0, at_ = -1;  // cores
-  std::set<JobIdx> spared_;
+  double balance_ = 0, at_ = -1;  // cores
+  std::set<JobIdx> protected_jobs_;
 };
 
 // So long a job of which nothing runs has waited when the floor is for it: seconds.
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -32,18 +32,18 @@
 }
 
 Profile::Profile(const PlanHost& host, double now, double overrun_s) : until_(host.usable_until) {
-  Resources free = host.room;
+  Resources free = host.capacity;
   std::vector<PlanHost::Occupant> ends = host.occupants;
   for (auto& o : ends) {
     if (o.until <= now) o.until = now + overrun_s;
-    free -= o.need;
+    free -= o.demand;
   }
   std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.until < b.until; });
   steps_.reserve(ends.size() + kSpareSteps);
   steps_.push_back({now, free});
   for (const auto& o : ends) {
     if (o.until == kForever) break;
-    free += o.need;
+    free += o.demand;
     if (o.until <= steps_.back().at) {
       steps_.back().free = free;
     } else {
@@ -97,7 +97,7 @@
 }
 
 bool borrows(const PlanJob& job, const PlanHost& host) {
-  if (job.need.accelerators > 0) return false;
+  if (job.demand.accelerators > 0) return false;
   return host.lending == PlanHost::Lending::kept || (host.lending == PlanHost::Lending::not_to_services && job.service);
 }
 
@@ -119,10 +119,12 @@
 bool may_run_on(const PlanJob& job, const PlanHost& host) {
   if (host.loaner && !job.loaners) return false;
   if (job.yard.valid() && host.zone != job.yard) return false;
-  if (!job.kinds.empty() && std::find(job.kinds.begin(), job.kinds.end(), host.kind) == job.kinds.end()) return false;
-  if (std::find(job.avoid.begin(), job.avoid.end(), host.host) != job.avoid.end()) return false;
-  if (borrows(job, host) && !job.need.fits(host.lent)) return false;
-  return job.need.fits(host.room);
+  if (!job.machine_types.empty() &&
+      std::find(job.machine_types.begin(), job.machine_types.end(), host.machine_type) == job.machine_types.end())
+    return false;
+  if (std::find(job.avoided_nodes.begin(), job.avoided_nodes.end(), host.host) != job.avoided_nodes.end()) return false;
+  if (borrows(job, host) && !job.demand.fits(host.lent)) return false;
+  return job.demand.fits(host.capacity);
 }
 
 namespace {
@@ -164,22 +166,22 @@
   }
   double duration(const PlanJob& job, std::size_t h) {
     // A claim of 0 s still takes room.
-    return job.service ? kForever : std::max(kShortestRun, pull(job, h) + job.run_s);
+    return job.service ? kForever : std::max(kShortestRun, pull(job, h) + job.estimated_run_s);
   }
   // Units that the team's limit lets start now, and units that it lets hold a later slot. What is only held does not
   // count against starts: a long queue of one job must not keep the team's next one from starting.
   [[nodiscard]] std::uint32_t startable(const PlanJob& job) const {
-    return job.team.valid() ? whole_units(job.need, teams_[job.team.v].left) : UINT32_MAX;
+    return job.team.valid() ? whole_units(job.demand, teams_[job.team.v].remaining) : UINT32_MAX;
   }
   [[nodiscard]] std::uint32_t holdable(const PlanJob& job) const {
-    return job.team.valid() ? whole_units(job.need, teams_[job.team.v].left - held_[job.team.v]) : UINT32_MAX;
+    return job.team.valid() ? whole_units(job.demand, teams_[job.team.v].remaining - held_[job.team.v]) : UINT32_MAX;
   }
   void charge(const PlanJob& job, std::uint32_t units, bool now) {
     if (!job.team.valid()) return;
     if (now) {
-      teams_[job.team.v].left -= job.need * units;
+      teams_[job.team.v].remaining -= job.demand * units;
     } else {
-      held_[job.team.v] += job.need * units;
+      held_[job.team.v] += job.demand * units;
     }
   }
   static std::uint32_t& at(std::vector<std::uint32_t>& counts, std::size_t i) {
@@ -192,25 +194,25 @@
     const PlanHost& host = in_.hosts[h];
     double c = pull(job, h);
     // Machines with accelerators are left to the work that needs them while there is room elsewhere.
-    if (job.need.accelerators == 0 && host.room.accelerators > 0) c += 1000;
+    if (job.demand.accelerators == 0 && host.capacity.accelerators > 0) c += 1000;
     // Spot machines take what may run there, and leave the others to the work that may not.
     if (job.loaners && host.loaner) c -= 2;
     if (job.service) {
       // Replicas of one job in different places, so that a lost machine or zone takes few of them.
-      c += 4.0 * at(job.host_used, h) + 2.0 * at(job.zone_used, host.zone.v);
+      c += 4.0 * at(job.tasks_by_node, h) + 2.0 * at(job.tasks_by_zone, host.zone.v);
     }
     // Among equals the fuller machine, so that whole machines stay free.
     const auto& free = profiles_[h].steps().front().free;
-    return c + (host.room.cores > 0 ? free.cores / host.room.cores : 0);
+    return c + (host.capacity.cores > 0 ? free.cores / host.capacity.cores : 0);
   }
 
   void record(PlanJob& job, std::size_t h, std::uint32_t units, double t) {
     const PlanHost& host = in_.hosts[h];
-    profiles_[h].take(job.need * units, t, duration(job, h));
-    if (borrows(job, host)) lent_[h] -= job.need * units;
-    at(job.zone_used, host.zone.v) += units;
-    at(job.host_used, h) += units;
-    (t <= in_.now ? plan_.starts : plan_.holds).push_back({job.job, host.host, units, t, pull(job, h)});
+    profiles_[h].take(job.demand * units, t, duration(job, h));
+    if (borrows(job, host)) lent_[h] -= job.demand * units;
+    at(job.tasks_by_zone, host.zone.v) += units;
+    at(job.tasks_by_node, h) += units;
+    (t <= in_.now ? plan_.starts : plan_.reservations).push_back({job.job, host.host, units, t, pull(job, h)});
   }
 
   void place_units(PlanJob& job) {
@@ -229,9 +231,9 @@
     std::priority_queue<Candidate> queue;
     const auto offer = [&](std::size_t h, double from) {
       // With no later slot left to give, only room that is free now matters.
-      if (holds_full() && !job.need.fits(profiles_[h].steps().front().free)) return;
-      ++plan_.looks;
-      const double t = profiles_[h].earliest(job.need, duration(job, h), from);
+      if (holds_full() && !job.demand.fits(profiles_[h].steps().front().free)) return;
+      ++plan_.examined_nodes;
+      const double t = profiles_[h].earliest(job.demand, duration(job, h), from);
       if (t < kForever) queue.push({t, job.service ? t + pull(job, h) : t, cost(job, h), h});
     };
     for (std::size_t h = 0; h < in_.hosts.size(); ++h)
@@ -247,13 +249,13 @@
         queue.push({c.t, c.serves, again, c.h});
         continue;
       }
-      const std::uint32_t used = at(job.zone_used, host.zone.v);
-      if (used >= job.zone_cap || !lends(job, c.h)) continue;
-      if (job.one_zone && elsewhere(job.zone_used, host.zone)) continue;
-      std::uint32_t n = std::min(left, job.zone_cap - used);
-      n = std::min(n, profiles_[c.h].fits(job.need, c.t, duration(job, c.h)));
+      const std::uint32_t used = at(job.tasks_by_zone, host.zone.v);
+      if (used >= job.max_tasks_per_zone || !lends(job, c.h)) continue;
+      if (job.one_zone && elsewhere(job.tasks_by_zone, host.zone)) continue;
+      std::uint32_t n = std::min(left, job.max_tasks_per_zone - used);
+      n = std::min(n, profiles_[c.h].fits(job.demand, c.t, duration(job, c.h)));
       if (job.service) n = std::min(n, 1u);
-      if (borrows(job, host)) n = std::min(n, whole_units(job.need, lent_[c.h]));
+      if (borrows(job, host)) n = std::min(n, whole_units(job.demand, lent_[c.h]));
       const bool now = c.t <= in_.now;
       n = std::min(n, now ? startable(job) : holdable(job));
       if (n == 0) continue;
@@ -283,7 +285,7 @@
       for (auto h : all) zones = std::max<std::size_t>(zones, in_.hosts[h].zone.v + 1);
       sets.resize(zones);
       for (auto h : all)
-        if (!elsewhere(job.zone_used, in_.hosts[h].zone)) sets[in_.hosts[h].zone.v].push_back(h);
+        if (!elsewhere(job.tasks_by_zone, in_.hosts[h].zone)) sets[in_.hosts[h].zone.v].push_back(h);
     } else {
       sets.push_back(all);
     }
@@ -296,9 +298,9 @@
       // Before all of its units have a machine that takes one at all, a gang need not be tried.
       std::vector<std::pair<double, std::uint32_t>> first;
       for (auto h : hosts) {
-        ++plan_.looks;
-        const double t = profiles_[h].earliest(job.need, longest, in_.now);
-        if (t < kForever) first.emplace_back(t, whole_units(job.need, in_.hosts[h].room));
+        ++plan_.examined_nodes;
+        const double t = profiles_[h].earliest(job.demand, longest, in_.now);
+        if (t < kForever) first.emplace_back(t, whole_units(job.demand, in_.hosts[h].capacity));
       }
       std::sort(first.begin(), first.end());
       double from = kForever;
@@ -355,13 +357,13 @@
   std::vector<std::pair<std::size_t, std::uint32_t>> fit_at(PlanJob& job, const std::vector<std::pair<double, std::size_t>>& ordered,
                                                             double t, double longest) {
     std::vector<std::pair<std::size_t, std::uint32_t>> out;
-    auto zones = job.zone_used;
+    auto zones = job.tasks_by_zone;
     std::uint32_t left = job.units;
     for (auto [c, h] : ordered) {
       auto& used = at(zones, in_.hosts[h].zone.v);
-      if (used >= job.zone_cap) continue;
-      ++plan_.looks;
-      const auto n = std::min({left, profiles_[h].fits(job.need, t, longest), job.zone_cap - used});
+      if (used >= job.max_tasks_per_zone) continue;
+      ++plan_.examined_nodes;
+      const auto n = std::min({left, profiles_[h].fits(job.demand, t, longest), job.max_tasks_per_zone - used});
       if (n == 0) continue;
       used += n;
       left -= n;
@@ -381,24 +383,25 @@
     auto operator<=>(const Kin&) const = default;
   };
   static bool plain(const PlanJob& job) {
-    return !job.service && job.avoid.empty() && job.zone_cap == UINT32_MAX && !job.one_zone && job.need.accelerators == 0;
+    return !job.service && job.avoided_nodes.empty() && job.max_tasks_per_zone == UINT32_MAX && !job.one_zone &&
+           job.demand.accelerators == 0;
   }
   bool hopeless(const PlanJob& job) const {
     if (!plain(job)) return false;
-    const auto it = hopeless_.find({job.kinds, job.yard, job.loaners});
+    const auto it = hopeless_.find({job.machine_types, job.yard, job.loaners});
     if (it == hopeless_.end()) return false;
     return std::any_of(it->second.begin(), it->second.end(),
-                       [&](const Resources& r) { return job.need.cores >= r.cores && job.need.ram_gb >= r.ram_gb; });
+                       [&](const Resources& r) { return job.demand.cores >= r.cores && job.demand.ram_gb >= r.ram_gb; });
   }
   void note_hopeless(const PlanJob& job) {
     if (!plain(job) || startable(job) == 0) return;
-    auto& needs = hopeless_[{job.kinds, job.yard, job.loaners}];
-    std::erase_if(needs, [&](const Resources& r) { return r.cores >= job.need.cores && r.ram_gb >= job.need.ram_gb; });
-    needs.push_back(job.need);
+    auto& needs = hopeless_[{job.machine_types, job.yard, job.loaners}];
+    std::erase_if(needs, [&](const Resources& r) { return r.cores >= job.demand.cores && r.ram_gb >= job.demand.ram_gb; });
+    needs.push_back(job.demand);
   }
 
-  [[nodiscard]] bool holds_full() const { return plan_.holds.size() >= in_.most_holds; }
-  [[nodiscard]] bool lends(const PlanJob& job, std::size_t h) const { return !borrows(job, in_.hosts[h]) || job.need.fits(lent_[h]); }
+  [[nodiscard]] bool holds_full() const { return plan_.reservations.size() >= in_.most_holds; }
+  [[nodiscard]] bool lends(const PlanJob& job, std::size_t h) const { return !borrows(job, in_.hosts[h]) || job.demand.fits(lent_[h]); }
 
   const PlanInput& in_;
   std::vector<Profile> profiles_;
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -12,14 +12,14 @@
 
 struct PlanHost {
   HostIdx host;
-  KindIdx kind;
+  KindIdx machine_type;
   ZoneIdx zone;
   bool loaner = false;
-  Resources room;  // of the whole machine
+  Resources capacity;  // of the whole machine
   double fetch_gb_per_s = 0;
   double usable_until = kForever;
   struct Occupant {
-    Resources need;
+    Resources demand;
     double until = 0;
   };
   std::vector<Occupant> occupants;
@@ -36,28 +36,28 @@
   std::uint32_t units = 0;
   bool gang = false;     // all units at once or none
   bool service = false;  // runs until cancelled
-  Resources need;
-  double run_s = 0;
+  Resources demand;
+  double estimated_run_s = 0;
   double pull_gb = 0;
   ImageIdx image;
   TeamIdx team;
   int tier = 0;  // higher goes first, ahead of the key
   double key = 0;
-  std::vector<KindIdx> kinds;  // empty: any
-  ZoneIdx yard;                // not valid: any
+  std::vector<KindIdx> machine_types;  // empty: any
+  ZoneIdx yard;                        // not valid: any
   bool one_zone = false;
   bool loaners = false;
-  std::uint32_t zone_cap = UINT32_MAX;   // most of its tasks in a zone
-  std::vector<std::uint32_t> zone_used;  // by zone: its tasks that may be there
-  std::vector<std::uint32_t> host_used;  // by position in PlanInput::hosts; empty: none
-  std::vector<HostIdx> avoid;            // hosts it failed on
-  bool suspect = false;                  // fails wherever it runs: it makes no room and rents nothing
-  double run_within_s = 0;               // services: what is left of the aim for their wait; 0: none, or past
-  double patience_s = 2;                 // a slot held no later than this is waited for; for later ones work is stopped
+  std::uint32_t max_tasks_per_zone = UINT32_MAX;  // most of its tasks in a zone
+  std::vector<std::uint32_t> tasks_by_zone;       // by zone: its tasks that may be there
+  std::vector<std::uint32_t> tasks_by_node;       // by position in PlanInput::hosts; empty: none
+  std::vector<HostIdx> avoided_nodes;             // hosts it failed on
+  bool suspect = false;                           // fails wherever it runs: it makes no room and rents nothing
+  double run_within_s = 0;                        // services: what is left of the aim for their wait; 0: none, or past
+  double patience_s = 2;                          // a slot held no later than this is waited for; for later ones work is stopped
 };
 
 struct TeamRoom {
-  Resources left;  // until its limit; kForever where there is none
+  Resources remaining;  // until its limit; kForever where there is none
 };
 
 struct PlanInput {
@@ -79,15 +79,15 @@
 };
 
 struct Plan {
-  std::vector<Slot> starts;  // now
-  std::vector<Slot> holds;   // room held for later slots
-  struct Unserved {          // units with no slot now, for renting
+  std::vector<Slot> starts;        // now
+  std::vector<Slot> reservations;  // room held for later slots
+  struct Unserved {                // units with no slot now, for renting
     JobIdx job;
     std::uint32_t units = 0;
     std::uint32_t late = 0;  // of them, those without a slot before the horizon
   };
   std::vector<Unserved> unserved;
-  std::size_t looks = 0;  // machines looked at for a slot: what the pass costs
+  std::size_t examined_nodes = 0;  // machines looked at for a slot: what the pass costs
 };
 
 // Whether the job's tasks may run there at all, whatever room is free now.
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -29,20 +29,20 @@
   if (job.spec.shape == Shape::service) return kServiceLoss;
   double ran = p.running_at > 0 ? std::max(0.0, wall - p.running_at) : 0;
   if (job.spec.snapshot_every_s > 0) ran = std::min(ran, job.spec.snapshot_s);
-  return (ran + (wall - p.at < kFreshStart && starts_count.contains(job.spec.job_class) ? kFreshStart : 0)) *
-         std::max(job.spec.need.cores, 0.1);
+  return (ran + (wall - p.decided_at < kFreshStart && starts_count.contains(job.spec.job_class) ? kFreshStart : 0)) *
+         std::max(job.spec.demand.cores, 0.1);
 }
 
 class Chooser {
  public:
   explicit Chooser(const PreemptionInput& in) : in_(in), book_(in.book) {
     for (const auto& h : in.plan_input.hosts) {
-      Resources free = h.room;
-      for (const auto& o : h.occupants) free -= o.need;
+      Resources free = h.capacity;
+      for (const auto& o : h.occupants) free -= o.demand;
       free_[h.host] = free;
     }
     for (const auto& s : in.plan.starts)
-      if (auto it = free_.find(s.host); it != free_.end()) it->second -= book_.job(s.job).spec.need * s.count;
+      if (auto it = free_.find(s.host); it != free_.end()) it->second -= book_.job(s.job).spec.demand * s.count;
     for (const auto& t : book_.teams()) excess_.push_back(t.used - t.guarantee);
   }
 
@@ -59,12 +59,12 @@
       const auto& u = unserved[job->job];
       // Its units that have no slot soon enough. Work ends all the time: what is only waited for a moment costs none.
       std::uint32_t wanted = u.units;
-      for (const auto& s : in_.plan.holds)
+      for (const auto& s : in_.plan.reservations)
         if (s.job == job->job && s.at - in_.wall <= job->patience_s) wanted -= std::min(wanted, s.count);
       // A gang of several tasks needs all its room at once; its held slot is waited for.
       wanted -= std::min(wanted, by_itself(*job, wanted));
       if (wanted == 0 || (job->gang && u.units > 1)) continue;
-      zones_ = job->zone_used;
+      zones_ = job->tasks_by_zone;
       for (const auto& s : in_.plan.starts)
         if (s.job == job->job) zone_count(book_.host(s.host).zone) += s.count;
       units += make_room(*job, std::min<std::size_t>(wanted, kMostUnits - units));
@@ -85,7 +85,7 @@
   [[nodiscard]] bool may_stop(const PlanJob& claim, JobIdx v) const {
     const Job& victim = book_.job(v);
     const Job& job = book_.job(claim.job);
-    if (victim.urgency.rank < job.urgency.rank && (job.spec.shape == Shape::service || !in_.spared.contains(v))) return true;
+    if (victim.urgency.rank < job.urgency.rank && (job.spec.shape == Shape::service || !in_.protected_jobs.contains(v))) return true;
     if (victim.urgency.rank > job.urgency.rank || victim.team == job.team || !victim.team.valid()) return false;
     if (!in_.within_guarantee.contains(claim.job)) return false;
     // A job that lies within its own team's guarantee is no more beyond it because the team runs other work too:
@@ -94,14 +94,14 @@
     // Only what the other team has beyond its own guarantee, and only where that is what is wanted.
     const auto& team = book_.teams()[victim.team.v];
     const auto& excess = excess_[victim.team.v];
-    const bool cores = team.guarantee.cores > 0 && excess.cores >= victim.spec.need.cores;
+    const bool cores = team.guarantee.cores > 0 && excess.cores >= victim.spec.demand.cores;
     const bool accelerators =
-        team.guarantee.accelerators > 0 && victim.spec.need.accelerators > 0 && excess.accelerators >= victim.spec.need.accelerators;
+        team.guarantee.accelerators > 0 && victim.spec.demand.accelerators > 0 && excess.accelerators >= victim.spec.demand.accelerators;
     return cores || accelerators;
   }
 
   bool allowed(const PlanJob& job, const PlanHost& host) {
-    if (!may_run_on(job, host) || zone_count(host.zone) >= job.zone_cap) return false;
+    if (!may_run_on(job, host) || zone_count(host.zone) >= job.max_tasks_per_zone) return false;
     return !job.one_zone || !elsewhere(zones_, host.zone);
   }
 
@@ -115,21 +115,21 @@
     if (!allowed(job, host)) return {};
     Resources free = free_[host.host];
     std::vector<Candidate> candidates;
-    if (!job.need.fits(free)) candidates = candidates_on(job, host.host);
+    if (!job.demand.fits(free)) candidates = candidates_on(job, host.host);
     std::sort(candidates.begin(), candidates.end(), [](const auto& a, const auto& b) { return a.lost < b.lost; });
     Choice choice;
-    double lost = job.need.accelerators == 0 && host.room.accelerators > 0 ? 1 : 0;
-    if (job.service) lost += pull_on(job, host) * job.need.cores * kImageWorth;
+    double lost = job.demand.accelerators == 0 && host.capacity.accelerators > 0 ? 1 : 0;
+    if (job.service) lost += pull_on(job, host) * job.demand.cores * kImageWorth;
     for (auto& c : candidates) {
-      if (job.need.fits(free)) break;
+      if (job.demand.fits(free)) break;
       free += c.here;
       lost += c.lost;
       choice.set.push_back(std::move(c));
     }
-    if (!job.need.fits(free)) return {};
+    if (!job.demand.fits(free)) return {};
     // What the others freed already may make some of them unnecessary; the dearest are given back first.
     for (auto it = choice.set.rbegin(); it != choice.set.rend();) {
-      if (job.need.fits(free - it->here)) {
+      if (job.demand.fits(free - it->here)) {
         free -= it->here;
         lost -= it->lost;
         it = decltype(it)(choice.set.erase(std::next(it).base()));
@@ -144,10 +144,10 @@
   // Units for which room comes in time without anybody's being stopped, as it came lately: a profile knows ends by estimates
   // only, and for each of its tasks a job of 70 stopped another's, a seventh of all work (kaubaalus fleet, calm).
   std::uint32_t by_itself(const PlanJob& job, std::uint32_t wanted) {
-    if (job.service || job.need.accelerators > 0 || job.need.cores <= 0) return 0;
+    if (job.service || job.demand.accelerators > 0 || job.demand.cores <= 0) return 0;
     const double in_time = kOfTurnover * in_.turnover * std::max(0.0, job.patience_s - kStopTime) - awaited_;
-    const auto units = std::min<std::uint32_t>(wanted, static_cast<std::uint32_t>(std::max(0.0, in_time) / job.need.cores));
-    awaited_ += units * job.need.cores;
+    const auto units = std::min<std::uint32_t>(wanted, static_cast<std::uint32_t>(std::max(0.0, in_time) / job.demand.cores));
+    awaited_ += units * job.demand.cores;
     return units;
   }
 
@@ -164,9 +164,9 @@
   // work is lost for that (lienzo and kaubaalus grown, steady: one in seven waited for its image).
   std::size_t move_to_image(const PlanJob& job, std::size_t most) {
     std::size_t made = 0;
-    zones_ = job.zone_used;
+    zones_ = job.tasks_by_zone;
     std::vector<const Slot*> late;
-    for (const auto* slots : {&in_.plan.starts, &in_.plan.holds}) {
+    for (const auto* slots : {&in_.plan.starts, &in_.plan.reservations}) {
       for (const auto& s : *slots) {
         if (s.job != job.job) continue;
         zone_count(book_.host(s.host).zone) += s.count;
@@ -177,7 +177,7 @@
       if (made >= most) break;
       auto& there = zone_count(book_.host(s->host).zone);
       --there;
-      const double gain = (s->at - in_.wall + s->pull_s) * job.need.cores * kImageWorth;
+      const double gain = (s->at - in_.wall + s->pull_s) * job.demand.cores * kImageWorth;
       if (make_room(job, 1, gain, true) == 0) {
         ++there;
         continue;
@@ -185,7 +185,7 @@
       ++made;
       if (s->at > in_.wall) continue;
       out_.waived.push_back(*s);
-      if (auto it = free_.find(s->host); it != free_.end()) it->second += job.need;
+      if (auto it = free_.find(s->host); it != free_.end()) it->second += job.demand;
     }
     return made;
   }
@@ -224,7 +224,7 @@
         continue;
       }
       stop(choice.set);
-      free_[hosts[i].host] -= job.need;
+      free_[hosts[i].host] -= job.demand;
       ++zone_count(hosts[i].zone);
       ++made;
       queue.emplace(choice.lost, i);
@@ -239,8 +239,8 @@
         taken_.insert(ref);
         out_.victims.push_back({ref, victim.spec.snapshot_every_s > 0 ? victim.spec.snapshot_s : 0});
         const auto& p = victim.placed.at(ref.task);
-        if (auto it = free_.find(p.host); it != free_.end()) it->second += victim.spec.need;
-        if (victim.team.valid()) excess_[victim.team.v] -= victim.spec.need;
+        if (auto it = free_.find(p.host); it != free_.end()) it->second += victim.spec.demand;
+        if (victim.team.valid()) excess_[victim.team.v] -= victim.spec.demand;
       }
     }
   }
@@ -251,20 +251,20 @@
     for (const auto& ref : book_.host(h).placed) {
       const Job& victim = book_.job(ref.job);
       if (taken_.contains(ref) || !may_stop(job, ref.job)) continue;
-      const Placement& at = *ref.at;
-      if (at.stopping || at.closing) continue;
+      const Placement& at = *ref.placement;
+      if (at.stopping || at.end_pending) continue;
       Candidate c;
       c.job = ref.job;
       if (victim.spec.shape == Shape::group) {
         if (!gangs.insert(ref.job).second) continue;
         for (const auto& [task, p] : victim.placed) {
           c.refs.push_back({ref.job, task});
-          if (p.host == h) c.here += victim.spec.need;
+          if (p.host == h) c.here += victim.spec.demand;
           c.lost += lost_by(victim, p, in_.wall, in_.starts_count);
         }
       } else {
         c.refs.push_back(ref);
-        c.here = victim.spec.need;
+        c.here = victim.spec.demand;
         c.lost = lost_by(victim, at, in_.wall, in_.starts_count);
       }
       out.push_back(std::move(c));
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -19,9 +19,9 @@
   const Plan& plan;
   const std::set<JobIdx>& within_guarantee;
   double wall = 0;
-  double turnover = 0;                 // cores that come free in a second by themselves, lately, on machines without accelerators
-  std::set<std::string> starts_count;  // job classes with an aim for their wait
-  const std::set<JobIdx>& spared;      // run by the floor: not stopped for rank alone
+  double turnover = 0;                     // cores that come free in a second by themselves, lately, on machines without accelerators
+  std::set<std::string> starts_count;      // job classes with an aim for their wait
+  const std::set<JobIdx>& protected_jobs;  // run by the floor: not stopped for rank alone
 };
 
 // Never of equal or higher rank, except work that another team runs beyond its guarantee, of no higher rank, for
--- a/src/planning/renting.cpp
+++ b/src/planning/renting.cpp
@@ -15,8 +15,8 @@
 
 double held_for(const Host& host, double steady) {
   double held = 0;
-  if (host.listed_at > 0) held = host.held_s + (steady - host.listed_at);
-  if (host.rented_at > 0) held = std::max(held, steady - host.rented_at);
+  if (host.instance.listed_at > 0) held = host.instance.age_s + (steady - host.instance.listed_at);
+  if (host.instance.requested_at > 0) held = std::max(held, steady - host.instance.requested_at);
   return held;
 }
 
@@ -24,11 +24,11 @@
   // One that has work came, whatever a list that lags says, though this leader has not heard of it (found by new_machines_test: up within
   // a second and at work, they stood still as the next leader began, which took them for dead and released them).
   if (!host.placed.empty()) return Coming::no;
-  if (!host.listed || host.gone || host.reported || host.leaving || !flavor) return Coming::no;
-  if (host.status == Machine::Status::failed) return Coming::no;
+  if (!host.instance.listed || host.terminated || host.agent.has_reported || host.releasing || !flavor) return Coming::no;
+  if (host.instance.status == Machine::Status::failed) return Coming::no;
   // Listed as running it is up; its report is on the way, or the machine is cut off.
   const double usual = kUsualBoot * flavor->boot_s + kBootSlack;
-  if (host.status == Machine::Status::running) return steady - host.up_at < usual ? Coming::likely : Coming::no;
+  if (host.instance.status == Machine::Status::running) return steady - host.instance.running_since < usual ? Coming::likely : Coming::no;
   return held_for(host, steady) < usual ? Coming::likely : Coming::late;
 }
 
@@ -45,9 +45,9 @@
 };
 
 unsigned units_on(const Submission& s, const Flavor& f) {
-  double n = f.room.cores / std::max(s.need.cores, 0.01);
-  if (s.need.ram_gb > 0) n = std::min(n, f.room.ram_gb / s.need.ram_gb);
-  if (s.need.accelerators > 0) n = std::min(n, f.room.accelerators / s.need.accelerators);
+  double n = f.capacity.cores / std::max(s.demand.cores, 0.01);
+  if (s.demand.ram_gb > 0) n = std::min(n, f.capacity.ram_gb / s.demand.ram_gb);
+  if (s.demand.accelerators > 0) n = std::min(n, f.capacity.accelerators / s.demand.accelerators);
   return std::max(1u, static_cast<unsigned>(n + 1e-6));
 }
 
@@ -59,22 +59,23 @@
   std::map<Offer, unsigned> late_of;
   for (std::uint32_t i = 0; i < book.host_count(); ++i) {
     const Host& host = book.host(HostIdx{i});
-    const auto state = coming(host, book.flavor(host.kind), in.steady);
-    if (state == Coming::likely) ++likely[host.kind];
+    const auto state = coming(host, book.flavor(host.machine_type), in.steady);
+    if (state == Coming::likely) ++likely[host.machine_type];
     if (state != Coming::late) continue;
-    ++late[host.kind];
-    if (host.zone.valid()) ++late_of[{host.kind, book.zone_name(host.zone), host.loaner}];
+    ++late[host.machine_type];
+    if (host.zone.valid()) ++late_of[{host.machine_type, book.zone_name(host.zone), host.loaner}];
   }
   std::optional<Rental> out;
-  for (const auto& need : in.needs) {
+  for (const auto& need : in.unmet) {
     const Job& job = book.job(need.job);
     if (job.ended() || job.tasks.empty() || need.units == 0) continue;
     std::vector<Option> options;
     std::map<KindIdx, unsigned> kinds;  // that would serve it, and how many of its tasks fit on one
     for (const auto& f : book.flavors()) {
       const KindIdx k = book.kind_of(f.name);
-      if (!job.kinds.empty() && std::find(job.kinds.begin(), job.kinds.end(), k) == job.kinds.end()) continue;
-      if (!job.spec.need.fits(f.room)) continue;
+      if (!job.machine_types.empty() && std::find(job.machine_types.begin(), job.machine_types.end(), k) == job.machine_types.end())
+        continue;
+      if (!job.spec.demand.fits(f.capacity)) continue;
       kinds[k] = units_on(job.spec, f);
       for (const auto& y : f.yards) {
         if (!job.spec.yard.empty() && job.spec.yard != y) continue;
@@ -101,7 +102,7 @@
     // Machines of this kind on their way serve the first of what waits. Those of other kinds are not counted: more work
     // comes while they boot (kaubaalus ops, own day of bad boots: with them arveldus by deadline 0.34, without 0.70).
     const unsigned all = (need.units + best.units - 1) / best.units;
-    auto& on_the_way = likely[best.offer.kind];
+    auto& on_the_way = likely[best.offer.machine_type];
     const unsigned served = std::min(on_the_way, all);
     on_the_way -= served;
     // Late ones may come yet: only so many are replaced.
@@ -113,7 +114,7 @@
     // One request at a time, for all needs that are best served by the same offer as the first.
     if (!out) out = Rental{best.offer, 0, 0};
     if (out->offer != best.offer) continue;
-    out->count = std::min(out->count + wanted, in.most);
+    out->count = std::min(out->count + wanted, in.max_machines);
     out->late = std::max(out->late, late_here);
   }
   return out;
--- a/src/planning/renting.hpp
+++ b/src/planning/renting.hpp
@@ -13,7 +13,7 @@
 
 // What can be asked of the cloud: a kind in a zone, spot or not.
 struct Offer {
-  KindIdx kind;
+  KindIdx machine_type;
   std::string yard;
   bool loaner = false;
   auto operator<=>(const Offer&) const = default;
@@ -36,10 +36,10 @@
 };
 struct RentingInput {
   const Book& book;
-  std::vector<Need> needs;         // most urgent first
+  std::vector<Need> unmet;         // most urgent first
   const std::set<Offer>& refused;  // lately
   double steady = 0;
-  unsigned most = 50;  // machines in one request
+  unsigned max_machines = 50;  // machines in one request
 };
 struct Rental {
   Offer offer;
--- a/src/protocol/intake_messages.cpp
+++ b/src/protocol/intake_messages.cpp
@@ -51,7 +51,7 @@
 void write(Packer& out, const ReportedPiece& piece) {
   write(out, piece.id, piece.attempt);
   out.integer(static_cast<std::uint8_t>(piece.phase)).integer(static_cast<std::uint8_t>(piece.cause));
-  out.integer(static_cast<std::uint8_t>(piece.kept ? kKept : 0));
+  out.integer(static_cast<std::uint8_t>(piece.checkpointed ? kKept : 0));
 }
 ReportedPiece read_piece(Unpacker& in, bool& valid) {
   ReportedPiece piece;
@@ -60,7 +60,7 @@
   piece.attempt = key.attempt;
   piece.phase = read_enum(in, Phase::exited, valid);
   piece.cause = read_enum(in, Cause::lost, valid);
-  piece.kept = in.integer<std::uint8_t>() == kKept;
+  piece.checkpointed = in.integer<std::uint8_t>() == kKept;
   return piece;
 }
 
@@ -71,9 +71,9 @@
   out.integer(static_cast<std::uint8_t>(flags)).integer(to_millis(delta.recall_s.value_or(0)));
   if (delta.kind != ReportDelta::Kind::whole) out.integer(delta.base_serial);
   if (delta.kind == ReportDelta::Kind::unchanged) return;
-  if (delta.kind == ReportDelta::Kind::whole) out.text(delta.address).text(delta.host_kind).text(delta.yard);
-  out.integer(static_cast<std::uint32_t>(delta.pieces.size()));
-  for (const auto& piece : delta.pieces) write(out, piece);
+  if (delta.kind == ReportDelta::Kind::whole) out.text(delta.address).text(delta.machine_type).text(delta.yard);
+  out.integer(static_cast<std::uint32_t>(delta.tasks.size()));
+  for (const auto& piece : delta.tasks) write(out, piece);
   if (delta.kind == ReportDelta::Kind::whole) return;
   out.integer(static_cast<std::uint32_t>(delta.removed.size()));
   for (const auto& key : delta.removed) write(out, key.id, key.attempt);
@@ -95,25 +95,24 @@
   if (delta.kind == ReportDelta::Kind::unchanged) return delta;
   if (delta.kind == ReportDelta::Kind::whole) {
     delta.address = in.text();
-    delta.host_kind = in.text();
+    delta.machine_type = in.text();
     delta.yard = in.text();
-    if (delta.address.empty() || delta.host_kind.empty() || delta.yard.empty()) valid = false;
+    if (delta.address.empty() || delta.machine_type.empty() || delta.yard.empty()) valid = false;
   }
-  for (auto left = read_count(in, kMostInReport, valid); left > 0 && valid && in.ok(); --left)
-    delta.pieces.push_back(read_piece(in, valid));
+  for (auto left = read_count(in, kMostInReport, valid); left > 0 && valid && in.ok(); --left) delta.tasks.push_back(read_piece(in, valid));
   if (delta.kind == ReportDelta::Kind::whole) return delta;
   for (auto left = read_count(in, kMostInReport, valid); left > 0 && valid && in.ok(); --left) delta.removed.push_back(read_key(in));
   return delta;
 }
 
 void write(Packer& out, const Order& order) {
-  out.integer(static_cast<std::uint8_t>(order.verb));
+  out.integer(static_cast<std::uint8_t>(order.type));
   write(out, order.id, order.attempt);
   out.integer(to_millis(order.wind_down_s));
 }
 Order read_order(Unpacker& in, bool& valid) {
   Order order;
-  order.verb = read_enum(in, Verb::reap, valid);
+  order.type = read_enum(in, Verb::reap, valid);
   auto key = read_key(in);
   order.id = std::move(key.id);
   order.attempt = key.attempt;
@@ -131,15 +130,15 @@
 }  // namespace
 
 std::size_t packed_size(const ReportDelta& delta) {
-  std::size_t bytes = kDeltaBytes + delta.host.size() + delta.address.size() + delta.host_kind.size() + delta.yard.size();
-  for (const auto& piece : delta.pieces) bytes += kPieceBytes + piece.id.uid.size();
+  std::size_t bytes = kDeltaBytes + delta.host.size() + delta.address.size() + delta.machine_type.size() + delta.yard.size();
+  for (const auto& piece : delta.tasks) bytes += kPieceBytes + piece.id.uid.size();
   for (const auto& key : delta.removed) bytes += kPieceBytes + key.id.uid.size();
   return bytes + 4 * kTextBytes;
 }
 
 Frame pack(const IntakeBatch& batch) {
   Packer out;
-  out.integer(kVersion).text(batch.sender).integer(batch.takeover).integer(batch.workers);
+  out.integer(kVersion).text(batch.sender).integer(batch.takeover_epoch).integer(batch.worker_count);
   out.integer(static_cast<std::uint32_t>(batch.reports.size()));
   for (const auto& report : batch.reports) write(out, report);
   return frame_of(PeerKind::intake_batch, out);
@@ -147,7 +146,7 @@
 
 Frame pack(const IntakeAnswer& answer) {
   Packer out;
-  out.integer(kVersion).integer(answer.takeover).integer(answer.epoch).integer(answer.send_away).text(answer.send_to);
+  out.integer(kVersion).integer(answer.takeover_epoch).integer(answer.epoch).integer(answer.redirect_count).text(answer.redirect_target);
   out.integer(static_cast<std::uint32_t>(answer.answers.size()));
   for (const auto& worker : answer.answers) {
     out.integer(static_cast<std::uint8_t>(worker.outcome)).integer(static_cast<std::uint32_t>(worker.orders.size()));
@@ -162,8 +161,8 @@
   bool valid = true;
   IntakeBatch batch;
   batch.sender = in.text();
-  batch.takeover = in.integer<std::uint64_t>();
-  batch.workers = in.integer<std::uint32_t>();
+  batch.takeover_epoch = in.integer<std::uint64_t>();
+  batch.worker_count = in.integer<std::uint32_t>();
   for (auto left = read_count(in, kMostInBatch, valid); left > 0 && valid && in.ok(); --left)
     batch.reports.push_back(read_delta(in, valid));
   if (!valid || !in.done()) return std::nullopt;
@@ -175,13 +174,13 @@
   if (!begins_as(frame, PeerKind::intake_answer, in)) return std::nullopt;
   bool valid = true;
   IntakeAnswer answer;
-  answer.takeover = in.integer<std::uint64_t>();
+  answer.takeover_epoch = in.integer<std::uint64_t>();
   answer.epoch = in.integer<std::uint64_t>();
-  answer.send_away = in.integer<std::uint32_t>();
-  answer.send_to = in.text();
+  answer.redirect_count = in.integer<std::uint32_t>();
+  answer.redirect_target = in.text();
   for (auto left = read_count(in, kMostInBatch, valid); left > 0 && valid && in.ok(); --left) {
     WorkerAnswer worker;
-    worker.outcome = read_enum(in, WorkerAnswer::Outcome::not_now, valid, 1);
+    worker.outcome = read_enum(in, WorkerAnswer::Outcome::retry_later, valid, 1);
     for (auto orders = read_count(in, kMostInReport, valid); orders > 0 && valid && in.ok(); --orders)
       worker.orders.push_back(read_order(in, valid));
     answer.answers.push_back(std::move(worker));
--- a/src/protocol/intake_messages.hpp
+++ b/src/protocol/intake_messages.hpp
@@ -28,36 +28,36 @@
   std::string host;
   std::uint64_t tenure = 0, serial = 0, epoch = 0;
   std::optional<double> recall_s;
-  std::uint64_t base_serial = 0;         // not of a whole report
-  std::string address, host_kind, yard;  // of a whole report alone
+  std::uint64_t base_serial = 0;            // not of a whole report
+  std::string address, machine_type, yard;  // of a whole report alone
   bool loaner = false;
-  std::vector<ReportedPiece> pieces;  // all of them, or those that are new or have changed
-  std::vector<AttemptKey> removed;    // of a difference
+  std::vector<ReportedPiece> tasks;  // all of them, or those that are new or have changed
+  std::vector<AttemptKey> removed;   // of a difference
 };
 
 struct IntakeBatch {
-  std::string sender;          // label of the controller
-  std::uint64_t takeover = 0;  // epoch of the lead that it is meant for
-  std::uint32_t workers = 0;   // that the sender heard of lately
+  std::string sender;                // label of the controller
+  std::uint64_t takeover_epoch = 0;  // epoch of the lead that it is meant for
+  std::uint32_t worker_count = 0;    // that the sender heard of lately
   std::vector<ReportDelta> reports;
 };
 
 struct WorkerAnswer {
   enum class Outcome : std::uint8_t {
-    renewed = 1,   // the worker's lease is renewed; its orders go along
-    refused,       // the worker is to be told 421
-    whole_wanted,  // the leader does not have what the difference builds on
-    not_now,       // asked again soon: the leader is still reading the ledger
+    renewed = 1,    // the worker's lease is renewed; its orders go along
+    refused,        // the worker is to be told 421
+    full_required,  // the leader does not have what the difference builds on
+    retry_later,    // asked again soon: the leader is still reading the ledger
   };
   Outcome outcome = Outcome::refused;
   std::vector<Order> orders;
 };
 
 struct IntakeAnswer {
-  std::uint64_t takeover = 0, epoch = 0;  // of the lead that made it
-  std::uint32_t send_away = 0;            // workers that the sender is to send to `send_to`, where it has more than its share
-  std::string send_to;                    // label of a controller
-  std::vector<WorkerAnswer> answers;      // one for each report, in their order
+  std::uint64_t takeover_epoch = 0, epoch = 0;  // of the lead that made it
+  std::uint32_t redirect_count = 0;             // workers that the sender is to send to `send_to`, where it has more than its share
+  std::string redirect_target;                  // label of a controller
+  std::vector<WorkerAnswer> answers;            // one for each report, in their order
 };
 
 // Bytes that a delta takes in a batch, at most.
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -147,11 +147,11 @@
     first = false;
     // uids come from is_uid() or from the worker's own report by way of the JSON parser: digits and letters.
     out += "{\"verb\":\"";
-    out += spell(o.verb, kVerbs);
+    out += spell(o.type, kVerbs);
     out += "\",\"piece\":";
     out += json(o.id.uid + "/" + std::to_string(o.id.task)).dump();
     out += ",\"try\":" + std::to_string(o.attempt);
-    if (o.verb == Verb::kill) {
+    if (o.type == Verb::kill) {
       out += ",\"windDownS\":";
       append_number(out, o.wind_down_s);
     }
@@ -181,10 +181,10 @@
             {"owner", s.owner},
             {"shape", spell(s.shape, kShapes)},
             {"rank", spell(s.rank, kRanks)},
-            {"pieces", s.pieces},
-            {"cores", s.need.cores},
-            {"accelerators", s.need.accelerators},
-            {"ramGb", s.need.ram_gb},
+            {"pieces", s.task_count},
+            {"cores", s.demand.cores},
+            {"accelerators", s.demand.accelerators},
+            {"ramGb", s.demand.ram_gb},
             {"bundle", s.bundle},
             {"pullGb", s.pull_gb},
             {"expectedS", s.expected_s}};
@@ -210,8 +210,8 @@
   s.rank = word(need(j, "rank"), "rank", kRanks);
   const auto pieces = count(j, "pieces");
   if (pieces < 1 || pieces > 100000) bad("pieces", "not from 1 to 100000");
-  s.pieces = static_cast<std::uint32_t>(pieces);
-  s.need = {amount(j, "cores"), amount_or(j, "accelerators", 0), amount(j, "ramGb")};
+  s.task_count = static_cast<std::uint32_t>(pieces);
+  s.demand = {amount(j, "cores"), amount_or(j, "accelerators", 0), amount(j, "ramGb")};
   s.bundle = text(j, "bundle");
   s.pull_gb = amount(j, "pullGb");
   if (const json* kinds = member(j, "hostKinds")) {
@@ -239,16 +239,22 @@
 }
 
 json flavor_json(const Flavor& f) {
-  return {{"sku", f.name},          {"cores", f.room.cores},         {"accelerators", f.room.accelerators},
-          {"ramGb", f.room.ram_gb}, {"cacheGb", f.cache_gb},         {"fetchGbPerS", f.fetch_gb_per_s},
-          {"price", f.price},       {"marketPrice", f.market_price}, {"bootS", f.boot_s},
+  return {{"sku", f.name},
+          {"cores", f.capacity.cores},
+          {"accelerators", f.capacity.accelerators},
+          {"ramGb", f.capacity.ram_gb},
+          {"cacheGb", f.cache_gb},
+          {"fetchGbPerS", f.fetch_gb_per_s},
+          {"price", f.price},
+          {"marketPrice", f.market_price},
+          {"bootS", f.boot_s},
           {"yards", f.yards}};
 }
 Flavor flavor_from(const json& j) {
   if (!j.is_object()) bad("hostKinds", "not objects");
   Flavor f;
   f.name = text(j, "sku");
-  f.room = {amount(j, "cores"), amount_or(j, "accelerators", 0), amount(j, "ramGb")};
+  f.capacity = {amount(j, "cores"), amount_or(j, "accelerators", 0), amount(j, "ramGb")};
   f.cache_gb = amount_or(j, "cacheGb", 0);
   f.fetch_gb_per_s = amount_or(j, "fetchGbPerS", 0);
   f.price = amount_or(j, "price", 0);
@@ -350,13 +356,13 @@
       if (!has_.piece) bad("piece", "missing");
       if (!has_.attempt) bad("try", "missing");
       if (!has_.status) bad("status", "missing");
-      report.pieces.push_back(std::move(piece_));
+      report.tasks.push_back(std::move(piece_));
     }
     return true;
   }
   bool start_array(std::size_t) {
     if (depth_ == 1 && key_ == "pieces")
-      in_pieces_ = seen_pieces_ = true, report.pieces.clear();
+      in_pieces_ = seen_pieces_ = true, report.tasks.clear();
     else if (!take({.kind = Value::Kind::other}))
       return false;
     ++depth_;
@@ -378,7 +384,7 @@
     if (!object_) bad("body", "not an object");
     if (report.host.empty()) bad("host", "missing");
     if (report.address.empty()) bad("address", "missing");
-    if (report.kind.empty()) bad("hostKind", "missing");
+    if (report.machine_type.empty()) bad("hostKind", "missing");
     if (report.yard.empty()) bad("yard", "missing");
     if (!tenure_) bad("tenure", "missing");
     if (!serial_) bad("serial", "missing");
@@ -430,7 +436,7 @@
     else if (key_ == "address")
       report.address = as_text(v, "address");
     else if (key_ == "hostKind")
-      report.kind = as_text(v, "hostKind");
+      report.machine_type = as_text(v, "hostKind");
     else if (key_ == "yard")
       report.yard = as_text(v, "yard");
     else if (key_ == "loaners")
@@ -466,7 +472,7 @@
       const auto* cause = v.kind == Value::Kind::text ? find_word(*v.text, kCauses) : nullptr;
       piece_.cause = cause ? *cause : Cause::error;
     } else if (key_ == "kept") {
-      piece_.kept = as_flag(v, "kept");
+      piece_.checkpointed = as_flag(v, "kept");
     }
   }
 
@@ -485,7 +491,7 @@
 
 Report parse_report(std::string_view body) {
   ReportReader reader;
-  reader.report.pieces.reserve(body.size() / kPieceBytes);
+  reader.report.tasks.reserve(body.size() / kPieceBytes);
   const bool whole = json::sax_parse(body.begin(), body.end(), &reader);
   reader.check(whole);
   return std::move(reader.report);
@@ -528,7 +534,7 @@
     Machine machine;
     machine.name = text(m, "uid");
     if (const json* address = member(m, "address"); address && address->is_string()) machine.address = address->get<std::string>();
-    machine.kind = text(m, "hostKind");
+    machine.machine_type = text(m, "hostKind");
     machine.yard = text(m, "yard");
     machine.loaner = flag_or(m, "loaners", false);
     machine.status = word(need(m, "status"), "status", kMachineStatuses);
@@ -627,7 +633,7 @@
   const json j = parse_object(body);
   Rows out;
   out.truncated = flag_or(j, "truncated", false);
-  out.rev = count(j, "ledgerRev");
+  out.revision = count(j, "ledgerRev");
   for (const auto& r : list(j, "rows")) out.rows.push_back(row_from(r));
   return out;
 }
@@ -648,7 +654,7 @@
     json operator()(const AcceptRecord& r) const { return {"accept", accept(r)}; }
     json operator()(const StartRecord& r) const {
       json parts = json::array();
-      for (const auto& p : r.parts) parts.push_back({p.host, p.tenure, ranges_json(p.tasks)});
+      for (const auto& p : r.assignments) parts.push_back({p.host, p.tenure, ranges_json(p.tasks)});
       return {"start", r.uid, r.attempt, r.at, std::move(parts)};
     }
     json operator()(const DoneRecord& r) const {
@@ -713,7 +719,7 @@
 }
 std::uint64_t check_of(const EntryHead& head, std::uint64_t records_digest) {
   const auto check = digest_with(digest_with(records_digest, head.seq), head.generation);
-  return slots_at(head.level) ? digest_with(digest_with(check, head.n), head.first) : check;
+  return slots_at(head.level) ? digest_with(digest_with(check, head.number), head.first_needed) : check;
 }
 std::uint64_t link_of(std::uint64_t before, std::uint64_t n, std::uint64_t check) {
   return digest_with(digest_with(before, n), check);
@@ -723,9 +729,9 @@
   std::string out = "{";
   if (checked_at(head.level)) {
     out += "\"level\":" + std::to_string(head.level) + ",\"generation\":" + std::to_string(head.generation) + ",\"check\":\"" +
-           digest_text(check_of(head, records_digest)) + "\",\"before\":\"" + digest_text(head.before) + "\",";
-    if (slots_at(head.level)) out += "\"n\":" + std::to_string(head.n) + ",";
-    if (slots_at(head.level) || head.first > 0) out += "\"first\":" + std::to_string(head.first) + ",";
+           digest_text(check_of(head, records_digest)) + "\",\"before\":\"" + digest_text(head.previous_link) + "\",";
+    if (slots_at(head.level)) out += "\"n\":" + std::to_string(head.number) + ",";
+    if (slots_at(head.level) || head.first_needed > 0) out += "\"first\":" + std::to_string(head.first_needed) + ",";
   }
   out += "\"seq\":" + std::to_string(head.seq) + ",\"records\":[";
   out.append(records);
@@ -745,7 +751,8 @@
   if (kind == "accept") return accept_from(j.at(1));
   if (kind == "start") {
     StartRecord r{j.at(1).get<std::string>(), j.at(2).get<std::uint64_t>(), j.at(3).get<double>(), {}};
-    for (const auto& p : j.at(4)) r.parts.push_back({p.at(0).get<std::string>(), p.at(1).get<std::uint64_t>(), parse_ranges(p.at(2))});
+    for (const auto& p : j.at(4))
+      r.assignments.push_back({p.at(0).get<std::string>(), p.at(1).get<std::uint64_t>(), parse_ranges(p.at(2))});
     return r;
   }
   if (kind == "done") {
@@ -811,9 +818,9 @@
     const auto& records = list(j, "records");
     if (checked_at(entry.level)) {
       entry.generation = count(j, "generation");
-      entry.before = parse_digest(text(j, "before"));
-      if (slots_at(entry.level)) entry.n = count(j, "n");
-      if (const json* first = member(j, "first")) entry.first = as_count(*first, "first");
+      entry.previous_link = parse_digest(text(j, "before"));
+      if (slots_at(entry.level)) entry.number = count(j, "n");
+      if (const json* first = member(j, "first")) entry.first_needed = as_count(*first, "first");
       entry.check = parse_digest(text(j, "check"));
       std::uint64_t digest = 0;
       for (const auto& r : records) digest = digest_with(digest, digest_of(r));
@@ -842,7 +849,7 @@
   const json j = parse_object(body);
   EntryPage page;
   // Without it, nothing can be said of what changed since.
-  if (const json* rev = member(j, "ledgerRev")) page.rev = as_count(*rev, "ledgerRev");
+  if (const json* rev = member(j, "ledgerRev")) page.revision = as_count(*rev, "ledgerRev");
   page.truncated = flag_or(j, "truncated", false);
   for (const auto& r : list(j, "rows")) {
     EntryPage::Row row;
@@ -854,7 +861,7 @@
       row.entry.level = level_of(value);
       row.entry = entry_from(value);
     } catch (const Malformed& e) {
-      row.unreadable = e.what();
+      row.error = e.what();
     }
     page.rows.push_back(std::move(row));
   }
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -89,7 +89,7 @@
 struct Rows {
   std::vector<Row> rows;
   bool truncated = false;
-  std::uint64_t rev = 0;  // of the state service when it was looked at
+  std::uint64_t revision = 0;  // of the state service when it was looked at
 };
 Rows parse_rows(std::string_view body);
 std::string leader_value(const LeaderValue& leader);
@@ -117,10 +117,10 @@
 struct EntryHead {
   std::uint32_t level = 1;
   std::uint64_t generation = 0;
-  std::uint64_t seq = 0;     // the commit that wrote this version of the entry
-  std::uint64_t before = 0;  // link to the entries before it; 0: to none
-  std::uint64_t n = 0;       // its number, where its key does not tell it
-  std::uint64_t first = 0;   // number of the first entry that is needed; 0: all that are there
+  std::uint64_t seq = 0;            // the commit that wrote this version of the entry
+  std::uint64_t previous_link = 0;  // link to the entries before it; 0: to none
+  std::uint64_t number = 0;         // its number, where its key does not tell it
+  std::uint64_t first_needed = 0;   // number of the first entry that is needed; 0: all that are there
 };
 struct LedgerEntry : EntryHead {
   std::uint64_t check = 0;  // found to be right
@@ -145,13 +145,13 @@
 // carries the reason.
 struct EntryPage {
   struct Row {
-    std::string key, unreadable;
+    std::string key, error;
     std::uint64_t stamp = 0;
     LedgerEntry entry;
   };
   std::vector<Row> rows;
   bool truncated = false;
-  std::uint64_t rev = 0;  // of the state service when it was looked at
+  std::uint64_t revision = 0;  // of the state service when it was looked at
 };
 // Whether the answer to a watch tells of any change.
 bool parse_changed(std::string_view body);
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -16,12 +16,17 @@
 
 Frame pack(const Beat& beat) {
   Packer p;
-  p.integer(beat.epoch).integer(beat.takeover).text(beat.label).integer(beat.marked_by).integer(beat.mark).integer(beat.owed_ms);
+  p.integer(beat.epoch)
+      .integer(beat.takeover_epoch)
+      .text(beat.label)
+      .integer(beat.echoed_process)
+      .integer(beat.echoed_clock_ms)
+      .integer(beat.owed_ms);
   return frame_of(PeerKind::beat, p);
 }
 Frame pack(const BeatAck& ack) {
   Packer p;
-  p.integer(ack.epoch).text(ack.leader).integer(ack.marked_by).integer(ack.mark).integer(ack.kept_ms_ago);
+  p.integer(ack.epoch).text(ack.leader).integer(ack.process).integer(ack.clock_ms).integer(ack.kept_ms_ago);
   return frame_of(PeerKind::beat_ack, p);
 }
 Frame pack(const PeerCall& call) {
@@ -43,10 +48,10 @@
   Unpacker u(frame.payload);
   Beat beat;
   beat.epoch = u.integer<std::uint64_t>();
-  beat.takeover = u.integer<std::uint64_t>();
+  beat.takeover_epoch = u.integer<std::uint64_t>();
   beat.label = u.text();
-  beat.marked_by = u.integer<std::uint64_t>();
-  beat.mark = u.integer<std::uint64_t>();
+  beat.echoed_process = u.integer<std::uint64_t>();
+  beat.echoed_clock_ms = u.integer<std::uint64_t>();
   beat.owed_ms = u.integer<std::uint32_t>();
   if (!is(frame, PeerKind::beat) || !u.done()) return std::nullopt;
   return beat;
@@ -56,8 +61,8 @@
   BeatAck ack;
   ack.epoch = u.integer<std::uint64_t>();
   ack.leader = u.text();
-  ack.marked_by = u.integer<std::uint64_t>();
-  ack.mark = u.integer<std::uint64_t>();
+  ack.process = u.integer<std::uint64_t>();
+  ack.clock_ms = u.integer<std::uint64_t>();
   ack.kept_ms_ago = u.integer<std::uint32_t>();
   if (!is(frame, PeerKind::beat_ack) || !u.done()) return std::nullopt;
   return ack;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -23,16 +23,16 @@
 
 struct Beat {
   std::string label;
-  std::uint64_t epoch = 0, takeover = 0;  // now, and when it took over
+  std::uint64_t epoch = 0, takeover_epoch = 0;  // now, and when it took over
   // The mark of the peer's latest answer, given back: a leader that may decide answers it, others leave it out.
-  std::uint64_t marked_by = 0, mark = 0;  // 0: none
-  std::uint32_t owed_ms = 0;              // age of the oldest cancellation not yet carried out in the peer's zone
+  std::uint64_t echoed_process = 0, echoed_clock_ms = 0;  // 0: none
+  std::uint32_t owed_ms = 0;                              // age of the oldest cancellation not yet carried out in the peer's zone
 };
 struct BeatAck {
   std::uint64_t epoch = 0;
   std::string leader;
-  std::uint64_t marked_by = 0, mark = 0;  // the process, and its steady milliseconds
-  std::uint32_t kept_ms_ago = 0;          // since it last answered a worker on its own
+  std::uint64_t process = 0, clock_ms = 0;  // the process, and its steady milliseconds
+  std::uint32_t kept_ms_ago = 0;            // since it last answered a worker on its own
 };
 struct PeerCall {
   std::string method, target, body;
--- a/src/protocol/report_memo.cpp
+++ b/src/protocol/report_memo.cpp
@@ -23,7 +23,7 @@
 
 const Report& ReportMemo::read(std::string_view body) {
   if (const auto serial = serial_if_repeated(body)) {
-    report_.repeats = report_.serial;
+    report_.repeated_serial = report_.serial;
     report_.serial = *serial;
     return report_;
   }
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -20,8 +20,8 @@
  public:
   Reader(const std::string& file, const toml::table& table, std::string prefix) : file_(file), table_(table), prefix_(std::move(prefix)) {}
 
-  [[noreturn]] void fail(const std::string& field, const std::string& why) const {
-    throw std::runtime_error(file_ + ": " + prefix_ + field + ": " + why);
+  [[noreturn]] void fail(const std::string& field, const std::string& error) const {
+    throw std::runtime_error(file_ + ": " + prefix_ + field + ": " + error);
   }
   std::string text(const char* field) const {
     auto v = node(field).value_exact<std::string>();
@@ -76,9 +76,9 @@
     if (!v) fail(field, "not a number");
     if (!std::isfinite(*v)) fail(field, "not finite");
     if (*v < least || *v > most) {
-      std::ostringstream why;
-      why << "not from " << least << " to " << most;
-      fail(field, why.str());
+      std::ostringstream error;
+      error << "not from " << least << " to " << most;
+      fail(field, error.str());
     }
     return *v;
   }
@@ -114,8 +114,8 @@
   s.peer_listen = top.address("peer_listen");
   for (const auto& p : top.tables("peers")) s.peers.push_back({p.text("label"), p.text("site"), p.address("addr")});
   const auto endpoints = top.table("endpoints");
-  s.cloud = endpoints.address("cloud");
-  s.state = endpoints.address("state");
+  s.cloud_address = endpoints.address("cloud");
+  s.store_address = endpoints.address("state");
   const auto d = top.table("deployment");
   s.skew_ms = d.number_or("skew_ms", 0, 0, kDay * 1000);
   s.count = static_cast<std::size_t>(d.number_or("count", 0, 0, 1e6));
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -22,7 +22,7 @@
   std::string label, site, client_listen, peer_listen;
   std::vector<Peer> peers;
   std::size_t count = 0;  // controllers in all; 0: as many as are named
-  std::string cloud, state;
+  std::string cloud_address, store_address;
   double skew_ms = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
--- a/src/protocol/types.hpp
+++ b/src/protocol/types.hpp
@@ -94,8 +94,8 @@
   std::string uid, job_class, owner;
   Shape shape = Shape::batch;
   Rank rank = Rank::standard;
-  std::uint32_t pieces = 1;
-  Resources need;
+  std::uint32_t task_count = 1;
+  Resources demand;
   std::string bundle;
   double pull_gb = 0;
   std::vector<std::string> host_kinds;  // empty: any
@@ -108,13 +108,13 @@
 
 struct Flavor {
   std::string name;
-  Resources room;
+  Resources capacity;
   double cache_gb = 0, fetch_gb_per_s = 0, price = 0, market_price = 0, boot_s = 0;
   std::vector<std::string> yards;
 };
 
 struct Machine {
-  std::string name, address, kind, yard;
+  std::string name, address, machine_type, yard;
   bool loaner = false;
   enum class Status : std::uint8_t { booting, running, failed } status = Status::booting;
   double held_s = 0;
@@ -130,23 +130,23 @@
   std::uint64_t attempt = 0;
   Phase phase = Phase::pulling;
   Cause cause = Cause::none;
-  bool kept = false;
+  bool checkpointed = false;
 };
 
 struct Report {
-  std::string host, address, kind, yard;
+  std::string host, address, machine_type, yard;
   bool loaner = false;
   std::uint64_t tenure = 0, serial = 0, epoch = 0;
   std::optional<double> recall_s;
-  std::vector<ReportedPiece> pieces;
+  std::vector<ReportedPiece> tasks;
   // Not on the wire: the serial of an earlier report of the same session that said the same of everything but its own serial,
   // where the reader knows of one.
-  std::optional<std::uint64_t> repeats = {};
+  std::optional<std::uint64_t> repeated_serial = {};
 };
 
 enum class Verb : std::uint8_t { run, kill, reap };
 struct Order {
-  Verb verb = Verb::run;
+  Verb type = Verb::run;
   PieceId id;
   std::uint64_t attempt = 0;
   double wind_down_s = 0;
@@ -173,7 +173,7 @@
   double at = 0;    // wall seconds
 };
 struct StartRecord {
-  struct Part {
+  struct NodeAssignment {
     std::string host;
     std::uint64_t tenure = 0;
     Ranges tasks;
@@ -181,7 +181,7 @@
   std::string uid;
   std::uint64_t attempt = 0;
   double at = 0;
-  std::vector<Part> parts;
+  std::vector<NodeAssignment> assignments;
 };
 struct DoneRecord {
   std::string uid;
@@ -202,7 +202,7 @@
 };
 // A job as it is at this point of the ledger, so that the entries it came from can go.
 struct JobRecord {
-  struct Placed {
+  struct PlacedTasks {
     std::string host;
     std::uint64_t tenure = 0, attempt = 0;
     double at = 0;
@@ -212,7 +212,7 @@
   JobStatus status = JobStatus::queued;
   std::uint64_t attempts = 0;
   Ranges done;
-  std::vector<Placed> placed;
+  std::vector<PlacedTasks> placed;
   // A job with many ranges comes in several records; each covers tasks from `from` on.
   std::uint32_t from = 0;
   bool more = false;     // further ones follow
--- a/src/transport/kept_lines.cpp
+++ b/src/transport/kept_lines.cpp
@@ -2,27 +2,27 @@
 
 namespace thistle {
 
-std::unique_ptr<HttpClient> KeptLines::take(const std::string& address) {
+std::unique_ptr<HttpClient> KeptLines::acquire(const std::string& address) {
   const auto it = by_address_.find(address);
   if (it == by_address_.end()) return std::make_unique<HttpClient>(address);
   auto client = std::move(it->second->client);
-  used_.erase(it->second);
+  entries_.erase(it->second);
   by_address_.erase(it);
   return client;
 }
 
-void KeptLines::keep(const std::string& address, std::unique_ptr<HttpClient> client) {
+void KeptLines::release(const std::string& address, std::unique_ptr<HttpClient> client) {
   if (!client->connected() || by_address_.contains(address)) return;
-  used_.push_back({address, std::move(client)});
-  by_address_.emplace(address, std::prev(used_.end()));
-  if (used_.size() <= most_) return;
-  by_address_.erase(used_.front().address);
-  used_.pop_front();
+  entries_.push_back({address, std::move(client)});
+  by_address_.emplace(address, std::prev(entries_.end()));
+  if (entries_.size() <= most_) return;
+  by_address_.erase(entries_.front().address);
+  entries_.pop_front();
 }
 
 void KeptLines::clear() {
   by_address_.clear();
-  used_.clear();
+  entries_.clear();
 }
 
 }  // namespace thistle
--- a/src/transport/kept_lines.hpp
+++ b/src/transport/kept_lines.hpp
@@ -14,19 +14,19 @@
  public:
   explicit KeptLines(std::size_t most) : most_(most) {}
   // The kept one, or a new one that is not connected yet.
-  std::unique_ptr<HttpClient> take(const std::string& address);
-  void keep(const std::string& address, std::unique_ptr<HttpClient> client);
+  std::unique_ptr<HttpClient> acquire(const std::string& address);
+  void release(const std::string& address, std::unique_ptr<HttpClient> client);
   void clear();
-  [[nodiscard]] std::size_t size() const { return used_.size(); }
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
-  struct Line {
+  struct Entry {
     std::string address;
     std::unique_ptr<HttpClient> client;
   };
   std::size_t most_;
-  std::list<Line> used_;  // longest unused first
-  std::unordered_map<std::string, std::list<Line>::iterator> by_address_;
+  std::list<Entry> entries_;  // longest unused first
+  std::unordered_map<std::string, std::list<Entry>::iterator> by_address_;
 };
 
 }  // namespace thistle
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -30,13 +30,13 @@
   std::size_t agree(const std::string& leader) {
     const TeamsFile own = of.at(leader).value_or(TeamsFile{});
     const auto records = next_agreement(accounts, own, of);
-    for (const auto& r : records) accounts.agree(r);
+    for (const auto& r : records) accounts.apply_record(r);
     EXPECT_TRUE(next_agreement(accounts, own, of).empty());
     return records.size();
   }
   double limit(const std::string& team) const { return accounts.team(accounts.find(team)).limit.cores; }
   double guarantee(const std::string& team) const { return accounts.team(accounts.find(team)).guarantee.cores; }
-  bool open(const std::string& team) const { return accounts.find(team).valid() && accounts.open(accounts.find(team)); }
+  bool open(const std::string& team) const { return accounts.find(team).valid() && accounts.accepts_jobs(accounts.find(team)); }
 
   Accounts accounts;
   std::map<std::string, std::optional<TeamsFile>> of;
@@ -60,7 +60,7 @@
     f.of["host-0"] = f.of["host-1"];
     f.agree("host-0");
     EXPECT_EQ(f.limit("red"), changed);
-    EXPECT_EQ(f.accounts.changing(), std::nullopt);
+    EXPECT_EQ(f.accounts.changing_team(), std::nullopt);
   }
 }
 
@@ -153,13 +153,13 @@
   book.apply(AcceptRecord{blue, 0.5, 1});
   const Job& job = book.job(book.find("j-1"));
   ASSERT_TRUE(job.team.valid());
-  EXPECT_LT(book.accounts().left(job.team, kNone).cores, 0);
-  EXPECT_FALSE(book.accounts().open(job.team));
+  EXPECT_LT(book.accounts().headroom(job.team, kNone).cores, 0);
+  EXPECT_FALSE(book.accounts().accepts_jobs(job.team));
   EXPECT_TRUE(book.why_never(blue).has_value());
-  EXPECT_EQ(book.accounts().left(book.accounts().find("red"), kNone).cores, 4);
+  EXPECT_EQ(book.accounts().headroom(book.accounts().find("red"), kNone).cores, 4);
   // The ledger's terms come into force, and its work with them.
   book.apply(TeamRecord{"blue", terms(0, 2), std::nullopt, false});
-  EXPECT_EQ(book.accounts().left(job.team, kNone).cores, 2);
+  EXPECT_EQ(book.accounts().headroom(job.team, kNone).cores, 2);
 }
 
 // A limit of 4 cores, and one task of one core that runs on m-1.
@@ -170,7 +170,7 @@
     h = book.host_named("m-1");
     book.apply(StartRecord{"j-1", 1, 2, {{"m-1", 1, {{0, 1}}}}});
     red = book.accounts().find("red");
-    placed().seen = true;
+    placed().reported = true;
     placed().phase = Phase::running;
   }
   Placement& placed() { return *book.placement({j, 0}); }
@@ -183,30 +183,30 @@
 TEST(Accounts, WhatWorkersReportBesideWhatIsPlacedCounts) {
   OneRuns w;
   auto& [book, j, h, red] = w;
-  book.host(h).pieces = {{{j, 0}, 1, Phase::running, ""}};
+  book.host(h).agent.tasks = {{{j, 0}, 1, Phase::running, ""}};
   book.count_unplaced();
-  EXPECT_EQ(book.accounts().left(red, kNone).cores, 3);
+  EXPECT_EQ(book.accounts().headroom(red, kNone).cores, 3);
   // One that the book knows nothing of: never under.
-  book.host(h).pieces.push_back({{j, 1}, 1, Phase::running, ""});
+  book.host(h).agent.tasks.push_back({{j, 1}, 1, Phase::running, ""});
   book.count_unplaced();
-  EXPECT_EQ(book.accounts().left(red, kNone).cores, 2);
-  book.host(h).pieces.back().phase = Phase::exited;
+  EXPECT_EQ(book.accounts().headroom(red, kNone).cores, 2);
+  book.host(h).agent.tasks.back().phase = Phase::exited;
   book.count_unplaced();
-  EXPECT_EQ(book.accounts().left(red, kNone).cores, 3);
+  EXPECT_EQ(book.accounts().headroom(red, kNone).cores, 3);
 }
 
 // Found by reading: as many tasks of its earlier session as it holds now hid those.
 TEST(Accounts, WhatAnEarlierSessionHeldHidesNothingThatRunsNow) {
   OneRuns w;
   auto& [book, j, h, red] = w;
-  book.host(h).tenure = 2;
-  book.host(h).pieces = {{{j, 1}, 1, Phase::running, ""}};
+  book.host(h).agent.incarnation = 2;
+  book.host(h).agent.tasks = {{{j, 1}, 1, Phase::running, ""}};
   book.count_unplaced();
-  EXPECT_EQ(book.accounts().left(red, kNone).cores, 2) << "the end of the earlier one is not in the ledger yet";
-  book.host(h).tenure = 1;
-  w.placed().closing = true;
+  EXPECT_EQ(book.accounts().headroom(red, kNone).cores, 2) << "the end of the earlier one is not in the ledger yet";
+  book.host(h).agent.incarnation = 1;
+  w.placed().end_pending = true;
   book.count_unplaced();
-  EXPECT_EQ(book.accounts().left(red, kNone).cores, 2) << "nor is this one";
+  EXPECT_EQ(book.accounts().headroom(red, kNone).cores, 2) << "nor is this one";
 }
 
 // The order of a team's jobs is the ledger's, whatever the clock of the controller that accepted them.
@@ -231,7 +231,7 @@
   accept("j-4", "green", 2, 40);
   const auto line = [&](std::size_t i) {
     const auto w = what_waits(book, 100).at(i);
-    return w.team + " " + std::to_string(w.tasks) + " " + name_of(w.what) + " " + std::to_string(static_cast<int>(w.unstarted_s));
+    return w.team + " " + std::to_string(w.tasks) + " " + name_of(w.reason) + " " + std::to_string(static_cast<int>(w.unstarted_s));
   };
   EXPECT_EQ(line(0), "blue 2 room 80");
   EXPECT_EQ(line(1), "green 2 terms 60");
@@ -249,10 +249,10 @@
   book.apply(StartRecord{"j-1", 1, 2, {{"m-1", 1, {{0, 3}}}}});
   EXPECT_TRUE(book.correct_accounts().empty());
   const TeamIdx red = book.accounts().find("red");
-  book.accounts().give(red, {2, 0, 0});
+  book.accounts().refund(red, {2, 0, 0});
   EXPECT_EQ(book.correct_accounts(), std::vector<std::string>{"red"});
   EXPECT_EQ(book.teams()[0].used.cores, 3);
-  book.accounts().take(red, {2, 0, 0});
+  book.accounts().charge(red, {2, 0, 0});
   EXPECT_EQ(book.correct_accounts(), std::vector<std::string>{"red"});
   EXPECT_EQ(book.teams()[0].used.cores, 5) << "never under";
 }
--- a/tests/backing_test.cpp
+++ b/tests/backing_test.cpp
@@ -25,19 +25,19 @@
     if (begins_anew) ++process, knows = 0;
     if (of_later) {
       knows = kLater;
-      later.answered(0, process, now, knows, true);
+      later.record_ack(0, process, now, knows, true);
     }
     if (of_earlier && !stepped_down) {
       if (knows > kEarlier) {
         stepped_down = true;
       } else {
         knows = kEarlier;
-        earlier.answered(0, process, now, knows, !guarded || now < 0);
+        earlier.record_ack(0, process, now, knows, !guarded || now < 0);
       }
     }
   }
   // No worker may be answered under the earlier lead once the later one counts on it.
-  bool whole(double now) { return later.alone_since(kLater, now) < 0 || stepped_down || !earlier.majority(now); }
+  bool whole(double now) { return later.sole_leader_since(kLater, now) < 0 || stepped_down || !earlier.has_quorum(now); }
 };
 
 std::size_t explore(const World& at, int step, int steps, bool guarded, std::string& how) {
@@ -77,20 +77,20 @@
 
 TEST(Backing, AMajorityIsLostAfterTheGraceAndKeptByThoseKnownBefore) {
   Backing b(2, 0, kGrace);
-  b.answered(0, 1, 10, kEarlier, true);
-  EXPECT_TRUE(b.majority(11));
-  EXPECT_FALSE(b.majority(12.5));
-  b.answered(0, 1, 13, kEarlier, false);
-  EXPECT_TRUE(b.majority(14)) << "the same process would have told";
-  b.answered(0, 2, 16, kEarlier, false);
-  EXPECT_FALSE(b.majority(16.5)) << "it began anew: it may have forgotten";
-  EXPECT_TRUE(b.lonely(40, 3));
+  b.record_ack(0, 1, 10, kEarlier, true);
+  EXPECT_TRUE(b.has_quorum(11));
+  EXPECT_FALSE(b.has_quorum(12.5));
+  b.record_ack(0, 1, 13, kEarlier, false);
+  EXPECT_TRUE(b.has_quorum(14)) << "the same process would have told";
+  b.record_ack(0, 2, 16, kEarlier, false);
+  EXPECT_FALSE(b.has_quorum(16.5)) << "it began anew: it may have forgotten";
+  EXPECT_TRUE(b.is_isolated(40, 3));
 }
 
 TEST(Backing, OneWithoutPeersIsAloneFromTheStart) {
   Backing b(0, 7, kGrace);
-  EXPECT_EQ(b.alone_since(kLater, 9), 7);
-  EXPECT_TRUE(b.majority(1e6));
+  EXPECT_EQ(b.sole_leader_since(kLater, 9), 7);
+  EXPECT_TRUE(b.has_quorum(1e6));
 }
 
 // An earlier leader needs more than half: so half that know better are enough, and of two controllers the successor alone is.
@@ -98,13 +98,13 @@
   for (std::size_t n = 1; n <= 6; ++n) {
     Backing b(n - 1, 0, kGrace);
     for (std::size_t knowing = 1; knowing <= n; ++knowing) {
-      EXPECT_EQ(b.known(kLater), 2 * (n - knowing) <= n) << knowing << " of " << n;
-      if (knowing < n) b.answered(knowing - 1, 1, 0, kLater, true);
+      EXPECT_EQ(b.is_takeover_known(kLater), 2 * (n - knowing) <= n) << knowing << " of " << n;
+      if (knowing < n) b.record_ack(knowing - 1, 1, 0, kLater, true);
     }
   }
   Backing two(1, 0, kGrace);
-  EXPECT_LT(two.alone_since(kLater, 1), 0) << "the earlier one counts on this one's last answer for a grace";
-  EXPECT_GT(two.alone_since(kLater, 1 + kGrace + 1.1), 0);
+  EXPECT_LT(two.sole_leader_since(kLater, 1), 0) << "the earlier one counts on this one's last answer for a grace";
+  EXPECT_GT(two.sole_leader_since(kLater, 1 + kGrace + 1.1), 0);
 }
 
 // What is left between lease_s and cancel_s bounds it; with nothing left, an uncertain leader renews nothing.
@@ -115,8 +115,8 @@
     EXPECT_GE(grace, 0);
     EXPECT_LE(grace + 22, std::max(cancel, 22.0));
     Backing b(2, 0, grace);
-    b.answered(0, 1, 10, kEarlier, true);
-    EXPECT_EQ(b.majority(10), grace > 0) << cancel;
+    b.record_ack(0, 1, 10, kEarlier, true);
+    EXPECT_EQ(b.has_quorum(10), grace > 0) << cancel;
   }
 }
 
--- a/tests/book_test.cpp
+++ b/tests/book_test.cpp
@@ -35,7 +35,7 @@
   for (const auto& r : story()) b.apply(r);
   const Job& j1 = b.job(b.find("j-1"));
   EXPECT_EQ(j1.done, 1u);
-  EXPECT_EQ(j1.waiting, 1u);
+  EXPECT_EQ(j1.pending, 1u);
   EXPECT_EQ(j1.placed.size(), 2u);
   EXPECT_EQ(j1.attempts, 2u);
   EXPECT_EQ(b.job(b.find("j-2")).status, JobStatus::done);
@@ -138,7 +138,7 @@
   Book b = fresh();
   b.apply(AcceptRecord{submission("j-1", 2500), 0.5, 1});
   StartRecord start{"j-1", 1, 1793000000.123456, {}};
-  for (std::uint32_t t = 0; t < 2500; ++t) start.parts.push_back({"m-" + std::to_string(100000 + t % 400), 1, {{t, t + 1}}});
+  for (std::uint32_t t = 0; t < 2500; ++t) start.assignments.push_back({"m-" + std::to_string(100000 + t % 400), 1, {{t, t + 1}}});
   b.apply(start);
   DoneRecord done{"j-1", {}};
   for (std::uint32_t t = 0; t < 2500; t += 2) done.tasks.push_back({t, t + 1});
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -37,43 +37,43 @@
 TEST(Budget, AThousandWorkersAndTheirUsersHaveRoom) {
   const auto b = split_budget(2000, 2929, 2);
   EXPECT_GT(b.clients, 1500u);
-  EXPECT_GT(b.lines, 900u);
+  EXPECT_GT(b.worker_connections, 900u);
 }
 
 TEST(DueWorkers, OneIsServedByOneSenderAndAgainWhenItBecameDueMeanwhile) {
   DueWorkers due(2);
-  due.add(HostIdx{1}, false, 0);
-  due.add(HostIdx{1}, true, 0);
-  const auto first = due.take();
+  due.enqueue(HostIdx{1}, false, 0);
+  due.enqueue(HostIdx{1}, true, 0);
+  const auto first = due.dequeue();
   ASSERT_TRUE(first);
-  EXPECT_TRUE(first->greet);
-  EXPECT_FALSE(due.take());
-  due.add(HostIdx{1}, false, 0);
-  EXPECT_FALSE(due.any());  // it is being served
-  due.served(HostIdx{1});
-  const auto again = due.take();
+  EXPECT_TRUE(first->announce);
+  EXPECT_FALSE(due.dequeue());
+  due.enqueue(HostIdx{1}, false, 0);
+  EXPECT_FALSE(due.has_ready());  // it is being served
+  due.complete(HostIdx{1});
+  const auto again = due.dequeue();
   ASSERT_TRUE(again);
-  EXPECT_FALSE(again->greet);
+  EXPECT_FALSE(again->announce);
 }
 
 TEST(DueWorkers, ThoseThatDoNotAnswerNeverHoldUpTheOthers) {
   DueWorkers due(2);
   // Ten that die together: each fails once.
-  for (std::uint32_t i = 0; i < 10; ++i) due.add(HostIdx{i}, false, 0);
-  for (std::uint32_t i = 0; i < 10; ++i) due.failed(due.take()->host, 1.5);
-  due.add(HostIdx{0}, false, 1);
-  EXPECT_FALSE(due.any());  // left alone for a while
-  for (std::uint32_t i = 0; i < 10; ++i) due.add(HostIdx{i}, false, 2);
-  due.add(HostIdx{50}, false, 2);
-  EXPECT_EQ(due.take()->host, HostIdx{50});
-  EXPECT_TRUE(due.take());
-  EXPECT_TRUE(due.take());
-  EXPECT_FALSE(due.take());  // two wait for slow ones: no third
-  due.add(HostIdx{51}, false, 2);
-  EXPECT_EQ(due.take()->host, HostIdx{51});
-  due.served(HostIdx{0});  // it answers again
-  due.add(HostIdx{0}, false, 2);
-  EXPECT_EQ(due.take()->host, HostIdx{0});
+  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(HostIdx{i}, false, 0);
+  for (std::uint32_t i = 0; i < 10; ++i) due.back_off(due.dequeue()->host, 1.5);
+  due.enqueue(HostIdx{0}, false, 1);
+  EXPECT_FALSE(due.has_ready());  // left alone for a while
+  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(HostIdx{i}, false, 2);
+  due.enqueue(HostIdx{50}, false, 2);
+  EXPECT_EQ(due.dequeue()->host, HostIdx{50});
+  EXPECT_TRUE(due.dequeue());
+  EXPECT_TRUE(due.dequeue());
+  EXPECT_FALSE(due.dequeue());  // two wait for slow ones: no third
+  due.enqueue(HostIdx{51}, false, 2);
+  EXPECT_EQ(due.dequeue()->host, HostIdx{51});
+  due.complete(HostIdx{0});  // it answers again
+  due.enqueue(HostIdx{0}, false, 2);
+  EXPECT_EQ(due.dequeue()->host, HostIdx{0});
 }
 
 TEST(KeptLines, OverTheBoundTheOneLongestUnusedGoes) {
@@ -83,13 +83,13 @@
   HttpServer other(second, 10, [](const HttpCall&) { return HttpReply{200, "{}"}; });
   KeptLines lines(1);
   for (const auto& address : {first, second}) {
-    auto client = lines.take(address);
+    auto client = lines.acquire(address);
     ASSERT_TRUE(client->get("/", 2).ok());
-    lines.keep(address, std::move(client));
+    lines.release(address, std::move(client));
   }
   EXPECT_EQ(lines.size(), 1u);
-  EXPECT_FALSE(lines.take(first)->connected());
-  EXPECT_TRUE(lines.take(second)->connected());
+  EXPECT_FALSE(lines.acquire(first)->connected());
+  EXPECT_TRUE(lines.acquire(second)->connected());
 }
 
 // At times 1.5 the leader has a connection for each of 1,554 workers and room for few users: a crowd of those must not cost a worker
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -39,7 +39,7 @@
 inline Tuning one_level() {
   Tuning t;
   t.state_level_soak_s = 600;
-  t.intake = std::getenv("THISTLEFRONT_TEST_INTAKE") != nullptr ? IntakeMode::on : IntakeMode::off;
+  t.relay_mode = std::getenv("THISTLEFRONT_TEST_INTAKE") != nullptr ? IntakeMode::on : IntakeMode::off;
   return t;
 }
 
@@ -62,8 +62,8 @@
       s.label = "host-" + std::to_string(i);
       s.client_listen = free_address();
       s.peer_listen = free_address();
-      s.state = state.door(i).address;
-      s.cloud = cloud_address_;
+      s.store_address = state.door(i).address;
+      s.cloud_address = cloud_address_;
       s.teams = {{"red", {}, {}}};
       s.report_s = 1, s.lease_s = 5, s.gang_wait_s = 20, s.gang_peer_s = 3, s.cancel_s = 20;
       s.state_rps = 1000, s.state_write_rps = 200, s.value_kb = 8, s.txn_ops = 16;
--- a/tests/custody_test.cpp
+++ b/tests/custody_test.cpp
@@ -11,34 +11,34 @@
 
 TEST(Custody, KeepsFromSomeSecondsAfterTheLeadersLastWordUntilItsTimeIsOver) {
   Custody follower(kSpan, 0);
-  EXPECT_FALSE(follower.keeps(10)) << "nothing was granted";
-  follower.granted(7, 100, 0);
-  EXPECT_FALSE(follower.keeps(102)) << "the leader may well be there";
-  EXPECT_TRUE(follower.keeps(104));
-  EXPECT_FALSE(follower.keeps(120.5));
-  follower.granted(7, 90, 0);  // held up in the cut
-  EXPECT_TRUE(follower.keeps(115.5));
-  follower.granted(7, 130, 15);  // a cancellation made 15 s ago is not carried out yet
-  EXPECT_TRUE(follower.keeps(134));
-  EXPECT_FALSE(follower.keeps(136));
-  follower.heard(8);  // a new leader, if of the same name, counts on what it granted itself
-  EXPECT_FALSE(follower.keeps(134));
+  EXPECT_FALSE(follower.is_active(10)) << "nothing was granted";
+  follower.grant(7, 100, 0);
+  EXPECT_FALSE(follower.is_active(102)) << "the leader may well be there";
+  EXPECT_TRUE(follower.is_active(104));
+  EXPECT_FALSE(follower.is_active(120.5));
+  follower.grant(7, 90, 0);  // held up in the cut
+  EXPECT_TRUE(follower.is_active(115.5));
+  follower.grant(7, 130, 15);  // a cancellation made 15 s ago is not carried out yet
+  EXPECT_TRUE(follower.is_active(134));
+  EXPECT_FALSE(follower.is_active(136));
+  follower.observe_leader(8);  // a new leader, if of the same name, counts on what it granted itself
+  EXPECT_FALSE(follower.is_active(134));
 }
 
 // Kaubaalus grown, rough: each beat sent into the cut seemed to grant anew, so that the leases of 24 machines
 // were never over while it lasted, and their replicas waited for 80 s.
 TEST(Custody, APeerThatIsSilentIsCountedOnForOneSpanOnly) {
   Granted leader(kSpan, 50);
-  EXPECT_EQ(leader.kept_until(60), 0) << "nothing was granted in this term";
-  EXPECT_EQ(leader.kept_before(60), 60) << "an earlier leader may have granted until now";
-  EXPECT_NEAR(leader.kept_before(200), 50 + kSpan, 0.1);
-  leader.answered(0, 99.5, 99);
-  leader.sends();
-  leader.answered(99.4, 100, 99);
-  EXPECT_NEAR(leader.kept_until(101), 1, 0.1) << "it has the leader's word, and said when it last kept a lease";
-  for (double now = 100; now < 300; now += 0.5) leader.sends();
-  EXPECT_EQ(leader.kept_until(110), 110) << "it may be keeping leases now";
-  EXPECT_NEAR(leader.kept_until(300), 100 + kSpan, 0.1);
+  EXPECT_EQ(leader.renewals_until(60), 0) << "nothing was granted in this term";
+  EXPECT_EQ(leader.earlier_renewals_until(60), 60) << "an earlier leader may have granted until now";
+  EXPECT_NEAR(leader.earlier_renewals_until(200), 50 + kSpan, 0.1);
+  leader.record_ack(0, 99.5, 99);
+  leader.record_sent();
+  leader.record_ack(99.4, 100, 99);
+  EXPECT_NEAR(leader.renewals_until(101), 1, 0.1) << "it has the leader's word, and said when it last kept a lease";
+  for (double now = 100; now < 300; now += 0.5) leader.record_sent();
+  EXPECT_EQ(leader.renewals_until(110), 110) << "it may be keeping leases now";
+  EXPECT_NEAR(leader.renewals_until(300), 100 + kSpan, 0.1);
 }
 
 TEST(Custody, ItsSpanAndOneLeaseEndBeforeACancellationMustBeCarriedOut) {
--- a/tests/dealings_test.cpp
+++ b/tests/dealings_test.cpp
@@ -20,7 +20,7 @@
   Dealings() : book({{"red", {}, {}, {}}}) {
     Flavor f;
     f.name = "big";
-    f.room = {8, 0, 32};
+    f.capacity = {8, 0, 32};
     book.apply(FlavorsRecord{{f}});
   }
   void accept(const std::string& uid, std::uint32_t pieces, Shape shape = Shape::batch) {
@@ -30,8 +30,8 @@
     r.job.job_class = "c";
     r.job.bundle = "i";
     r.job.shape = shape;
-    r.job.pieces = pieces;
-    r.job.need = {1, 0, 1};
+    r.job.task_count = pieces;
+    r.job.demand = {1, 0, 1};
     book.apply(r);
   }
   void start(const std::string& uid, std::uint64_t attempt, Range tasks, std::uint64_t tenure = 1) {
@@ -41,12 +41,12 @@
     Report r;
     r.host = "m-1";
     r.address = "127.0.0.1:1";
-    r.kind = "big";
+    r.machine_type = "big";
     r.yard = "x";
     r.tenure = tenure;
     r.serial = ++serial;
     r.epoch = epoch;
-    r.pieces = std::move(pieces);
+    r.tasks = std::move(pieces);
     return take_report(book, r, {steady, steady}, by_report, kEpoch);
   }
   void make_durable(const ReportOutcome& o) {
@@ -70,7 +70,7 @@
   report({});
   start("j-1", 1, {0, 1});
   ASSERT_EQ(orders().size(), 1u);
-  EXPECT_EQ(orders()[0].verb, Verb::run);
+  EXPECT_EQ(orders()[0].type, Verb::run);
   report({});
   EXPECT_EQ(orders().size(), 1u);
   report({piece("j-1", 0, 1, Phase::pulling)});
@@ -87,7 +87,7 @@
   make_durable(outcome);
   EXPECT_EQ(job("j-1").status, JobStatus::done);
   ASSERT_EQ(orders().size(), 1u);
-  EXPECT_EQ(orders()[0].verb, Verb::reap);
+  EXPECT_EQ(orders()[0].type, Verb::reap);
   report({});
   EXPECT_TRUE(orders().empty());
 }
@@ -96,13 +96,13 @@
   accept("j-1", 1);
   report({});
   start("j-1", 1, {0, 1});
-  host().doubt_epoch = kEpoch;
+  host().commands.uncertain_token = kEpoch;
   make_durable(report({piece("j-1", 0, 1, Phase::exited, Cause::error)}));
   // A late start would run it again if the worker had forgotten this attempt.
   EXPECT_TRUE(orders().empty());
   report({piece("j-1", 0, 1, Phase::exited, Cause::error)}, true, kEpoch + 1);
   ASSERT_EQ(orders().size(), 1u);
-  EXPECT_EQ(orders()[0].verb, Verb::reap);
+  EXPECT_EQ(orders()[0].type, Verb::reap);
 }
 
 TEST_F(Dealings, AStoppedTaskThatIsAbsentIsOffOnlyWhenNoStartCanBeOnItsWay) {
@@ -110,10 +110,10 @@
   report({});
   start("j-1", 1, {0, 1});
   book.apply(CancelRecord{"j-1"});
-  EXPECT_EQ(orders()[0].verb, Verb::kill);
+  EXPECT_EQ(orders()[0].type, Verb::kill);
   EXPECT_TRUE(report({}, false).records.empty()) << "the answer to a direct command says nothing of reports' answers";
   EXPECT_TRUE(report({}, true, kEpoch - 1).records.empty()) << "an earlier leader's start may be on its way";
-  host().doubt_epoch = kEpoch;
+  host().commands.uncertain_token = kEpoch;
   EXPECT_TRUE(report({}).records.empty()) << "a start of this leader is in doubt";
   const auto outcome = report({}, true, kEpoch + 1);
   ASSERT_EQ(outcome.records.size(), 1u);
@@ -126,7 +126,7 @@
   report({});
   start("j-1", 1, {0, 2});
   make_durable(report({}, true, kEpoch, 2));
-  EXPECT_EQ(job("j-1").waiting, 2u);
+  EXPECT_EQ(job("j-1").pending, 2u);
   EXPECT_TRUE(orders().empty());
 }
 
@@ -137,7 +137,7 @@
   report({}, true, kEpoch, 2);
   start("j-1", 1, {0, 1}, 1);
   make_durable(report({}, true, kEpoch, 2));
-  EXPECT_EQ(job("j-1").waiting, 1u);
+  EXPECT_EQ(job("j-1").pending, 1u);
 }
 
 TEST_F(Dealings, AnOlderReportChangesNothing) {
@@ -155,8 +155,8 @@
   report({piece("j-1", 0, 7, Phase::running), piece("j-9", 3, 1, Phase::running)});
   const auto due = orders();
   ASSERT_EQ(due.size(), 2u);
-  EXPECT_EQ(due[0].verb, Verb::kill);
-  EXPECT_EQ(due[1].verb, Verb::kill);
+  EXPECT_EQ(due[0].type, Verb::kill);
+  EXPECT_EQ(due[1].type, Verb::kill);
 }
 
 TEST_F(Dealings, ABrokenGangIsStopped) {
@@ -187,7 +187,7 @@
   EXPECT_TRUE(job("j-2").placed.at(0).stopping);
   EXPECT_FALSE(job("j-2").placed.at(1).stopping) << "the tasks of an array are stopped one by one";
   ASSERT_EQ(orders().size(), 1u);
-  EXPECT_EQ(orders()[0].verb, Verb::kill);
+  EXPECT_EQ(orders()[0].type, Verb::kill);
   EXPECT_EQ(orders()[0].id.uid + "/" + std::to_string(orders()[0].id.task), "j-1/1");
   EXPECT_EQ(orders()[0].wind_down_s, 4);
   EXPECT_TRUE(go_on_with_stops(book).empty()) << "once";
@@ -200,7 +200,7 @@
   start("j-1", 1, {0, 1});
   start("j-2", 1, {0, 1});
   job("j-2").spec.expected_s = 5;
-  host().recall_at = steady + 20;
+  host().agent.interruption_at = steady + 20;
   EXPECT_EQ(drain_recalled(book, {steady, steady}).size(), 1u);
   EXPECT_TRUE(job("j-1").placed.at(0).stopping) << "a service moves at once";
   EXPECT_FALSE(job("j-2").placed.at(0).stopping) << "it ends before the machine goes";
@@ -215,15 +215,15 @@
   StartRecord r{"j-000001", 3, 1234567.891, {}};
   std::size_t tasks = 0;
   for (int h = 0; h < 40; ++h) {
-    StartRecord::Part part{"m-" + std::to_string(100000 + h), 12, {}};
+    StartRecord::NodeAssignment part{"m-" + std::to_string(100000 + h), 12, {}};
     for (int i = 0; i < 256; ++i, ++tasks) add_to(part.tasks, 20000 + static_cast<std::uint32_t>(2 * tasks));
-    r.parts.push_back(std::move(part));
+    r.assignments.push_back(std::move(part));
   }
   std::size_t found = 0;
   for (const auto& s : in_fitting_records(r)) {
     EXPECT_LT(encoded_size(s), 4000u);
     EXPECT_EQ(s.attempt, 3u);
-    for (const auto& p : s.parts)
+    for (const auto& p : s.assignments)
       for (const auto& range : p.tasks) found += range.last - range.first;
   }
   EXPECT_EQ(found, tasks);
@@ -231,7 +231,7 @@
   Book book = book_of_red(1e6);
   book.apply(AcceptRecord{submission("j-1", 4000, 0.01), 0.5, 1});
   StartRecord all{"j-1", 1, 1, {{"m-1", 1, {}}}};
-  for (std::uint32_t t = 0; t < 4000; t += 2) add_to(all.parts[0].tasks, t);
+  for (std::uint32_t t = 0; t < 4000; t += 2) add_to(all.assignments[0].tasks, t);
   for (const auto& s : in_fitting_records(all)) book.apply(s);
   ASSERT_EQ(book.job(book.find("j-1")).placed.size(), 2000u);
   std::size_t off = 0;
@@ -245,8 +245,8 @@
 // A new leader greets a worker before it has answered any of its reports: its lease must not count from never.
 TEST(Lease, OfAGreetedWorkerCountsFromWhenItWasKnownToHaveSeenTheEpoch) {
   Host host;
-  host.epoch_seen = kEpoch;
-  host.fenced_at = 100;
+  host.agent.highest_token = kEpoch;
+  host.agent.fenced_at = 100;
   const Fencing fencing{kEpoch, 99, 99.5};
   EXPECT_FALSE(lease_over(host, fencing, 10, 101));
   EXPECT_FALSE(lease_over(host, fencing, 10, 109.9));
@@ -256,7 +256,7 @@
 // Found by the randomised test: a worker's new session lives for a whole lease without any answer.
 TEST_F(Dealings, ANewTenureHasAWholeLeaseFromWhenItIsHeardOf) {
   report({});
-  host().answered_at = 100;
+  host().agent.last_answered_at = 100;
   steady = 109;
   report({}, false, kEpoch, 2);
   const Fencing fencing{kEpoch, 50, 50};
@@ -278,13 +278,13 @@
   EXPECT_TRUE(orders().empty()) << "by the answer to a command nobody knows what became of the report's";
   report({piece("j-1", 0, 1, Phase::exited, Cause::halted)});
   ASSERT_EQ(orders().size(), 1u) << "its next report: the answer came, or never will";
-  EXPECT_EQ(orders()[0].verb, Verb::reap);
+  EXPECT_EQ(orders()[0].type, Verb::reap);
 }
 
 // Copies of a dead machine's reports, to the leader that had them and to its successor, which never heard of it.
 TEST_F(Dealings, ACopyOfAReportIsNoSignOfLife) {
   report({}, true, kEpoch);
-  const Report first{"m-1", "a", "big", "x", false, 1, host().serial, kEpoch, std::nullopt, {}};
+  const Report first{"m-1", "a", "big", "x", false, 1, host().agent.serial, kEpoch, std::nullopt, {}};
   const double heard = steady;
   note_answer(host(), false, heard);
   for (steady = heard + 1; steady < heard + 30; steady += 3) {
@@ -292,8 +292,8 @@
     EXPECT_TRUE(outcome.stale);
     note_answer(host(), outcome.stale, steady);
   }
-  EXPECT_EQ(host().reported_at, heard);
-  EXPECT_EQ(host().answered_at, heard);
+  EXPECT_EQ(host().agent.last_heartbeat_at, heard);
+  EXPECT_EQ(host().agent.last_answered_at, heard);
   EXPECT_TRUE(lease_over(host(), {kEpoch, 1, 1}, 10, heard + 11)) << "found lost when it would have been without them";
 
   constexpr std::uint64_t kLater = kEpoch + 5;
@@ -304,18 +304,18 @@
     copy.serial = serial;
     take_report(next, copy, {steady, steady}, true, kLater);
     there = &next.host(next.find_host("m-1"));
-    EXPECT_LT(there->epoch_seen, kLater) << "so nothing is placed there";
+    EXPECT_LT(there->agent.highest_token, kLater) << "so nothing is placed there";
   }
-  EXPECT_EQ(there->reported_at, steady - 16) << "silent since the first of them";
-  there->lost = true;
+  EXPECT_EQ(there->agent.last_heartbeat_at, steady - 16) << "silent since the first of them";
+  there->lease_expired = true;
   Report copy = first;
   copy.serial = 20;
   take_report(next, copy, {steady, steady}, true, kLater);
-  EXPECT_TRUE(there->lost);
+  EXPECT_TRUE(there->lease_expired);
   copy.serial = 21;
   copy.epoch = kLater;
   take_report(next, copy, {steady, steady}, true, kLater);
-  EXPECT_FALSE(there->lost) << "it has seen this leader";
+  EXPECT_FALSE(there->lease_expired) << "it has seen this leader";
 }
 
 // Reports come and answers do not arrive: it is told when a tenure ends that was answered all along.
@@ -375,7 +375,7 @@
   book.apply(CancelRecord{"j-3"});
   std::set<std::string> killed;
   for (const auto& o : kills()) {
-    EXPECT_EQ(o.verb, Verb::kill);
+    EXPECT_EQ(o.type, Verb::kill);
     EXPECT_EQ(o.wind_down_s, 0);
     killed.insert(o.id.uid + "/" + std::to_string(o.id.task));
   }
@@ -393,7 +393,7 @@
   EXPECT_TRUE(orders().empty()) << "it saves";
   book.apply(CancelRecord{"j-1"});
   ASSERT_EQ(orders().size(), 1u);
-  EXPECT_EQ(orders()[0].verb, Verb::kill);
+  EXPECT_EQ(orders()[0].type, Verb::kill);
   EXPECT_EQ(orders()[0].wind_down_s, 0);
 }
 
@@ -408,12 +408,12 @@
   job("j-1").cancelled_at = 100;
   const auto late = [&](double now) { return late_start_of_cancelled(book, host(), now, span); };
   EXPECT_FALSE(late(200)) << "no command is on its way";
-  host().doubt_epoch = kEpoch;
+  host().commands.uncertain_token = kEpoch;
   EXPECT_FALSE(late(119));
   EXPECT_TRUE(late(121));
   report({}, true, kEpoch + 1);
   EXPECT_FALSE(late(121)) << "fenced by a higher token";
-  host().doubt_epoch = kEpoch + 1;
+  host().commands.uncertain_token = kEpoch + 1;
   job("j-1").cancelled_at = 0;
   EXPECT_FALSE(late(121)) << "an earlier leader's: it is fenced by any answer of this one";
 }
--- a/tests/deciders_test.cpp
+++ b/tests/deciders_test.cpp
@@ -56,13 +56,13 @@
         if (const auto* r = std::get_if<Record>(&s)) out += encode_record(*r, 1).text;
         if (const auto* r = std::get_if<Report>(&s)) {
           out += r->host, add(r->epoch);
-          for (const auto& p : r->pieces) out += p.id.uid, add(p.attempt), add(static_cast<int>(p.phase));
+          for (const auto& p : r->tasks) out += p.id.uid, add(p.attempt), add(static_cast<int>(p.phase));
         }
       }
     }
     for (const auto& t : txns) out += "/", add(t.from), add(t.epoch), out += encode_record(t.record, 1).text;
     for (const auto& c : commands)
-      out += ">", add(c.epoch), add(c.machine), out += c.order.id.uid, add(c.order.attempt), add(static_cast<int>(c.order.verb));
+      out += ">", add(c.epoch), add(c.machine), out += c.order.id.uid, add(c.order.attempt), add(static_cast<int>(c.order.type));
     for (const auto& m : machines) {
       out += "m", add(m.epoch);
       for (const auto& [p, ended] : m.pieces) out += p.first, add(p.second), add(ended);
@@ -73,10 +73,10 @@
     Machine& machine = machines[m];
     Report r;
     r.host = "m-" + std::to_string(m);
-    r.address = "a", r.kind = "big", r.yard = "x";
+    r.address = "a", r.machine_type = "big", r.yard = "x";
     r.tenure = 1, r.serial = ++machine.serial, r.epoch = machine.epoch;
     for (const auto& [p, ended] : machine.pieces)
-      r.pieces.push_back({{p.first, 0}, p.second, ended ? Phase::exited : Phase::running, ended ? Cause::done : Cause::none, false});
+      r.tasks.push_back({{p.first, 0}, p.second, ended ? Phase::exited : Phase::running, ended ? Cause::done : Cause::none, false});
     return r;
   }
   [[nodiscard]] std::string wrong() const {
@@ -168,9 +168,9 @@
       if (command.epoch < m.epoch) continue;
       m.epoch = command.epoch;
       const std::pair key{command.order.id.uid, command.order.attempt};
-      if (command.order.verb == Verb::run) m.pieces.emplace(key, false);
-      if (command.order.verb == Verb::reap) m.pieces.erase(key);
-      if (command.order.verb == Verb::kill && m.pieces.contains(key)) m.pieces[key] = true;
+      if (command.order.type == Verb::run) m.pieces.emplace(key, false);
+      if (command.order.type == Verb::reap) m.pieces.erase(key);
+      if (command.order.type == Verb::kill && m.pieces.contains(key)) m.pieces[key] = true;
       found(std::move(w), "executed on m-" + std::to_string(command.machine));
     }
     for (std::size_t m = 0; m < world.machines.size(); ++m)
@@ -227,8 +227,8 @@
     }
     for (const auto& [uid, team] : kJobs) {
       const Job& job = book.job(book.find(uid));
-      if (job.ended() || job.waiting == 0) continue;
-      double left = book.accounts().left(job.team, 1e9).cores;
+      if (job.ended() || job.pending == 0) continue;
+      double left = book.accounts().headroom(job.team, 1e9).cores;
       if (fault_ == Fault::cancelled_is_not_counted)
         for (JobIdx c : book.live()) left += book.job(c).ended() && book.job(c).team == job.team ? book.job(c).placed.size() : 0;
       if (left < 1 && fault_ != Fault::uses_are_not_counted) continue;
@@ -251,7 +251,7 @@
   World w;
   Flavor big;
   big.name = "big";
-  big.room = {8, 0, 32};
+  big.capacity = {8, 0, 32};
   w.ledger.emplace_back(FlavorsRecord{{big}});
   for (const auto& [uid, team] : kJobs) {
     auto s = submission(uid, 1, 1);
--- a/tests/floor_test.cpp
+++ b/tests/floor_test.cpp
@@ -14,34 +14,34 @@
 
 TEST(Floor, GivesWhatWasEarnedToTheLongestWait) {
   Floor f;
-  f.earn(100, 0);
-  EXPECT_TRUE(f.raise({{0, job(1), 90, 1, 50}}).empty()) << "nothing came free yet";
-  f.earn(100, 2);  // a twentieth of 200 cores
-  using R = std::vector<Floor::Raised>;
-  EXPECT_EQ(f.raise({{0, job(1), 90, 1, 4}, {1, job(2), 400, 2, 3}, {2, job(3), 70, 1, 9}}), (R{{1, 3}, {0, 4}}));
-  f.started(job(2), 6);
-  f.started(job(1), 4);
-  EXPECT_TRUE(f.raise({{0, job(3), 70, 1, 9}}).empty());
+  f.accrue(100, 0);
+  EXPECT_TRUE(f.promote({{0, job(1), 90, 1, 50}}).empty()) << "nothing came free yet";
+  f.accrue(100, 2);  // a twentieth of 200 cores
+  using R = std::vector<Floor::Promotion>;
+  EXPECT_EQ(f.promote({{0, job(1), 90, 1, 4}, {1, job(2), 400, 2, 3}, {2, job(3), 70, 1, 9}}), (R{{1, 3}, {0, 4}}));
+  f.charge(job(2), 6);
+  f.charge(job(1), 4);
+  EXPECT_TRUE(f.promote({{0, job(3), 70, 1, 9}}).empty());
 }
 
 TEST(Floor, AGangIsNeverTooLargeAndWhatItTakesIsOwed) {
   Floor f;
-  f.earn(100, 0);
-  f.earn(100, 1);
-  ASSERT_EQ(f.raise({{0, job(1), 90, 64, 1}}).size(), 1u);
-  f.started(job(1), 64);
-  f.earn(100, 10);  // 45 of the 59 owed
-  EXPECT_TRUE(f.raise({{0, job(2), 90, 1, 1}}).empty());
-  f.earn(100, 14);
-  EXPECT_EQ(f.raise({{0, job(2), 90, 1, 1}}).size(), 1u);
+  f.accrue(100, 0);
+  f.accrue(100, 1);
+  ASSERT_EQ(f.promote({{0, job(1), 90, 64, 1}}).size(), 1u);
+  f.charge(job(1), 64);
+  f.accrue(100, 10);  // 45 of the 59 owed
+  EXPECT_TRUE(f.promote({{0, job(2), 90, 1, 1}}).empty());
+  f.accrue(100, 14);
+  EXPECT_EQ(f.promote({{0, job(2), 90, 1, 1}}).size(), 1u);
 }
 
 // A calm hour earns no more than some seconds' worth: what starves later gets a share, not the fleet.
 TEST(Floor, SavingsAreBounded) {
   Floor f;
-  f.earn(100, 0);
-  for (double now = 1; now < 3600; ++now) f.earn(100, now);
-  EXPECT_EQ(f.raise({{0, job(1), 90, 1, 100000}}).at(0).units, 100u);
+  f.accrue(100, 0);
+  for (double now = 1; now < 3600; ++now) f.accrue(100, now);
+  EXPECT_EQ(f.promote({{0, job(1), 90, 1, 100000}}).at(0).units, 100u);
 }
 
 // A fleet of 100 cores, work of 10 s: twice as much of the higher rank is asked for as it can do, for ten minutes, beside one job
@@ -58,15 +58,15 @@
       free += came;
       high += 20;
       if (static_cast<int>(now) % 4 == 0) low.push_back(now);
-      f.earn(came, now);
-      std::vector<Floor::Starving> starving;
+      f.accrue(came, now);
+      std::vector<Floor::StarvingJob> starving;
       for (std::size_t i = 0; i < low.size(); ++i)
         if (now - low[i] > kStarvesAfter) starving.push_back({i, job(static_cast<std::uint32_t>(i)), now - low[i], 1, 1});
-      const auto raised = with ? f.raise(starving) : std::vector<Floor::Raised>{};
+      const auto raised = with ? f.promote(starving) : std::vector<Floor::Promotion>{};
       std::size_t taken = 0;
       for (const auto& r : raised) {
         if (free < 1) break;
-        f.started(job(static_cast<std::uint32_t>(r.at)), 1);
+        f.charge(job(static_cast<std::uint32_t>(r.position)), 1);
         --free, ++shared, ++served, ++taken;
         ends.emplace_back(now + 10, 1);
       }
--- a/tests/intake_controllers_test.cpp
+++ b/tests/intake_controllers_test.cpp
@@ -30,7 +30,7 @@
   }
   static Tuning tuning(bool intake) {
     Tuning out = testing_::one_level();
-    out.intake = intake ? IntakeMode::on : IntakeMode::off;
+    out.relay_mode = intake ? IntakeMode::on : IntakeMode::off;
     return out;
   }
   void begin_with_work(bool intake = true) {
@@ -218,7 +218,7 @@
   ASSERT_TRUE(answer);
   const auto other_lead = unpack_intake_answer(*answer);
   ASSERT_TRUE(other_lead);
-  EXPECT_EQ(other_lead->takeover, 0u);
+  EXPECT_EQ(other_lead->takeover_epoch, 0u);
   wait(kTimes.lease);
   expect_first_sessions("after malformed batches");
   EXPECT_TRUE(all_run());
--- a/tests/intake_test.cpp
+++ b/tests/intake_test.cpp
@@ -15,15 +15,16 @@
 
 std::string text_of(const ReportedPiece& p) {
   return p.id.uid + "/" + std::to_string(p.id.task) + "." + std::to_string(p.attempt) + "=" + std::to_string(static_cast<int>(p.phase)) +
-         "," + std::to_string(static_cast<int>(p.cause)) + (p.kept ? "k" : "");
+         "," + std::to_string(static_cast<int>(p.cause)) + (p.checkpointed ? "k" : "");
 }
 // All that a report says, its tasks in one order.
 std::string text_of(const Report& r) {
   std::vector<std::string> pieces;
-  for (const auto& p : r.pieces) pieces.push_back(text_of(p));
+  for (const auto& p : r.tasks) pieces.push_back(text_of(p));
   std::sort(pieces.begin(), pieces.end());
-  std::string out = r.host + " " + r.address + " " + r.kind + " " + r.yard + (r.loaner ? " spot " : " ") + std::to_string(r.tenure) + "." +
-                    std::to_string(r.serial) + " " + std::to_string(r.epoch) + " " + (r.recall_s ? std::to_string(*r.recall_s) : "-");
+  std::string out = r.host + " " + r.address + " " + r.machine_type + " " + r.yard + (r.loaner ? " spot " : " ") +
+                    std::to_string(r.tenure) + "." + std::to_string(r.serial) + " " + std::to_string(r.epoch) + " " +
+                    (r.recall_s ? std::to_string(*r.recall_s) : "-");
   for (const auto& p : pieces) out += " " + p;
   return out;
 }
@@ -34,40 +35,40 @@
   RandomWorker(std::string name, std::mt19937& random) : random_(random) {
     report_.host = std::move(name);
     report_.address = "127.0.0.1:" + std::to_string(random() % 60000);
-    report_.kind = "big";
+    report_.machine_type = "big";
     report_.yard = "a";
     report_.tenure = 1;
   }
   const Report& next() {
     const auto before = report_.serial;
     ++report_.serial;
-    report_.repeats.reset();
+    report_.repeated_serial.reset();
     const auto what = random_() % 10;
     if (what < 4) {
       // As the reader of its connection would tell, where the one before was read there.
-      if (random_() % 2 == 0) report_.repeats = before;
+      if (random_() % 2 == 0) report_.repeated_serial = before;
     } else if (what == 4 && random_() % 4 == 0) {
       ++report_.tenure;
-      report_.pieces.clear();
+      report_.tasks.clear();
     } else if (what == 5) {
       report_.epoch += random_() % 2;
     } else if (what == 6) {
       report_.recall_s = random_() % 2 ? std::optional<double>(static_cast<double>(random_() % 100) / 4) : std::nullopt;
-    } else if (what == 7 && !report_.pieces.empty()) {
-      report_.pieces.erase(report_.pieces.begin() + static_cast<long>(random_() % report_.pieces.size()));
-    } else if (what == 8 && !report_.pieces.empty()) {
-      auto& piece = report_.pieces[random_() % report_.pieces.size()];
+    } else if (what == 7 && !report_.tasks.empty()) {
+      report_.tasks.erase(report_.tasks.begin() + static_cast<long>(random_() % report_.tasks.size()));
+    } else if (what == 8 && !report_.tasks.empty()) {
+      auto& piece = report_.tasks[random_() % report_.tasks.size()];
       piece.phase = static_cast<Phase>(random_() % 5);
       piece.cause = piece.phase == Phase::exited ? static_cast<Cause>(1 + random_() % 8) : Cause::none;
-      piece.kept = piece.phase == Phase::exited && random_() % 2;
+      piece.checkpointed = piece.phase == Phase::exited && random_() % 2;
     } else {
-      report_.pieces.push_back({{"j-" + std::to_string(random_() % 3), static_cast<std::uint32_t>(random_() % 4)},
-                                ++attempts_,
-                                Phase::pulling,
-                                Cause::none,
-                                false});
-      std::shuffle(report_.pieces.begin(), report_.pieces.end(), random_);
-      if (random_() % 40 == 0) report_.pieces.push_back(report_.pieces.front());  // no worker does that: it travels whole
+      report_.tasks.push_back({{"j-" + std::to_string(random_() % 3), static_cast<std::uint32_t>(random_() % 4)},
+                               ++attempts_,
+                               Phase::pulling,
+                               Cause::none,
+                               false});
+      std::shuffle(report_.tasks.begin(), report_.tasks.end(), random_);
+      if (random_() % 40 == 0) report_.tasks.push_back(report_.tasks.front());  // no worker does that: it travels whole
     }
     return report_;
   }
@@ -104,7 +105,7 @@
       if (random() % 6 == 0) worker.skip();
       const Report& report = worker.next();
       const auto intake = random() % 8 == 0 ? random() % 2 : std::size_t{0};
-      const auto delta = senders[intake].delta(report);
+      const auto delta = senders[intake].encode(report);
       tally.whole += delta.kind == ReportDelta::Kind::whole;
       tally.difference += delta.kind == ReportDelta::Kind::difference;
       tally.unchanged += delta.kind == ReportDelta::Kind::unchanged;
@@ -121,14 +122,14 @@
       if (random() % 8 == 0) continue;                                        // or never, or its answer does not
       const auto batch = unpack_intake_batch(message.frame);
       ASSERT_TRUE(batch && batch->reports.size() == 1);
-      const Report* got = receiver.receive(batch->reports[0]);
+      const Report* got = receiver.decode(batch->reports[0]);
       if (!got) {
         ++tally.asked;
         senders[message.intake].forget(message.report.host);
         continue;
       }
       ASSERT_EQ(text_of(*got), text_of(message.report)) << "seed " << seed << ", step " << step;
-      if (random() % 8 != 0) senders[message.intake].acknowledged(message.report);
+      if (random() % 8 != 0) senders[message.intake].record_acknowledged(message.report);
     }
   }
 }
@@ -152,45 +153,45 @@
   ReportSender sender;
   ReportReceiver receiver;
   const Report first = worker.next();
-  ASSERT_TRUE(receiver.receive(sender.delta(first)));
-  sender.acknowledged(first);
+  ASSERT_TRUE(receiver.decode(sender.encode(first)));
+  sender.record_acknowledged(first);
   Report second = first;
   second.serial += 2;
-  second.pieces.push_back({{"j-9", 0}, 1, Phase::running, Cause::none, false});
-  const auto delta = sender.delta(second);
+  second.tasks.push_back({{"j-9", 0}, 1, Phase::running, Cause::none, false});
+  const auto delta = sender.encode(second);
   ASSERT_NE(delta.kind, ReportDelta::Kind::whole);
   ReportReceiver fresh;
-  EXPECT_EQ(fresh.receive(delta), nullptr) << "a new leader";
+  EXPECT_EQ(fresh.decode(delta), nullptr) << "a new leader";
   auto of_another_session = delta;
   ++of_another_session.tenure;
-  EXPECT_EQ(receiver.receive(of_another_session), nullptr);
+  EXPECT_EQ(receiver.decode(of_another_session), nullptr);
   auto onto_another = delta;
   ++onto_another.base_serial;
-  EXPECT_EQ(receiver.receive(onto_another), nullptr);
-  ASSERT_TRUE(receiver.receive(delta));
-  EXPECT_EQ(receiver.receive(delta), nullptr) << "a second copy: the report it builds on is no longer the newest";
+  EXPECT_EQ(receiver.decode(onto_another), nullptr);
+  ASSERT_TRUE(receiver.decode(delta));
+  EXPECT_EQ(receiver.decode(delta), nullptr) << "a second copy: the report it builds on is no longer the newest";
 }
 
 TEST(Intake, AnAnswerTravelsAsItIs) {
   IntakeAnswer answer;
-  answer.takeover = 7;
+  answer.takeover_epoch = 7;
   answer.epoch = 9;
-  answer.send_away = 3;
-  answer.send_to = "host-2";
+  answer.redirect_count = 3;
+  answer.redirect_target = "host-2";
   answer.answers = {{WorkerAnswer::Outcome::renewed, {{Verb::run, {"j-1", 4}, 2, 0}, {Verb::kill, {"j-2", 0}, 1, 4.5}}},
-                    {WorkerAnswer::Outcome::whole_wanted, {}},
+                    {WorkerAnswer::Outcome::full_required, {}},
                     {WorkerAnswer::Outcome::refused, {}},
-                    {WorkerAnswer::Outcome::not_now, {}}};
+                    {WorkerAnswer::Outcome::retry_later, {}}};
   const auto got = unpack_intake_answer(pack(answer));
   ASSERT_TRUE(got);
-  EXPECT_EQ(got->takeover, 7u);
+  EXPECT_EQ(got->takeover_epoch, 7u);
   EXPECT_EQ(got->epoch, 9u);
-  EXPECT_EQ(got->send_away, 3u);
-  EXPECT_EQ(got->send_to, "host-2");
+  EXPECT_EQ(got->redirect_count, 3u);
+  EXPECT_EQ(got->redirect_target, "host-2");
   ASSERT_EQ(got->answers.size(), 4u);
   for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(got->answers[i].outcome, answer.answers[i].outcome);
   ASSERT_EQ(got->answers[0].orders.size(), 2u);
-  EXPECT_EQ(got->answers[0].orders[0].verb, Verb::run);
+  EXPECT_EQ(got->answers[0].orders[0].type, Verb::run);
   EXPECT_EQ(got->answers[0].orders[1].id.uid, "j-2");
   EXPECT_DOUBLE_EQ(got->answers[0].orders[1].wind_down_s, 4.5);
 }
@@ -202,8 +203,8 @@
   ReportSender sender;
   for (int i = 0; i < 30; ++i) {
     const Report report = worker.next();
-    batch.reports.push_back(sender.delta(report));
-    sender.acknowledged(report);
+    batch.reports.push_back(sender.encode(report));
+    sender.record_acknowledged(report);
   }
   const Frame whole = pack(batch);
   ASSERT_TRUE(unpack_intake_batch(whole));
@@ -224,7 +225,7 @@
     ReportReceiver receiver;
     for (const auto& delta : got->reports) {
       EXPECT_FALSE(delta.host.empty());
-      receiver.receive(delta);
+      receiver.decode(delta);
     }
   }
 }
--- a/tests/jobs.hpp
+++ b/tests/jobs.hpp
@@ -10,8 +10,8 @@
   s.uid = uid;
   s.job_class = "c";
   s.owner = "red";
-  s.pieces = pieces;
-  s.need = {cores, 0, 1};
+  s.task_count = pieces;
+  s.demand = {cores, 0, 1};
   s.bundle = "img";
   s.expected_s = 10;
   return s;
--- a/tests/kept_ledger.hpp
+++ b/tests/kept_ledger.hpp
@@ -30,8 +30,8 @@
       ASSERT_EQ(g.placed.at(task).stopping, p.stopping) << w.uid << "/" << task << ", seed " << seed;
     }
     if (w.ended()) continue;
-    ASSERT_EQ(g.held, w.held) << w.uid << ", seed " << seed;
-    ASSERT_EQ(g.since, w.since) << w.uid << ", seed " << seed;
+    ASSERT_EQ(g.blocked, w.blocked) << w.uid << ", seed " << seed;
+    ASSERT_EQ(g.eligible_since, w.eligible_since) << w.uid << ", seed " << seed;
     ASSERT_EQ(g.urgency, w.urgency) << w.uid << ", seed " << seed;
     ASSERT_GE(g.attempts, w.attempts) << w.uid << ", seed " << seed;
   }
@@ -46,25 +46,26 @@
     std::deque<Pending> queue;
     for (const auto& r : records) queue.push_back({r, 0});
     do {
-      const auto draft = tail.draft(book, queue, limits_);
+      const auto draft = tail.prepare_commit(book, queue, limits_);
       sent_.emplace_back(draft, 0);
       ASSERT_TRUE(draft.too_large.empty()) << draft.too_large.front();
       ++stamp_;
       for (const auto& c : draft.conditions) ASSERT_EQ(c.stamp, entries.contains(c.key) ? stamps_[c.key] : 0) << c.key;
       for (const auto& p : draft.puts) {
-        if (const auto it = entries.find(p.key); it != entries.end()) reused += parse_entry(it->second).n != parse_entry(p.value).n;
+        if (const auto it = entries.find(p.key); it != entries.end())
+          reused += parse_entry(it->second).number != parse_entry(p.value).number;
         entries[p.key] = p.value;
         stamps_[p.key] = stamp_;
         ASSERT_LT(p.value.size(), limits_.value_bytes + 8) << p.key;
       }
       for (const auto& k : draft.removes) ASSERT_EQ(entries.erase(k), 1u) << k;
       removed += draft.removes.size();
-      tail.written(draft, stamp_);
+      tail.record_committed(draft, stamp_);
       expect_late_ones_change_nothing();
       for (std::size_t i = 0; i < draft.batch.size(); ++i) {
         const auto known = book.job_count();
         book.apply(draft.batch[i].record);
-        if (book.job_count() > known) tail.begins(draft.batch_in[i], JobIdx{static_cast<std::uint32_t>(known)});
+        if (book.job_count() > known) tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(known)});
       }
     } while (!queue.empty());
   }
@@ -72,9 +73,9 @@
   Book read(Tail& found, std::uint32_t level) const {
     Book book = fresh(most_record_bytes(limits_.value_bytes));
     Reader reader(book, 1, 4);
-    for (const auto& [key, value] : entries) EXPECT_TRUE(reader.take(row(key, value, stamps_.at(key)))) << reader.why();
-    EXPECT_TRUE(reader.finish()) << reader.why();
-    found = Tail(std::move(reader).found(), level);
+    for (const auto& [key, value] : entries) EXPECT_TRUE(reader.add_entry(row(key, value, stamps_.at(key)))) << reader.error();
+    EXPECT_TRUE(reader.finish()) << reader.error();
+    found = Tail(std::move(reader).contents(), level);
     return book;
   }
   static EntryPage::Row row(const std::string& key, const std::string& value, std::uint64_t stamp) {
@@ -120,7 +121,7 @@
   }
 
   static constexpr std::size_t kLateOnes = 200;
-  std::deque<std::pair<Tail::Draft, int>> sent_;  // and how often its conditions held later
+  std::deque<std::pair<Tail::PendingCommit, int>> sent_;  // and how often its conditions held later
   Tail::Limits limits_;
   std::map<std::string, std::uint64_t> stamps_;
   std::uint64_t stamp_ = 0;
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -204,7 +204,7 @@
     const Book book({Team{"red", {}, {}}});
     const auto entry_with = [&](const std::string& uid) {
       std::deque<Pending> queue{{CancelRecord{uid}, 1}};
-      return Tail({}, level).draft(book, queue, {4096, 2, 8}).puts.back();
+      return Tail({}, level).prepare_commit(book, queue, {4096, 2, 8}).puts.back();
     };
     const Put mine = entry_with("j-1"), others = entry_with("j-2");
     EXPECT_EQ(mine.key, others.key);
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -32,7 +32,7 @@
   j["later"] = {1, 2};
   j["dueS"] = nullptr;
   const auto s = parse_submission(j.dump());
-  EXPECT_EQ(s.pieces, 16u);
+  EXPECT_EQ(s.task_count, 16u);
   EXPECT_FALSE(s.due_s.has_value());
   EXPECT_TRUE(s.yard.empty());
 }
@@ -66,7 +66,7 @@
 TEST(Reports, MalformedOnesAreRefused) {
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":3,)";
   const auto r = parse_report(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
-  EXPECT_EQ(r.pieces.at(0).id.task, 3u);
+  EXPECT_EQ(r.tasks.at(0).id.task, 3u);
   for (const char* tail :
        {R"("pieces":3})", R"("pieces":[{"piece":"j-1","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/99999999","try":2,"status":"running"}]})",
@@ -85,13 +85,13 @@
   EXPECT_TRUE(r.loaner);
   EXPECT_EQ(r.serial, 2u);
   EXPECT_EQ(r.recall_s, 4.5);
-  ASSERT_EQ(r.pieces.size(), 2u);
-  EXPECT_EQ(r.pieces[0].attempt, 2u);
-  EXPECT_EQ(r.pieces[0].cause, Cause::halted);
-  EXPECT_TRUE(r.pieces[0].kept);
-  EXPECT_EQ(r.pieces[1].id.uid, "j-2");
-  EXPECT_EQ(r.pieces[1].cause, Cause::error);
-  EXPECT_FALSE(r.pieces[1].kept);
+  ASSERT_EQ(r.tasks.size(), 2u);
+  EXPECT_EQ(r.tasks[0].attempt, 2u);
+  EXPECT_EQ(r.tasks[0].cause, Cause::halted);
+  EXPECT_TRUE(r.tasks[0].checkpointed);
+  EXPECT_EQ(r.tasks[1].id.uid, "j-2");
+  EXPECT_EQ(r.tasks[1].cause, Cause::error);
+  EXPECT_FALSE(r.tasks[1].checkpointed);
   EXPECT_THROW(parse_report("[]"), Malformed);
   EXPECT_THROW(parse_report("{"), Malformed);
 }
@@ -108,7 +108,7 @@
   EXPECT_TRUE(accept.job.one_zone);
   EXPECT_DOUBLE_EQ(accept.draw, 0.25);
   const auto& start = std::get<StartRecord>(entry.records.at(1));
-  EXPECT_EQ(start.parts.at(0).tasks, (Ranges{{0, 4}, {6, 7}}));
+  EXPECT_EQ(start.assignments.at(0).tasks, (Ranges{{0, 4}, {6, 7}}));
   EXPECT_THROW(parse_entry(R"({"seq":1,"records":[["start"]]})"), Malformed);
 }
 
--- a/tests/old_reports_test.cpp
+++ b/tests/old_reports_test.cpp
@@ -27,8 +27,7 @@
   Report report() {
     Report r{"m-1", "a", "big", "x", false, tenure, ++serial, epoch, std::nullopt, {}};
     for (const auto& [key, ended] : pieces)
-      r.pieces.push_back(
-          {{"j-1", key.first}, key.second, ended ? Phase::exited : Phase::running, ended ? Cause::done : Cause::none, false});
+      r.tasks.push_back({{"j-1", key.first}, key.second, ended ? Phase::exited : Phase::running, ended ? Cause::done : Cause::none, false});
     return r;
   }
   void execute(const std::vector<Order>& orders, std::uint64_t as_epoch, std::uint64_t of_tenure) {
@@ -36,14 +35,14 @@
     epoch = as_epoch;
     for (const auto& o : orders) {
       const std::pair key{o.id.task, o.attempt};
-      if (o.verb == Verb::run && !pieces.contains(key)) {
+      if (o.type == Verb::run && !pieces.contains(key)) {
         if (!ever.insert(key).second) wrong = "ran_again";
         for (const auto& [other, ended] : pieces)
           if (other.first == key.first && !ended) wrong = "ran_twice";
         pieces[key] = false;
-      } else if (o.verb == Verb::kill && pieces.contains(key)) {
+      } else if (o.type == Verb::kill && pieces.contains(key)) {
         pieces.erase(key);
-      } else if (o.verb == Verb::reap && pieces.contains(key) && pieces[key]) {
+      } else if (o.type == Verb::reap && pieces.contains(key) && pieces[key]) {
         pieces.erase(key);
         reaped.insert(key);
       }
@@ -55,7 +54,7 @@
   Book book = book_of_red(8);
   Flavor f;
   f.name = "big";
-  f.room = {8, 0, 32};
+  f.capacity = {8, 0, 32};
   book.apply(FlavorsRecord{{f}});
   book.apply(AcceptRecord{submission("j-1", kTasks, 1), 0.5, 1});
   return book;
@@ -142,7 +141,7 @@
         const auto hear = [&](const Report& r) {
           conclude(now, book, r, kNew, true);
           const HostIdx h = book.find_host("m-1");
-          now.execute(orders_for(book, h, kNew), kNew, book.host(h).tenure);
+          now.execute(orders_for(book, h, kNew), kNew, book.host(h).agent.incarnation);
         };
         hear(w.heard[a]);
         if (b < w.heard.size()) hear(w.heard[b]);
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -44,10 +44,10 @@
   book.apply(start("j-2", 1, {{0, 2}}));
   book.apply(DoneRecord{"j-1", {{0, 2}}, 20});
   book.apply(DoneRecord{"j-2", {{0, 1}}, 21});
-  EXPECT_TRUE(job(book, "j-3").held) << "one task of what it needs is left";
+  EXPECT_TRUE(job(book, "j-3").blocked) << "one task of what it needs is left";
   book.apply(DoneRecord{"j-2", {{1, 2}}, 25});
   EXPECT_TRUE(is_live(book, "j-3"));
-  EXPECT_EQ(job(book, "j-3").since, 25) << "its times count from the end of the last job that it needs";
+  EXPECT_EQ(job(book, "j-3").eligible_since, 25) << "its times count from the end of the last job that it needs";
   EXPECT_EQ(job(book, "j-3").accepted_at, 12);
   book.apply(start("j-3", 2, {{0, 2}}));
   EXPECT_EQ(job(book, "j-3").placed.size(), 2u);
@@ -62,24 +62,24 @@
   for (int i = 1; i <= kDeep; ++i) book.apply(accept(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}), 2));
   book.apply(accept(after("j-900001", {"j-0", "j-900000"}), 3));
   book.apply(accept(after("j-900002", {"j-900000"}), 3));
-  EXPECT_EQ(book.pipelines().counts().waiting, kDeep + 2u);
+  EXPECT_EQ(book.pipelines().counts().blocked, kDeep + 2u);
   book.apply(CancelRecord{"j-0"});
   for (const auto& uid : {std::string("j-1"), "j-" + std::to_string(kDeep), std::string("j-900001")})
     EXPECT_EQ(job(book, uid).status, JobStatus::aborted) << uid;
   EXPECT_EQ(job(book, "j-900002").status, JobStatus::queued);
-  EXPECT_EQ(book.pipelines().counts().waiting, 1u);
+  EXPECT_EQ(book.pipelines().counts().blocked, 1u);
   EXPECT_EQ(book.pipelines().counts().cancelled, kDeep + 1u);
   // Naming one that is cancelled, when it comes; and one that is done.
   book.apply(accept(after("j-900003", {"j-900000", "j-1"}), 4));
   EXPECT_EQ(job(book, "j-900003").status, JobStatus::aborted);
   book.apply(start("j-900000", 1, {{0, 2}}));
   book.apply(DoneRecord{"j-900000", {{0, 2}}, 30});
-  EXPECT_EQ(job(book, "j-900002").since, 30);
+  EXPECT_EQ(job(book, "j-900002").eligible_since, 30);
   book.apply(CancelRecord{"j-900000"});
   EXPECT_EQ(job(book, "j-900002").status, JobStatus::queued) << "answered done, it goes on";
   book.apply(accept(after("j-900004", {"j-900000"}), 40));
   EXPECT_TRUE(is_live(book, "j-900004"));
-  EXPECT_EQ(job(book, "j-900004").since, 40);
+  EXPECT_EQ(job(book, "j-900004").eligible_since, 40);
 }
 
 TEST(Pipelines, RankAndDeadlineOfTheLastCountForAllBeforeIt) {
@@ -129,7 +129,7 @@
     const Tail::Limits limits{1843, 3, 4};
     Book book = fresh(most_record_bytes(limits.value_bytes));
     Ledger ledger(limits);
-    ledger.tail.write_at(4);
+    ledger.tail.set_format_version(4);
     const auto some = [&](std::size_t n) { return static_cast<std::uint32_t>(random() % n); };
     for (int step = 0; step < 400; ++step) {
       std::vector<Record> records;
@@ -150,10 +150,10 @@
       } else {
         const Job& of = book.job(j);
         StartRecord starts{of.uid, of.attempts + 1, now, {}};
-        DoneRecord done{of.uid, {}, book.pipelines().needed(j) ? now : 0};
+        DoneRecord done{of.uid, {}, book.pipelines().has_dependents(j) ? now : 0};
         for (std::uint32_t t = 0; t < of.tasks.size(); ++t) {
           if (of.tasks[t] == TaskState::waiting && some(4) > 0 && !of.ended())
-            starts.parts.push_back({"m-" + std::to_string(t % 7), 1, {{t, t + 1}}});
+            starts.assignments.push_back({"m-" + std::to_string(t % 7), 1, {{t, t + 1}}});
           if (of.tasks[t] == TaskState::placed && some(5) > 0) add_to(done.tasks, t);
         }
         for (auto& r : in_fitting_records(starts, book.record_bytes())) records.emplace_back(std::move(r));
@@ -167,8 +167,8 @@
       const Book again = ledger.read(found, 4);
       expect_same(again, book, seed);
       if (testing::Test::HasFailure()) return;
-      EXPECT_EQ(again.pipelines().counts().unread_names, 0u);
-      EXPECT_EQ(again.pipelines().counts().waiting, book.pipelines().counts().waiting);
+      EXPECT_EQ(again.pipelines().counts().unresolved_names, 0u);
+      EXPECT_EQ(again.pipelines().counts().blocked, book.pipelines().counts().blocked);
       EXPECT_EQ(std::set<std::string>([&] {
                   std::set<std::string> out;
                   for (JobIdx l : again.live()) out.insert(again.job(l).uid);
@@ -182,7 +182,7 @@
           << "seed " << seed;
       for (std::uint32_t i = 0; i < again.job_count(); ++i)
         for (const auto& name : again.job(JobIdx{i}).spec.waits_on) before_named += again.find(name).v > i;
-      ready += book.pipelines().counts().ready > 0;
+      ready += book.pipelines().counts().eligible > 0;
       cancelled += book.pipelines().counts().cancelled > 0;
       if (some(50) == 0) book = ledger.read(ledger.tail, 4);
     }
@@ -200,26 +200,27 @@
   const Tail::Limits limits{1843, 4, 5};
   Book book = fresh(most_record_bytes(limits.value_bytes));
   Ledger ledger(limits);
-  ledger.tail.write_at(4);
+  ledger.tail.set_format_version(4);
   const auto long_uid = [](int i) { return "j-" + std::string(26, '9') + std::to_string(1000 + i); };
   for (int i = 0; i < 120; ++i) ledger.commit(book, {accept(after(long_uid(i), {}), 1)});
   auto widest = after("j-1", {}, 4000);
   widest.job_class = std::string(200, 'c');
   widest.bundle = std::string(200, 'b');
-  ASSERT_TRUE(Tail::takes(accept(widest, 1), limits.value_bytes));
+  ASSERT_TRUE(Tail::fits_in_entry(accept(widest, 1), limits.value_bytes));
   ledger.commit(book, {accept(widest, 1)});
   auto names = after("j-2", {});
-  while (Tail::takes(accept(names, 1), limits.value_bytes)) names.waits_on.push_back(long_uid(static_cast<int>(names.waits_on.size())));
+  while (Tail::fits_in_entry(accept(names, 1), limits.value_bytes))
+    names.waits_on.push_back(long_uid(static_cast<int>(names.waits_on.size())));
   EXPECT_GT(names.waits_on.size(), 20u);
   names.waits_on.pop_back();
   ledger.commit(book, {accept(names, 1)});
   auto escaped = widest;
   escaped.bundle = std::string(200, '\1');
-  EXPECT_FALSE(Tail::takes(accept(escaped, 1), limits.value_bytes)) << "refused at the door";
+  EXPECT_FALSE(Tail::fits_in_entry(accept(escaped, 1), limits.value_bytes)) << "refused at the door";
   // Scattered tasks over many machines with long names.
   StartRecord all{"j-1", 1, 1, {}};
   for (std::uint32_t t = 0; t < 4000; t += 2)
-    all.parts.push_back({"m-" + std::string(40, 'x') + std::to_string(t % 97), 12345678901234567890u, {{t, t + 1}}});
+    all.assignments.push_back({"m-" + std::string(40, 'x') + std::to_string(t % 97), 12345678901234567890u, {{t, t + 1}}});
   for (auto& r : in_fitting_records(all, book.record_bytes())) ledger.commit(book, {r});
   ASSERT_EQ(job(book, "j-1").placed.size(), 2000u);
   std::vector<Record> ends;
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -20,12 +20,12 @@
   for (std::uint32_t i = 0; i < hosts; ++i) {
     PlanHost h;
     h.host = HostIdx{i};
-    h.kind = KindIdx{i % 3};
+    h.machine_type = KindIdx{i % 3};
     h.zone = ZoneIdx{some(2)};
     h.loaner = some(3) == 0;
-    h.room = i % 3 == 0 ? Resources{8, 0, 32} : i % 3 == 1 ? Resources{32, 0, 128} : Resources{64, 8, 384};
+    h.capacity = i % 3 == 0 ? Resources{8, 0, 32} : i % 3 == 1 ? Resources{32, 0, 128} : Resources{64, 8, 384};
     h.fetch_gb_per_s = 0.2;
-    Resources left = h.room;
+    Resources left = h.capacity;
     while (some(25) != 0) {
       const Resources need{1.0 + some(4), 0, 2.0 + some(8)};
       if (!need.fits(left)) break;
@@ -44,8 +44,8 @@
     j.gang = what == 0;
     j.service = what == 1;
     j.units = j.gang ? 1 + some(8) : j.service ? 2 + some(14) : 20 + some(300);
-    j.need = j.gang ? Resources{57, 8, 310} : Resources{1.0 + some(3), 0, 2};
-    j.run_s = 10 + some(100);
+    j.demand = j.gang ? Resources{57, 8, 310} : Resources{1.0 + some(3), 0, 2};
+    j.estimated_run_s = 10 + some(100);
     j.pull_gb = 0.5 + some(4);
     j.image = ImageIdx{some(12)};
     j.team = TeamIdx{some(2)};
@@ -53,7 +53,7 @@
     j.key = some(1000) / 1000.0;
     j.one_zone = j.gang;
     j.loaners = what > 1;
-    if (j.service) j.zone_cap = (j.units + 1) / 2;
+    if (j.service) j.max_tasks_per_zone = (j.units + 1) / 2;
     in.jobs.push_back(j);
   }
   in.teams.assign(2, TeamRoom{{9000, 300, 1e9}});
@@ -68,12 +68,12 @@
   };
   std::map<HostIdx, std::vector<Use>> uses;
   for (const auto& h : in.hosts)
-    for (const auto& o : h.occupants) uses[h.host].push_back({in.now, o.until <= in.now ? in.now + in.overrun_s : o.until, o.need});
-  for (const auto* slots : {&plan.starts, &plan.holds}) {
+    for (const auto& o : h.occupants) uses[h.host].push_back({in.now, o.until <= in.now ? in.now + in.overrun_s : o.until, o.demand});
+  for (const auto* slots : {&plan.starts, &plan.reservations}) {
     for (const auto& s : *slots) {
       const PlanJob& job = in.jobs[s.job.v];
-      const double length = job.service ? kForever : s.pull_s + job.run_s;
-      uses[s.host].push_back({s.at, s.at + length, job.need * s.count});
+      const double length = job.service ? kForever : s.pull_s + job.estimated_run_s;
+      uses[s.host].push_back({s.at, s.at + length, job.demand * s.count});
     }
   }
   for (const auto& [h, list] : uses) {
@@ -81,7 +81,7 @@
       Resources sum;
       for (const auto& u : list)
         if (u.from <= at.from && at.from < u.until) sum += u.need;
-      ASSERT_TRUE(sum.fits(in.hosts[h.v].room)) << "machine " << h.v << " at " << at.from;
+      ASSERT_TRUE(sum.fits(in.hosts[h.v].capacity)) << "machine " << h.v << " at " << at.from;
     }
   }
 }
@@ -92,14 +92,14 @@
     const auto in = fleet(seed, 420, 60);
     const Plan plan = make_plan(in);
     ASSERT_FALSE(plan.starts.empty());
-    holds += plan.holds.size();
+    holds += plan.reservations.size();
     expect_room(in, plan);
     if (HasFatalFailure()) return;
     std::vector<Resources> team(2);
     std::map<JobIdx, std::map<ZoneIdx, std::uint32_t>> zones;
     std::map<JobIdx, std::uint32_t> given;
-    for (const auto& s : plan.starts) team[in.jobs[s.job.v].team.v] += in.jobs[s.job.v].need * s.count;
-    for (const auto* slots : {&plan.starts, &plan.holds}) {
+    for (const auto& s : plan.starts) team[in.jobs[s.job.v].team.v] += in.jobs[s.job.v].demand * s.count;
+    for (const auto* slots : {&plan.starts, &plan.reservations}) {
       for (const auto& s : *slots) {
         const PlanJob& job = in.jobs[s.job.v];
         EXPECT_TRUE(may_run_on(job, in.hosts[s.host.v]));
@@ -115,7 +115,7 @@
         EXPECT_EQ(n, job.units) << "a gang is one unit";
         EXPECT_EQ(zones[j].size(), 1u);
       }
-      for (const auto& [z, in_zone] : zones[j]) EXPECT_LE(in_zone, job.zone_cap);
+      for (const auto& [z, in_zone] : zones[j]) EXPECT_LE(in_zone, job.max_tasks_per_zone);
     }
   }
   EXPECT_GT(holds, 100u);
@@ -130,7 +130,7 @@
     for (std::uint32_t i = 0; i < in.jobs.size(); ++i) in.jobs[i].job = JobIdx{i};
     const auto slots_of = [](const Plan& plan, std::uint32_t before) {
       std::vector<std::tuple<std::uint32_t, std::uint32_t, std::uint32_t, double>> out;
-      for (const auto* slots : {&plan.starts, &plan.holds})
+      for (const auto* slots : {&plan.starts, &plan.reservations})
         for (const auto& s : *slots)
           if (s.job.v < before) out.emplace_back(s.job.v, s.host.v, s.count, s.at);
       return out;
@@ -152,8 +152,8 @@
     job.job = JobIdx{0};
     job.gang = job.one_zone = true;
     job.units = 3 + seed % 3;
-    job.need = {57, 8, 310};
-    job.run_s = 50;
+    job.demand = {57, 8, 310};
+    job.estimated_run_s = 50;
     job.team = TeamIdx{0};
     const Plan plan = make_plan(in);
     // Plain: every moment at which something ends, each zone, machines that have the room from then on.
@@ -167,12 +167,12 @@
       for (std::uint32_t z = 0; z < 2; ++z) {
         std::uint32_t units = 0;
         for (std::size_t h = 0; h < in.hosts.size(); ++h)
-          if (in.hosts[h].zone.v == z && may_run_on(job, in.hosts[h])) units += profiles[h].fits(job.need, t, job.run_s);
+          if (in.hosts[h].zone.v == z && may_run_on(job, in.hosts[h])) units += profiles[h].fits(job.demand, t, job.estimated_run_s);
         if (units >= job.units) first = std::min(first, t);
       }
     }
     double got = kForever;
-    for (const auto* slots : {&plan.starts, &plan.holds})
+    for (const auto* slots : {&plan.starts, &plan.reservations})
       for (const auto& s : *slots) got = std::min(got, s.at);
     EXPECT_EQ(got, first) << "seed " << seed;
     if (first > in.now && first < kForever) ++later;
@@ -187,7 +187,7 @@
     std::size_t units = 0;
     for (const auto& j : in.jobs) units += j.units;
     ASSERT_GT(units, 2000u);
-    EXPECT_LT(make_plan(in).looks, 3 * in.hosts.size() * in.jobs.size());
+    EXPECT_LT(make_plan(in).examined_nodes, 3 * in.hosts.size() * in.jobs.size());
   }
 }
 
@@ -200,10 +200,10 @@
   for (std::uint32_t i = 0; i < 2; ++i) {
     PlanHost h;
     h.host = HostIdx{i};
-    h.kind = KindIdx{i};
+    h.machine_type = KindIdx{i};
     h.zone = ZoneIdx{0};
     h.loaner = i == 1;
-    h.room = {1, 0, 8};
+    h.capacity = {1, 0, 8};
     h.occupants = {{{i == 0 ? 0.7 : 0.2, 0, 1}, 200}};
     in.hosts.push_back(h);
   }
@@ -211,8 +211,8 @@
     PlanJob j;
     j.job = JobIdx{static_cast<std::uint32_t>(in.jobs.size())};
     j.units = 1;
-    j.need = {cores, 0, 0.1};
-    j.run_s = 10;
+    j.demand = {cores, 0, 0.1};
+    j.estimated_run_s = 10;
     j.key = key;
     j.loaners = loaners;
     in.jobs.push_back(j);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -45,15 +45,15 @@
         else if (word == "image")
           h.images.push_back(ImageIdx{0});
         else if (words >> value; word == "kind")
-          h.kind = KindIdx{id(kinds, value)};
+          h.machine_type = KindIdx{id(kinds, value)};
         else if (word == "zone")
           h.zone = ZoneIdx{id(zones, value)};
         else if (word == "cores")
-          h.room.cores = std::stod(value);
+          h.capacity.cores = std::stod(value);
         else if (word == "gpus")
-          h.room.accelerators = std::stod(value);
+          h.capacity.accelerators = std::stod(value);
         else if (word == "ram")
-          h.room.ram_gb = std::stod(value);
+          h.capacity.ram_gb = std::stod(value);
         else if (word == "fetch")
           h.fetch_gb_per_s = std::stod(value);
         else
@@ -68,9 +68,9 @@
         double value = 0;
         words >> value;
         if (word == "cores")
-          o.need.cores = value;
+          o.demand.cores = value;
         else if (word == "ram")
-          o.need.ram_gb = value;
+          o.demand.ram_gb = value;
         else if (word == "until")
           o.until = value;
         else
@@ -82,7 +82,7 @@
       words >> name >> word;
       id(teams, name);
       TeamRoom room{{0, 1e9, 1e9}};
-      words >> room.left.cores;
+      words >> room.remaining.cores;
       t.input.teams.push_back(room);
     } else {
       words >> name;
@@ -109,15 +109,15 @@
         std::string value;
         words >> value;
         if (word == "cores")
-          j.need.cores = std::stod(value);
+          j.demand.cores = std::stod(value);
         else if (word == "gpus")
-          j.need.accelerators = std::stod(value);
+          j.demand.accelerators = std::stod(value);
         else if (word == "ram")
-          j.need.ram_gb = std::stod(value);
+          j.demand.ram_gb = std::stod(value);
         else if (word == "pull")
           j.pull_gb = std::stod(value), j.image = ImageIdx{0};
         else if (word == "run")
-          j.run_s = std::stod(value);
+          j.estimated_run_s = std::stod(value);
         else if (word == "key")
           j.key = std::stod(value);
         else if (word == "tier")
@@ -131,8 +131,8 @@
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      if (draw >= 0) j.key = key_of(draw, j.run_s, 0.1 / 3600, waited, j.service);
-      if (spread) j.zone_cap = (j.units + 1) / 2;
+      if (draw >= 0) j.key = key_of(draw, j.estimated_run_s, 0.1 / 3600, waited, j.service);
+      if (spread) j.max_tasks_per_zone = (j.units + 1) / 2;
       t.jobs.push_back(name);
       t.input.jobs.push_back(j);
     }
@@ -154,7 +154,7 @@
     got.push_back(out.str());
   };
   for (const auto& s : plan.starts) say(s, true);
-  for (const auto& s : plan.holds) say(s, false);
+  for (const auto& s : plan.reservations) say(s, false);
   auto expected = t.expected;
   std::sort(expected.begin(), expected.end());
   std::sort(got.begin(), got.end());
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -12,7 +12,7 @@
   Preemption() : book({{"red", {2, 0, 0}, {}, {}}, {"blue", {2, 0, 0}, {}, {}}}) {
     Flavor f;
     f.name = "big";
-    f.room = {4, 0, 32};
+    f.capacity = {4, 0, 32};
     book.apply(FlavorsRecord{{f}});
     book.describe(book.host_named("m-1"), "", "big", "x", false);
   }
@@ -22,8 +22,8 @@
     r.job.owner = team;
     r.job.shape = shape;
     r.job.rank = rank;
-    r.job.pieces = pieces;
-    r.job.need = {1, 0, 1};
+    r.job.task_count = pieces;
+    r.job.demand = {1, 0, 1};
     book.apply(r);
     if (placed) book.apply(StartRecord{uid, 1, 0, {{"m-1", 1, {{0, placed}}}}});
     return book.find(uid);
@@ -33,15 +33,15 @@
     in.now = 1000;
     PlanHost h;
     h.host = book.find_host("m-1");
-    h.kind = book.kind_of("big");
+    h.machine_type = book.kind_of("big");
     h.zone = book.zone_of("x");
-    h.room = {4, 0, 32};
-    for (const auto& ref : book.host(h.host).placed) h.occupants.push_back({book.job(ref.job).spec.need, kForever});
+    h.capacity = {4, 0, 32};
+    for (const auto& ref : book.host(h.host).placed) h.occupants.push_back({book.job(ref.job).spec.demand, kForever});
     in.hosts.push_back(h);
     PlanJob p;
     p.job = j;
     p.units = 1;
-    p.need = {1, 0, 1};
+    p.demand = {1, 0, 1};
     p.service = book.job(j).spec.shape == Shape::service;
     p.team = book.job(j).team;
     in.jobs.push_back(p);
@@ -115,11 +115,11 @@
     for (const char* name : {"m-1", "m-2"}) {
       PlanHost h;
       h.host = book.find_host(name);
-      h.kind = book.kind_of("big");
+      h.machine_type = book.kind_of("big");
       h.zone = book.host(h.host).zone;
-      h.room = {4, 0, 32};
+      h.capacity = {4, 0, 32};
       h.fetch_gb_per_s = 0.2;
-      for (const auto& ref : book.host(h.host).placed) h.occupants.push_back({book.job(ref.job).spec.need, 1030});
+      for (const auto& ref : book.host(h.host).placed) h.occupants.push_back({book.job(ref.job).spec.demand, 1030});
       in.hosts.push_back(h);
     }
     in.hosts[0].images = {ImageIdx{7}};
@@ -127,7 +127,7 @@
     p.job = mine;
     p.units = 1;
     p.service = true;
-    p.need = {1, 0, 1};
+    p.demand = {1, 0, 1};
     p.pull_gb = 1;
     p.image = ImageIdx{7};
     p.run_within_s = 2;
--- a/tests/renewal_test.cpp
+++ b/tests/renewal_test.cpp
@@ -95,7 +95,7 @@
   }
   void step_down(Node& n) {
     n.leads = false;
-    n.custody.drop();
+    n.custody.revoke();
   }
   void begin_anew(std::size_t i) {
     const auto process = nodes_[i].process + 1;
@@ -128,10 +128,10 @@
           n.cancelled = ledger_cancelled_;
           n.off = ledger_off_;
           n.cancelled_at = 0;
-          n.custody.drop();
+          n.custody.revoke();
         }
       }
-      if (read(n)) n.custody.granted(n.epoch, now_, owed(n, i));
+      if (read(n)) n.custody.grant(n.epoch, now_, owed(n, i));
     }
     if (now_ <= hold_until_) return;
     for (std::size_t i : {1, 2, 0}) {
@@ -150,18 +150,18 @@
       Node& f = nodes_[to];
       if (l.epoch >= f.known_epoch) {
         if (f.leads) step_down(f);
-        f.custody.heard(l.epoch);
+        f.custody.observe_leader(l.epoch);
         f.known_epoch = l.epoch;
         f.known_leader = from;
         const double age = read(l) ? owed(l, to) : kCancel;
-        if (certain(l) && read(l) && l.marked_by[to] == f.process && age < kCancel) f.custody.granted(l.epoch, l.mark[to], age);
+        if (certain(l) && read(l) && l.marked_by[to] == f.process && age < kCancel) f.custody.grant(l.epoch, l.mark[to], age);
       } else {
         l.known_epoch = f.known_epoch;
         l.known_leader = f.known_leader;
         step_down(l);
         return;
       }
-      l.backing.answered(index, f.process, now_, f.known_epoch, certain(l));
+      l.backing.record_ack(index, f.process, now_, f.known_epoch, certain(l));
       l.marked_by[to] = f.process;
       l.mark[to] = now_;
     }
@@ -176,7 +176,7 @@
         n.cancelled_at = now_;
       }
       // By the answer to a withdrawal, or to any later question, of a leader in doubt too.
-      if (n.cancelled && told_at_ < 0 && (without_.telling_waits || n.off || n.backing.known(n.epoch))) told_at_ = now_;
+      if (n.cancelled && told_at_ < 0 && (without_.telling_waits || n.off || n.backing.is_takeover_known(n.epoch))) told_at_ = now_;
     }
   }
 
@@ -186,8 +186,8 @@
     Node& n = nodes_[at_];
     if (n.leads && epoch_ > n.epoch) step_down(n);
     if (!n.leads) {
-      if (n.custody.keeps(now_) && at_ == t_.zone && epoch_ <= n.custody.epoch()) {
-        n.custody.kept(now_);
+      if (n.custody.is_active(now_) && at_ == t_.zone && epoch_ <= n.custody.epoch()) {
+        n.custody.record_renewal(now_);
         answered(n.custody.epoch(), false);
         kept_ = true;
       } else {
@@ -197,15 +197,16 @@
     }
     const bool own = at_ == t_.zone;
     const bool knows = read(n) || without_.reading_waits;
-    const Standing s{knows, certain(n), n.backing.majority(now_), own && (read(n) ? n.custody.keeps(now_) : n.custody.granted_still(now_))};
+    const Standing s{knows, certain(n), n.backing.has_quorum(now_),
+                     own && (read(n) ? n.custody.is_active(now_) : n.custody.is_granted(now_))};
     const Renewal may = renewal(s, on_);
-    if (may == Renewal::none) {
+    if (may == Renewal::refuse) {
       at_ = (at_ + 1) % kControllers;
       return;
     }
-    if (!certain(n) && !s.backed) n.custody.kept(now_);
-    const bool kill = read(n) && n.cancelled && (may == Renewal::orders || !without_.kills_in_doubt);
-    killed_in_doubt_ = killed_in_doubt_ || (kill && on_ && may == Renewal::kills);
+    if (!certain(n) && !s.has_quorum) n.custody.record_renewal(now_);
+    const bool kill = read(n) && n.cancelled && (may == Renewal::all_commands || !without_.kills_in_doubt);
+    killed_in_doubt_ = killed_in_doubt_ || (kill && on_ && may == Renewal::kills_only);
     answered(n.epoch, kill);
     if (read(n) && !on_) {
       n.off = true;
--- a/tests/renting_test.cpp
+++ b/tests/renting_test.cpp
@@ -23,13 +23,15 @@
     const HostIdx h = book.host_named(name);
     book.describe(h, "", kind, yard, loaner);
     Host& host = book.host(h);
-    host.listed = true;
-    host.status = Machine::Status::booting;
-    host.rented_at = now - held_s;
+    host.instance.listed = true;
+    host.instance.status = Machine::Status::booting;
+    host.instance.requested_at = now - held_s;
     return host;
   }
   std::optional<Rental> choose(std::uint32_t units) { return choose_rental({book, {{book.find("j-1"), units}}, refused, now, 50}); }
-  std::string offer(const Rental& r) const { return book.kind_name(r.offer.kind) + " " + r.offer.yard + (r.offer.loaner ? " spot" : ""); }
+  std::string offer(const Rental& r) const {
+    return book.kind_name(r.offer.machine_type) + " " + r.offer.yard + (r.offer.loaner ? " spot" : "");
+  }
 
   Book book;
   std::set<Offer> refused;
@@ -69,12 +71,12 @@
 
 TEST_F(Renting, AMachineThatIsUpOrGivenUpIsNotExpected) {
   Host& m = machine("m-1", "large", "x", true, 5);
-  const Flavor* f = book.flavor(m.kind);
+  const Flavor* f = book.flavor(m.machine_type);
   EXPECT_EQ(coming(m, f, now), Coming::likely);
   EXPECT_EQ(coming(m, f, now + 60), Coming::late);
   EXPECT_FALSE(never_came(m, f, now + 60));
   EXPECT_TRUE(never_came(m, f, now + 130));
-  m.reported = true;
+  m.agent.has_reported = true;
   EXPECT_EQ(coming(m, f, now), Coming::no);
   EXPECT_FALSE(never_came(m, f, now + 130));
 }
@@ -82,11 +84,11 @@
 // Rented by an earlier leader: only the list tells for how long, and an old list may say that it boots still.
 TEST_F(Renting, WhatAnEarlierLeaderRentedCountsByTheList) {
   Host& m = machine("m-1", "large", "x", true, 0);
-  m.rented_at = 0;
-  m.listed_at = now - 10;
-  m.held_s = 45;
+  m.instance.requested_at = 0;
+  m.instance.listed_at = now - 10;
+  m.instance.age_s = 45;
   EXPECT_DOUBLE_EQ(held_for(m, now), 55);
-  EXPECT_EQ(coming(m, book.flavor(m.kind), now), Coming::late);
+  EXPECT_EQ(coming(m, book.flavor(m.machine_type), now), Coming::late);
 }
 
 TEST_F(Renting, RefusedOffersAreNotAskedForAgain) {
--- a/tests/repeated_reports_test.cpp
+++ b/tests/repeated_reports_test.cpp
@@ -20,8 +20,8 @@
   record.job.job_class = "c";
   record.job.bundle = "i";
   record.job.shape = shape;
-  record.job.pieces = kTasks;
-  record.job.need = {1, 0, 1};
+  record.job.task_count = kTasks;
+  record.job.demand = {1, 0, 1};
   return record;
 }
 
@@ -30,7 +30,7 @@
   Side() : book({{"red", {}, {}, {}}}) {
     Flavor flavor;
     flavor.name = "big";
-    flavor.room = {64, 0, 256};
+    flavor.capacity = {64, 0, 256};
     apply(FlavorsRecord{{flavor}});
   }
   void apply(const Record& record) { book.apply(record); }
@@ -49,8 +49,8 @@
   const HostIdx h = book.find_host("m-1");
   if (!h.valid()) return out;
   const Host& host = book.host(h);
-  out += std::to_string(host.tenure) + "/" + std::to_string(host.serial) + (host.lost ? " lost" : "") + ":";
-  for (const auto& seen : host.pieces)
+  out += std::to_string(host.agent.incarnation) + "/" + std::to_string(host.agent.serial) + (host.lease_expired ? " lost" : "") + ":";
+  for (const auto& seen : host.agent.tasks)
     out += " " + std::to_string(seen.ref.job.v) + "/" + std::to_string(seen.ref.task) + "." + std::to_string(seen.attempt) + "=" +
            std::to_string(static_cast<int>(seen.phase)) + seen.uid;
   for (const auto& uid : kJobs) {
@@ -59,10 +59,10 @@
     out += "\n" + uid + " " + std::to_string(static_cast<int>(book.job(j).status));
     for (const auto& [task, p] : book.job(j).placed)
       out += " " + std::to_string(task) + "." + std::to_string(p.attempt) + "=" + std::to_string(static_cast<int>(p.phase)) +
-             (p.seen ? "s" : "") + (p.closing ? "c" : "") + (p.stopping ? "x" : "") + std::to_string(p.running_at);
+             (p.reported ? "s" : "") + (p.end_pending ? "c" : "") + (p.stopping ? "x" : "") + std::to_string(p.running_at);
   }
   for (const auto& order : orders_for(book, h, kEpoch))
-    out += "\n" + std::to_string(static_cast<int>(order.verb)) + order.id.uid + "/" + std::to_string(order.id.task);
+    out += "\n" + std::to_string(static_cast<int>(order.type)) + order.id.uid + "/" + std::to_string(order.id.task);
   return out;
 }
 
@@ -123,7 +123,7 @@
     Report report{"m-1", "127.0.0.1:1", "big", "x", false, tenure_, ++serial_, kEpoch, std::nullopt, on_machine_};
     const bool same = by_report && says_ == text(report);
     const auto records = plain.take(report, now_, by_report);
-    if (same) report.repeats = said_serial_;
+    if (same) report.repeated_serial = said_serial_;
     if (by_report) {
       says_ = text(report);
       said_serial_ = report.serial;
@@ -137,7 +137,7 @@
   }
   static std::string text(const Report& report) {
     std::string out = std::to_string(report.tenure);
-    for (const auto& p : report.pieces)
+    for (const auto& p : report.tasks)
       out += " " + p.id.uid + "/" + std::to_string(p.id.task) + "." + std::to_string(p.attempt) +
              std::to_string(static_cast<int>(p.phase)) + std::to_string(static_cast<int>(p.cause));
     return out;
--- a/tests/report_memo_test.cpp
+++ b/tests/report_memo_test.cpp
@@ -18,9 +18,9 @@
 constexpr std::string_view kExited = R"({"piece":"j-1/0","try":1,"status":"exited","cause":"done"})";
 
 bool same(const Report& a, const Report& b) {
-  if (a.pieces.size() != b.pieces.size()) return false;
-  for (std::size_t i = 0; i < a.pieces.size(); ++i) {
-    const auto &p = a.pieces[i], &q = b.pieces[i];
+  if (a.tasks.size() != b.tasks.size()) return false;
+  for (std::size_t i = 0; i < a.tasks.size(); ++i) {
+    const auto &p = a.tasks[i], &q = b.tasks[i];
     if (p.id.uid != q.id.uid || p.id.task != q.id.task || p.attempt != q.attempt || p.phase != q.phase || p.cause != q.cause) return false;
   }
   return a.host == b.host && a.tenure == b.tenure && a.serial == b.serial && a.epoch == b.epoch && a.recall_s == b.recall_s;
@@ -28,20 +28,20 @@
 
 TEST(ReportMemo, TellsWhichReportIsRepeated) {
   ReportMemo memo;
-  EXPECT_FALSE(memo.read(body("7", kRunning)).repeats);
+  EXPECT_FALSE(memo.read(body("7", kRunning)).repeated_serial);
   const Report& second = memo.read(body("8", kRunning));
   EXPECT_EQ(second.serial, 8u);
-  EXPECT_EQ(second.repeats, 7u);
-  EXPECT_EQ(memo.read(body("12", kRunning)).repeats, 8u) << "with more digits too";
-  EXPECT_FALSE(memo.read(body("13", kExited)).repeats);
-  EXPECT_EQ(memo.read(body("14", kExited)).pieces.at(0).cause, Cause::done);
+  EXPECT_EQ(second.repeated_serial, 7u);
+  EXPECT_EQ(memo.read(body("12", kRunning)).repeated_serial, 8u) << "with more digits too";
+  EXPECT_FALSE(memo.read(body("13", kExited)).repeated_serial);
+  EXPECT_EQ(memo.read(body("14", kExited)).tasks.at(0).cause, Cause::done);
 }
 
 TEST(ReportMemo, AMalformedReportIsRefusedAndForgotten) {
   ReportMemo memo;
   memo.read(body("7", kRunning));
   EXPECT_THROW(memo.read(body("-8", kRunning)), Malformed);
-  EXPECT_FALSE(memo.read(body("9", kRunning)).repeats);
+  EXPECT_FALSE(memo.read(body("9", kRunning)).repeated_serial);
   EXPECT_THROW(memo.read(body("x", kRunning)), Malformed);
 }
 
@@ -108,7 +108,7 @@
     ASSERT_EQ(got.has_value(), expected.has_value()) << text;
     if (!got) continue;
     ASSERT_TRUE(same(*got, *expected)) << text;
-    repeated += got->repeats.has_value();
+    repeated += got->repeated_serial.has_value();
   }
   EXPECT_GT(repeated, 1000u);
   EXPECT_GT(malformed, 1000u);
--- a/tests/rewriter_test.cpp
+++ b/tests/rewriter_test.cpp
@@ -22,7 +22,7 @@
     std::mt19937 random(seed);
     Book book = fresh();
     Ledger ledger;
-    if (seed > 4) ledger.tail.write_at(4);
+    if (seed > 4) ledger.tail.set_format_version(4);
     for (int step = 0; step < 500; ++step) {
       std::vector<Record> records;
       const auto some = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
@@ -39,7 +39,7 @@
         const auto what = some(5);
         for (std::uint32_t t = 0; t < job.tasks.size(); ++t) {
           if (what < 2 && job.tasks[t] == TaskState::waiting && some(3) > 0 && !job.ended())
-            start.parts.push_back({"m-" + std::to_string(t % 7), 1, {{t, t + 1}}});
+            start.assignments.push_back({"m-" + std::to_string(t % 7), 1, {{t, t + 1}}});
           auto p = job.placed.find(t);
           if (p == job.placed.end() || (what >= 2 && some(4) != 0)) continue;
           if (what == 2 || what == 3) add_to(done.tasks, t);
@@ -50,7 +50,7 @@
             add_to(o.tasks, t);
           }
         }
-        if (!start.parts.empty()) records.emplace_back(start);
+        if (!start.assignments.empty()) records.emplace_back(start);
         if (!done.tasks.empty()) records.emplace_back(done);
         for (auto& [attempt, o] : off) records.emplace_back(o);
         if (records.empty() || some(60) == 0) records.emplace_back(CancelRecord{job.uid});
@@ -62,15 +62,15 @@
         Tail found;
         expect_same(ledger.read(found, ledger.tail.level()), book, seed);
         if (testing::Test::HasFailure()) return;
-        ASSERT_EQ(found.old_entries(), ledger.tail.old_entries()) << "seed " << seed;
+        ASSERT_EQ(found.has_old_entries(), ledger.tail.has_old_entries()) << "seed " << seed;
       }
       std::uint32_t level = ledger.tail.level();
       if (seed > 2 && some(60) == 0) {
-        if (!ledger.tail.old_entries()) ++all_anew;
+        if (!ledger.tail.has_old_entries()) ++all_anew;
         // Seeds 3 and 4 between levels 1 and 2, the others between 3 and 4, where keys are used again.
         level = (seed > 4 ? 7 : 3) - level;
         ++switches;
-        if (some(2) == 0) ledger.tail.write_at(level);
+        if (some(2) == 0) ledger.tail.set_format_version(level);
       }
       // A new leader goes on with what it found.
       if (some(40) == 0) book = ledger.read(ledger.tail, level);
@@ -87,11 +87,11 @@
   Book book = fresh();
   Ledger ledger;
   for (int i = 0; i < 200; ++i) ledger.commit(book, {AcceptRecord{submission("j-" + std::to_string(i), 3), 0.5, 1.0 * i}});
-  ASSERT_FALSE(ledger.tail.old_entries());
+  ASSERT_FALSE(ledger.tail.has_old_entries());
   const auto entries = ledger.entries.size();
-  ledger.tail.write_at(2);
+  ledger.tail.set_format_version(2);
   std::size_t writes = 0;
-  for (; ledger.tail.old_entries() && writes < 1000; ++writes) ledger.commit(book, {});
+  for (; ledger.tail.has_old_entries() && writes < 1000; ++writes) ledger.commit(book, {});
   EXPECT_LT(writes, 20 * entries);
   for (const auto& [key, value] : ledger.entries) EXPECT_NE(value.find("\"level\":2"), std::string::npos) << key;
   Tail found;
@@ -102,17 +102,17 @@
 // own key is as absent as at first. Without this condition it came back, at levels 2 and 3 as an entry that follows nothing.
 TEST(Rewriter, ANewEntryHangsOnTheOneBeforeIt) {
   Book book = fresh();
-  Tail tail(Tail::Found{}, 2);
+  Tail tail(Tail::Contents{}, 2);
   const AcceptRecord first{submission("j-1", 1), 0.5, 0}, second{submission("j-2", 1), 0.5, 0};
   const Tail::Limits limits{encoded_size(first) + 260, 4, 8};
   const auto draft = [&](const AcceptRecord& accept) {
     std::deque<Pending> queue{{accept, 0}};
-    return tail.draft(book, queue, limits);
+    return tail.prepare_commit(book, queue, limits);
   };
   const auto a = draft(first);
-  tail.written(a, 5);
+  tail.record_committed(a, 5);
   book.apply(first);
-  tail.begins(0, book.find("j-1"));
+  tail.record_first_entry(0, book.find("j-1"));
   const auto b = draft(second);
   ASSERT_EQ(b.puts.size(), 1u) << "the one before is left as it is";
   EXPECT_EQ(b.puts[0].key, entry_key(1));
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -122,7 +122,7 @@
     for (const auto& [uid, pieces] : submitted_) {
       const JobIdx j = leader_->book.find(uid);
       if (!j.valid()) out += " " + uid + " unknown";
-      if (j.valid() && !leader_->book.job(j).ended()) out += " " + uid + " " + std::to_string(leader_->book.job(j).waiting);
+      if (j.valid() && !leader_->book.job(j).ended()) out += " " + uid + " " + std::to_string(leader_->book.job(j).pending);
     }
     return out;
   }
@@ -152,7 +152,7 @@
   // Every team at its limit, by the leader's accounts: a job is cancelled as one of its machines goes, and leaders change meanwhile.
   void cancel_at_the_limit(double until) {
     for (const auto& [team, limit] : kTeams) {
-      if (limit == 0 || leader_->book.accounts().left(leader_->book.accounts().find(team), 1e9).cores < 1) continue;
+      if (limit == 0 || leader_->book.accounts().headroom(leader_->book.accounts().find(team), 1e9).cores < 1) continue;
       if (now_ < until) at(now_ + kStep, [this, until] { cancel_at_the_limit(until); });
       return;
     }
@@ -186,7 +186,7 @@
     std::set<TeamIdx> waits;
     for (JobIdx j : book.live()) {
       const Job& job = book.job(j);
-      if (!job.ended() && job.waiting > 0 && job.spec.shape == Shape::batch && !book.blame().suspect(j)) waits.insert(job.team);
+      if (!job.ended() && job.pending > 0 && job.spec.shape == Shape::batch && !book.blame().is_suspect(j)) waits.insert(job.team);
       for (const auto& [task, p] : job.placed) {
         const Worker& w = *std::find_if(workers_.begin(), workers_.end(), [&](auto& x) { return x.name == book.host(p.host).name; });
         const auto it = w.pieces.find({job.uid, task, p.attempt});
@@ -197,12 +197,14 @@
     const bool room = [&] {
       for (std::uint32_t i = 0; i < book.host_count(); ++i) {
         const Host& host = book.host(HostIdx{i});
-        if (!host.lost && host.used.cores + 1 <= 4 && host.epoch_seen >= leader_->takeover && !unheeding(host, now_, kReport)) return true;
+        if (!host.lease_expired && host.used.cores + 1 <= 4 && host.agent.highest_token >= leader_->takeover &&
+            !unheeding(host, now_, kReport))
+          return true;
       }
       return false;
     }();
     for (std::uint32_t t = 0; t < book.teams().size(); ++t) {
-      const bool idle = waits.contains(TeamIdx{t}) && room && book.accounts().left(TeamIdx{t}, 1e9).cores >= 1;
+      const bool idle = waits.contains(TeamIdx{t}) && room && book.accounts().headroom(TeamIdx{t}, 1e9).cores >= 1;
       lasting(idle, "idle: " + book.teams()[t].name);
       looks += waits.contains(TeamIdx{t}) && !idle;
     }
@@ -268,7 +270,7 @@
         if (pending.front().durable) pending.front().durable();
         pending.pop_front();
       }
-      for (const auto& n : book.blame().take_news()) day.suspected += n.what == Blame::News::What::suspected;
+      for (const auto& n : book.blame().take_verdicts()) day.suspected += n.kind == Blame::Verdict::Kind::suspected;
     }
     // Of what was on its way, some is applied all the same, and nobody is told.
     void end() {
@@ -281,9 +283,10 @@
       for (std::uint32_t i = 0; i < book.host_count(); ++i) {
         const Host& host = book.host(HostIdx{i});
         const auto orders = orders_for(book, HostIdx{i}, takeover);
-        if (orders.empty() || host.in_flight_epoch != 0) continue;
-        day.at(day.now_ + for_s,
-               [d = &day, name = host.name, e = epoch, t = host.tenure, orders] { d->send_commands(name, e, t, orders, false); });
+        if (orders.empty() || host.commands.in_flight_token != 0) continue;
+        day.at(day.now_ + for_s, [d = &day, name = host.name, e = epoch, t = host.agent.incarnation, orders] {
+          d->send_commands(name, e, t, orders, false);
+        });
       }
     }
     void tend() {
@@ -291,14 +294,15 @@
       if (acked_at < 0 && day.now_ >= day.old_until_) acked_at = day.now_;
       if (day.now_ < next_pass) return;
       next_pass = day.now_ + 0.3;
-      const Fencing fencing{takeover, taken_at, acked_at, {0, granted.kept_until(day.now_)}, {0, granted.kept_before(day.now_)}};
+      const Fencing fencing{
+          takeover, taken_at, acked_at, {0, granted.renewals_until(day.now_)}, {0, granted.earlier_renewals_until(day.now_)}};
       std::vector<Record> records;
       bool doubt = false;
       for (std::uint32_t i = 0; i < book.host_count(); ++i) {
         Host& host = book.host(HostIdx{i});
-        doubt = doubt || (!host.lost && host.doubt_epoch >= epoch);
-        if (host.lost || !lease_over(host, fencing, kLease, day.now_)) continue;
-        host.lost = true;
+        doubt = doubt || (!host.lease_expired && host.commands.uncertain_token >= epoch);
+        if (host.lease_expired || !lease_over(host, fencing, kLease, day.now_)) continue;
+        host.lease_expired = true;
         for (auto& r : clear_host(book, HostIdx{i})) records.push_back(std::move(r));
       }
       record(std::move(records));
@@ -325,17 +329,17 @@
       if (starting > 0) return;
       book.count_unplaced();
       std::vector<double> rooms;
-      for (std::uint32_t t = 0; t < book.teams().size(); ++t) rooms.push_back(book.accounts().left(TeamIdx{t}, 1e9).cores);
+      for (std::uint32_t t = 0; t < book.teams().size(); ++t) rooms.push_back(book.accounts().headroom(TeamIdx{t}, 1e9).cores);
       std::map<std::uint32_t, double> taken;
       for (JobIdx j : std::vector<JobIdx>(book.live())) {
         const Job& job = book.job(j);
-        if (job.ended() || job.waiting == 0 || book.blame().not_before(j) > day.now_) continue;
+        if (job.ended() || job.pending == 0 || book.blame().next_try_at(j) > day.now_) continue;
         double& room = rooms[job.team.v];
-        const bool suspect = book.blame().suspect(j);
+        const bool suspect = book.blame().is_suspect(j);
         if (suspect && !job.placed.empty()) continue;
         if (job.spec.shape == Shape::group && !job.placed.empty()) continue;
         StartRecord r{job.uid, job.attempts + 1, day.now_, {}};
-        const std::uint32_t waiting = job.waiting;
+        const std::uint32_t waiting = job.pending;
         std::uint32_t placed = 0;
         const auto before = taken;
         const double room_before = room;
@@ -345,16 +349,16 @@
           for (std::uint32_t k = 0; k < book.host_count(); ++k) {
             const std::uint32_t i = (k + t + static_cast<std::uint32_t>(r.attempt)) % book.host_count();
             const Host& host = book.host(HostIdx{i});
-            if (!host.reported || host.lost || host.used.cores + taken[i] >= 4) continue;
-            if (host.epoch_seen < takeover || unheeding(host, day.now_, kReport)) continue;
+            if (!host.agent.has_reported || host.lease_expired || host.used.cores + taken[i] >= 4) continue;
+            if (host.agent.highest_token < takeover || unheeding(host, day.now_, kReport)) continue;
             taken[i] += 1;
             room -= 1;
             ++placed;
-            r.parts.push_back({host.name, host.tenure, {{t, t + 1}}});
+            r.assignments.push_back({host.name, host.agent.incarnation, {{t, t + 1}}});
             break;
           }
         }
-        if (r.parts.empty() || (job.spec.shape == Shape::group && placed < waiting)) {
+        if (r.assignments.empty() || (job.spec.shape == Shape::group && placed < waiting)) {
           taken = before;
           room = room_before;
           continue;
@@ -366,12 +370,12 @@
     void command(HostIdx h) {
       Host& host = book.host(h);
       const auto orders = orders_for(book, h, takeover);
-      if (orders.empty() || host.in_flight_epoch != 0 || day.now_ < not_before[h.v]) return;
+      if (orders.empty() || host.commands.in_flight_token != 0 || day.now_ < not_before[h.v]) return;
       bool starts = false;
-      for (const auto& o : orders) starts = starts || o.verb == Verb::run;
-      if (starts) host.in_flight_epoch = epoch;
+      for (const auto& o : orders) starts = starts || o.type == Verb::run;
+      if (starts) host.commands.in_flight_token = epoch;
       not_before[h.v] = day.now_ + 0.2;
-      day.send_commands(host.name, epoch, host.tenure, orders, starts);
+      day.send_commands(host.name, epoch, host.agent.incarnation, orders, starts);
     }
     Day& day;
     Book book;
@@ -410,19 +414,19 @@
   void beat() {
     Leader& l = *leader_;
     const double sent = now_, echoed_sent_at = l.mark > 0 ? l.marked_sent_at : 0, mark = l.mark, owes = owed();
-    if (mark > 0) l.granted.sends();
+    if (mark > 0) l.granted.record_sent();
     const auto term = l.takeover, epoch = l.epoch;
     const bool held = uniform(0, 1) < 0.5;
     if (now_ < zone_cut_until_ && !held) return;
     at(std::max(now_, zone_cut_until_) + delay(), [this, term, epoch, mark, owes, sent, echoed_sent_at] {
       if (now_ < zone_cut_until_ || epoch < follower_epoch_) return;
-      custody_.heard(term);
+      custody_.observe_leader(term);
       follower_epoch_ = epoch;
-      if (mark > 0) custody_.granted(epoch, mark, owes);
-      const double asked = now_, kept_ago = now_ - custody_.last_kept();
+      if (mark > 0) custody_.grant(epoch, mark, owes);
+      const double asked = now_, kept_ago = now_ - custody_.last_renewal();
       at(now_ + delay(), [this, term, asked, kept_ago, sent, echoed_sent_at] {
         if (leader_->takeover != term || now_ < zone_cut_until_ || sent < leader_->marked_sent_at) return;
-        leader_->granted.answered(echoed_sent_at, now_, kept_ago);
+        leader_->granted.record_ack(echoed_sent_at, now_, kept_ago);
         leader_->mark = asked;
         leader_->marked_sent_at = sent;
       });
@@ -460,7 +464,7 @@
     });
     at(now_ + 6, [this] {
       for (const auto& [team, changes] : limits_)
-        if (!leader_->book.accounts().find(team).valid() || !leader_->book.accounts().open(leader_->book.accounts().find(team)))
+        if (!leader_->book.accounts().find(team).valid() || !leader_->book.accounts().accepts_jobs(leader_->book.accounts().find(team)))
           return change_limits();
     });
   }
@@ -474,8 +478,8 @@
     r.job.job_class = "c";
     r.job.bundle = "i";
     r.job.shape = i % 4 == 3 ? Shape::group : Shape::batch;
-    r.job.pieces = r.job.shape == Shape::group ? 2 : 4;
-    r.job.need = {1, 0, 1};
+    r.job.task_count = r.job.shape == Shape::group ? 2 : 4;
+    r.job.demand = {1, 0, 1};
     if (full_ && r.job.shape == Shape::group) r.job.snapshot_every_s = 1, r.job.snapshot_s = 1;
     const std::string uid = r.job.uid;
     owner_of_[uid] = r.job.owner;
@@ -492,7 +496,7 @@
   }
   void accepted(int i, const AcceptRecord& r) {
     const std::string uid = r.job.uid;
-    if (!submitted_.emplace(uid, r.job.pieces).second) return;
+    if (!submitted_.emplace(uid, r.job.task_count).second) return;
     if (i % 3 == 2 && !full_) at(now_ + uniform(1, 30), [this, uid] { withdraw(uid); });
     if (at_fault(uid)) at(now_ + uniform(20, 60), [this, uid] { withdraw(uid); });
   }
@@ -515,7 +519,7 @@
   Report report_of(Worker& w) {
     Report r{w.name, "a", "big", w.zone, false, w.tenure, ++w.serial, w.epoch, std::nullopt, {}};
     for (const auto& [key, p] : w.pieces)
-      r.pieces.push_back({{std::get<0>(key), std::get<1>(key)}, std::get<2>(key), p.phase, p.cause, false});
+      r.tasks.push_back({{std::get<0>(key), std::get<1>(key)}, std::get<2>(key), p.phase, p.cause, false});
     return r;
   }
 
@@ -548,9 +552,9 @@
   void hear(const Report& r, bool by_report) {
     Book& book = leader_->book;
     Host& host = book.host(book.host_named(r.host));
-    const bool deaf = host.deaf_since > 0;
+    const bool deaf = host.agent.unresponsive_since > 0;
     listen(host, r, by_report, now_, kLease);
-    deafened += !deaf && host.deaf_since > 0;
+    deafened += !deaf && host.agent.unresponsive_since > 0;
     auto outcome = take_report(book, r, {now_, now_}, by_report, leader_->takeover);
     if (by_report) note_answer(host, outcome.stale, now_);
     leader_->record(std::move(outcome.records));
@@ -572,8 +576,8 @@
         std::vector<Order> orders;
         std::uint64_t epoch = 0;
         if (cut_off(w) || (cuts_ && w.zone == "y" && uniform(0, 1) < 0.1)) {
-          if (!custody_.keeps(now_) || r.epoch > custody_.epoch()) return;
-          custody_.kept(now_);
+          if (!custody_.is_active(now_) || r.epoch > custody_.epoch()) return;
+          custody_.record_renewal(now_);
           ++kept;
           epoch = custody_.epoch();
         } else if (to_old) {
@@ -586,7 +590,7 @@
           hear(r, true);
           Host& host = leader_->book.host(leader_->book.find_host(r.host));
           if (late_start_of_cancelled(leader_->book, host, now_, custody_span(kCancel, kLease))) return;
-          if (host.tenure == r.tenure && host.serial == r.serial)
+          if (host.agent.incarnation == r.tenure && host.agent.serial == r.serial)
             orders = orders_for(leader_->book, leader_->book.find_host(r.host), leader_->takeover);
           note_orders(host, r.serial, orders);
           epoch = leader_->epoch;
@@ -618,7 +622,7 @@
       at(now_ + delay(), [this, r, term, answered] {
         if (leader_->takeover != term || *answered) return;
         *answered = true;
-        leader_->book.host(leader_->book.host_named(r.host)).in_flight_epoch = 0;
+        leader_->book.host(leader_->book.host_named(r.host)).commands.in_flight_token = 0;
         hear(r, false);
       });
     };
@@ -626,8 +630,8 @@
       if (leader_->takeover != term || *answered) return;
       *answered = true;
       Host& host = leader_->book.host(leader_->book.find_host(name));
-      host.in_flight_epoch = 0;
-      if (starts) host.doubt_epoch = std::max(host.doubt_epoch, epoch);
+      host.commands.in_flight_token = 0;
+      if (starts) host.commands.uncertain_token = std::max(host.commands.uncertain_token, epoch);
     });
     const double deaf_until = std::max(w.deaf_until, w.zone == "y" ? zone_cut_until_ : 0);
     if (now_ < deaf_until && uniform(0, 1) < 0.5) return;  // or held, and delivered late
@@ -647,7 +651,7 @@
     for (const auto& o : orders) {
       const auto key = std::tuple(o.id.uid, o.id.task, o.attempt);
       auto it = w.pieces.find(key);
-      if (o.verb == Verb::run && it == w.pieces.end()) {
+      if (o.type == Verb::run && it == w.pieces.end()) {
         ++runs;
         if (!started_.insert(key).second)
           broken.push_back("ran_again: " + o.id.uid + "/" + std::to_string(o.id.task) + " attempt " + std::to_string(o.attempt) + " on " +
@@ -658,13 +662,13 @@
               broken.push_back("ran_twice: " + o.id.uid + "/" + std::to_string(o.id.task) + " on " + other.name + " and " + w.name +
                                " at " + std::to_string(now_));
         w.pieces[key] = {Phase::running, Cause::none, now_ + uniform(0.5, 12)};
-      } else if (o.verb == Verb::kill && it != w.pieces.end() && it->second.phase != Phase::exited) {
+      } else if (o.type == Verb::kill && it != w.pieces.end() && it->second.phase != Phase::exited) {
         if (o.wind_down_s > 0 && it->second.phase == Phase::running) {
           it->second = {Phase::saving, Cause::none, now_ + uniform(0.5, 1.5)};
         } else if (o.wind_down_s == 0) {
           it->second = {Phase::exited, Cause::halted, 0};
         }
-      } else if (o.verb == Verb::reap && it != w.pieces.end() && it->second.phase == Phase::exited) {
+      } else if (o.type == Verb::reap && it != w.pieces.end() && it->second.phase == Phase::exited) {
         w.pieces.erase(it);
       }
     }
--- a/tests/served_test.cpp
+++ b/tests/served_test.cpp
@@ -19,9 +19,9 @@
   Book book = book_of_red(100);
   Served served{{"c", "web"}};
   void write(const Record& record, double wall) {
-    served.before(record, book);
+    served.before_apply(record, book);
     book.apply(record);
-    served.after(record, book, wall);
+    served.after_apply(record, book, wall);
   }
 };
 
@@ -39,8 +39,8 @@
   l.write(StartRecord{"j-2", 1, 130, {{"m-1", 1, {{0, 2}}}}}, 130);
   l.write(DoneRecord{"j-2", {{0, 2}}}, 151);
   l.write(CancelRecord{"j-3"}, 160);
-  const Served::Figures c{3, 2, 2, 2, 1, 1, 0, 0}, other{1, 0, 0, 0, 0, 0, 0, 0};
-  EXPECT_EQ(l.served.figures(), (std::map<Served::Key, Served::Figures>{{{"red", "c"}, c}, {{"red", "other"}, other}}));
+  const Served::Counts c{3, 2, 2, 2, 1, 1, 0, 0}, other{1, 0, 0, 0, 0, 0, 0, 0};
+  EXPECT_EQ(l.served.counts(), (std::map<Served::Key, Served::Counts>{{{"red", "c"}, c}, {{"red", "other"}, other}}));
 }
 
 // The successor reads what the one before wrote, counts none of it, and goes on: both together are the whole.
@@ -53,8 +53,8 @@
   for (const auto& r : written) next.book.apply(r);
   next.write(DoneRecord{"j-1", {{0, 2}}}, 120);
   next.write(StartRecord{"j-2", 1, 125, {{"m-1", 1, {{0, 2}}}}}, 125);
-  const auto& a = first.served.figures().at({"red", "c"});
-  const auto& b = next.served.figures().at({"red", "c"});
+  const auto& a = first.served.counts().at({"red", "c"});
+  const auto& b = next.served.counts().at({"red", "c"});
   EXPECT_EQ(a.accepted + b.accepted, 2u);
   EXPECT_EQ(a.started + b.started, 2u);
   EXPECT_EQ(a.done + b.done, 1u);
@@ -70,9 +70,9 @@
   l.write(StartRecord{"j-1", 1, 110, {{"m-1", 1, {{0, 3}}}}}, 110);
   auto& first = l.book.job(l.book.find("j-1")).placed.at(0);
   first.phase = Phase::running;
-  first.seen = true;
-  l.served.look(l.book, 2);
-  const auto& f = l.served.figures().at({"red", "web"});
+  first.reported = true;
+  l.served.add_replica_time(l.book, 2);
+  const auto& f = l.served.counts().at({"red", "web"});
   EXPECT_DOUBLE_EQ(f.replica_s, 8);
   EXPECT_DOUBLE_EQ(f.replica_up_s, 2);
 }
@@ -81,28 +81,28 @@
 TEST(Largest, AreToldByWhatTheClassAskedForLately) {
   const ClassIdx gangs{0}, alike{1};
   Largest largest;
-  EXPECT_FALSE(largest.among(gangs, 8));
+  EXPECT_FALSE(largest.is_among_largest(gangs, 8));
   for (int i = 0; i < 40; ++i) {
-    largest.note(gangs, i % 5 == 0 ? 8 : 1);
-    largest.note(alike, 3);
+    largest.record(gangs, i % 5 == 0 ? 8 : 1);
+    largest.record(alike, 3);
   }
-  EXPECT_TRUE(largest.among(gangs, 8));
-  EXPECT_FALSE(largest.among(gangs, 1));
-  EXPECT_FALSE(largest.among(alike, 3));
-  for (int i = 0; i < 64; ++i) largest.note(gangs, 8);
-  EXPECT_FALSE(largest.among(gangs, 8)) << "what was small is long past";
-  EXPECT_TRUE(largest.among(gangs, 16));
+  EXPECT_TRUE(largest.is_among_largest(gangs, 8));
+  EXPECT_FALSE(largest.is_among_largest(gangs, 1));
+  EXPECT_FALSE(largest.is_among_largest(alike, 3));
+  for (int i = 0; i < 64; ++i) largest.record(gangs, 8);
+  EXPECT_FALSE(largest.is_among_largest(gangs, 8)) << "what was small is long past";
+  EXPECT_TRUE(largest.is_among_largest(gangs, 16));
 
   Book book = book_of_red(100);
   Served served({"c"});
   for (int i = 0; i < 20; ++i) book.apply(AcceptRecord{submission("j-" + std::to_string(i), i % 10 == 9 ? 8 : 1, 1), 0.5, 10});
   const auto begins = [&](const std::string& uid, double at) {
     const Record start = StartRecord{uid, 1, at, {{"m-1", 1, {{0, 1}}}}};
-    served.before(start, book);
+    served.before_apply(start, book);
     book.apply(start);
   };
   begins("j-9", 100), begins("j-19", 300), begins("j-3", 400);
-  const auto& f = served.figures().begin()->second;
+  const auto& f = served.counts().begin()->second;
   EXPECT_EQ(f.started, 3u);
   EXPECT_EQ(f.largest, 2u);
   EXPECT_EQ(f.largest_in_time, 1u) << "one began after four minutes";
--- a/tests/short_jobs_test.cpp
+++ b/tests/short_jobs_test.cpp
@@ -19,7 +19,7 @@
 
 struct Load {
   Book book{{Team{"red", {}, {1e6, 0, 0}, {}}}, most_record_bytes(1843)};
-  Tail tail{Tail::Found{}, 4};
+  Tail tail{Tail::Contents{}, 4};
   WriteBudget budget{15};
   std::deque<Pending> queue;
   std::map<std::uint64_t, double> asked;          // of users' records, by ticket
@@ -42,8 +42,8 @@
   }
   // Whether it wrote; what it wrote is known at `now` + kAnswers.
   bool commit(double now) {
-    if (queue.empty() || now < commit_at || budget.wait(now, users) > 0) return false;
-    auto draft = tail.draft(book, queue, {1843, 3, 4, budget.log_factor(1843)});
+    if (queue.empty() || now < commit_at || budget.delay_s(now, users) > 0) return false;
+    auto draft = tail.prepare_commit(book, queue, {1843, 3, 4, budget.log_factor(1843)});
     if (queue.empty()) users = false;
     commit_at = 0;
     budget.charge(static_cast<double>(draft.changes()));
@@ -52,12 +52,12 @@
     for (const auto& p : draft.puts) entries[p.key] = p.value, stamps[p.key] = stamp, bytes += p.value.size();
     for (const auto& k : draft.removes) entries.erase(k);
     most_entries = std::max(most_entries, entries.size());
-    tail.written(draft, stamp);
+    tail.record_committed(draft, stamp);
     for (std::size_t i = 0; i < draft.batch.size(); ++i) {
       const auto& q = draft.batch[i];
       const auto known = book.job_count();
       book.apply(q.record);
-      if (book.job_count() > known) tail.begins(draft.batch_in[i], JobIdx{static_cast<std::uint32_t>(known)});
+      if (book.job_count() > known) tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(known)});
       if (const auto it = asked.find(q.ticket); it != asked.end()) waited.emplace_back(it->second, now + kAnswers - it->second);
     }
     return true;
@@ -103,7 +103,7 @@
       next_pass = now + 0.1;
       for (JobIdx j : std::vector<JobIdx>(load.book.live())) {
         const Job& job = load.book.job(j);
-        if (job.ended() || job.waiting == 0) continue;
+        if (job.ended() || job.pending == 0) continue;
         load.enqueue(StartRecord{job.uid, 1, now, {{"m-" + std::to_string(j.v % 50), 1, {{0, 1}}}}}, now, false);
         ends.emplace(now + kRuns, job.uid);
       }
@@ -125,9 +125,9 @@
   Book next_book({Team{"red", {}, {1e6, 0, 0}, {}}}, most_record_bytes(1843));
   Reader reader(next_book, 1, 4);
   for (const auto& [key, value] : load.entries) {
-    ASSERT_TRUE(reader.take(Ledger::row(key, value, load.stamps[key]))) << reader.why();
+    ASSERT_TRUE(reader.add_entry(Ledger::row(key, value, load.stamps[key]))) << reader.error();
   }
-  ASSERT_TRUE(reader.finish()) << reader.why();
+  ASSERT_TRUE(reader.finish()) << reader.error();
   expect_same(next_book, load.book, 5);
 }
 
--- a/tests/silence_test.cpp
+++ b/tests/silence_test.cpp
@@ -60,22 +60,22 @@
   Book book = book_of_red(10);
   const auto machine = [&](const std::string& name, double reported_at, double direct_at) -> Host& {
     Host& host = book.host(book.host_named(name));
-    host.reported = true;
-    host.reported_at = reported_at;
-    host.direct_at = direct_at;
+    host.agent.has_reported = true;
+    host.agent.last_heartbeat_at = reported_at;
+    host.agent.last_direct_contact_at = direct_at;
     return host;
   };
   machine("m-1", 99, 99);
   machine("m-2", 99, 50);
   machine("m-3", 60, 60);
-  machine("m-4", 99, 99).gone = true;
-  machine("m-5", 99, 99).lost = true;
+  machine("m-4", 99, 99).terminated = true;
+  machine("m-5", 99, 99).lease_expired = true;
   book.host_named("m-6");
   const auto heard = hearing(book, 100, 5);
   EXPECT_EQ(heard.known, 3u);
-  EXPECT_EQ(heard.lately, 2u);
+  EXPECT_EQ(heard.recent, 2u);
   EXPECT_EQ(heard.direct, 1u);
-  EXPECT_EQ(heard.by_peers, 1u);
+  EXPECT_EQ(heard.via_peers, 1u);
 }
 
 // What may be kept in a cut is shortened by the oldest cancellation not carried out there.
