--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -33,7 +33,7 @@
 std::vector<Record> some_of_each_kind() {
   Flavor big;
   big.name = "big";
-  big.room = {8, 0, 32};
+  big.capacity = {8, 0, 32};
   big.cache_gb = 50, big.fetch_gb_per_s = 1, big.price = 1, big.market_price = 0.5, big.boot_s = 30;
   big.yards = {"x"};
   const AcceptRecord accept{submission("j-1", 4, 1.5), 0.25, 12.5};
@@ -75,8 +75,8 @@
   const EntryHead head{4, 0, 9, 0x0123456789abcdef, 31, 24};
   EXPECT_EQ(stored_entry(pipelines, head), lines.at("level-4"));
   const auto four = parse_entry(lines.at("level-4"));
-  EXPECT_EQ(four.n, 31u);
-  EXPECT_EQ(four.first, 24u);
+  EXPECT_EQ(four.number, 31u);
+  EXPECT_EQ(four.first_needed, 24u);
   EXPECT_EQ(stored_entry(four.records, head), lines.at("level-4")) << "nothing is lost";
   // Another spelling of the same values, as a state service may give them back.
   EXPECT_EQ(parse_entry(lines.at("level-2-respelled")).records.size(), records.size());
@@ -141,16 +141,16 @@
     records.emplace_back(CancelRecord{"j-" + std::to_string(n)});
     values.push_back(stored_entry(records, {2, 0, 2 * n + 2, link}));
     const auto entry = parse_entry(values.back());
-    link = link_of(entry.before, n, entry.check);
+    link = link_of(entry.previous_link, n, entry.check);
   }
   const auto why = [](const std::map<std::uint64_t, std::string>& entries) {
     Book book = book_of_red(10);
     Reader reader(book, 1, 2);
     for (const auto& [n, value] : entries) {
       const auto page = parse_entries(R"({"rows":[{"path":")" + entry_key(n) + R"(","value":)" + value + "}]}");
-      if (!reader.take(page.rows.at(0))) return reader.why();
+      if (!reader.add_entry(page.rows.at(0))) return reader.error();
     }
-    return reader.finish() ? std::string() : reader.why();
+    return reader.finish() ? std::string() : reader.error();
   };
   const std::map<std::uint64_t, std::string> whole{{0, values[0]}, {1, values[1]}, {2, values[2]}, {3, values[3]}};
   EXPECT_EQ(why(whole), "");
@@ -180,41 +180,41 @@
 
 TEST(StandingBack, IsLongerWhereItComesToThatAgainAndAgain) {
   StandingBack s;
-  EXPECT_EQ(s.left(100), 0);
-  EXPECT_EQ(s.again(100), 15);
-  EXPECT_EQ(s.again(150), 30);
-  EXPECT_EQ(s.again(200), 60);
-  EXPECT_EQ(s.again(250), 120);
-  EXPECT_EQ(s.again(300), 120);
-  EXPECT_EQ(s.again(500), 15);
-  s.until(510);
-  EXPECT_EQ(s.left(503), 7);
+  EXPECT_EQ(s.remaining(100), 0);
+  EXPECT_EQ(s.record_hand_over(100), 15);
+  EXPECT_EQ(s.record_hand_over(150), 30);
+  EXPECT_EQ(s.record_hand_over(200), 60);
+  EXPECT_EQ(s.record_hand_over(250), 120);
+  EXPECT_EQ(s.record_hand_over(300), 120);
+  EXPECT_EQ(s.record_hand_over(500), 15);
+  s.extend_until(510);
+  EXPECT_EQ(s.remaining(503), 7);
 }
 
 TEST(StartWatch, TellsOnceForEachStall) {
   StartWatch w;
-  EXPECT_FALSE(w.tell(50));
-  w.planned(50);
-  w.planned(55);
-  EXPECT_FALSE(w.tell(59));
-  EXPECT_TRUE(w.tell(61));
-  EXPECT_FALSE(w.tell(70));
-  EXPECT_EQ(w.stalled(70), 20);
-  w.started();
-  EXPECT_EQ(w.stalled(71), 0);
-  w.planned(80);
-  EXPECT_TRUE(w.tell(91));
+  EXPECT_FALSE(w.should_report(50));
+  w.record_planned(50);
+  w.record_planned(55);
+  EXPECT_FALSE(w.should_report(59));
+  EXPECT_TRUE(w.should_report(61));
+  EXPECT_FALSE(w.should_report(70));
+  EXPECT_EQ(w.stalled_for(70), 20);
+  w.record_started();
+  EXPECT_EQ(w.stalled_for(71), 0);
+  w.record_planned(80);
+  EXPECT_TRUE(w.should_report(91));
 }
 
 TEST(WriteBudget, KeepsSomeForUsersAndNeverPassesTheRate) {
   WriteBudget b(40);
   double now = 100, made = 0;
-  EXPECT_EQ(b.wait(now, false), 0) << "full at first";
-  while (b.wait(now, false) == 0) b.charge(1), ++made;
-  EXPECT_GT(b.wait(now, false), 0);
-  EXPECT_EQ(b.wait(now, true), 0) << "kept for users";
+  EXPECT_EQ(b.delay_s(now, false), 0) << "full at first";
+  while (b.delay_s(now, false) == 0) b.charge(1), ++made;
+  EXPECT_GT(b.delay_s(now, false), 0);
+  EXPECT_EQ(b.delay_s(now, true), 0) << "kept for users";
   while (now < 110) {
-    if (const double wait = b.wait(now, true); wait > 0) {
+    if (const double wait = b.delay_s(now, true); wait > 0) {
       now += wait + 1e-6;
     } else {
       b.charge(1), ++made;
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -105,7 +105,7 @@
 
 Order order(Verb verb, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double wind_down_s = 0) {
   Order out;
-  out.verb = verb;
+  out.type = verb;
   out.id = piece_id(uid, task);
   out.attempt = attempt;
   out.wind_down_s = wind_down_s;
@@ -153,10 +153,10 @@
   EXPECT_EQ(s.owner, "vision");
   EXPECT_EQ(s.shape, Shape::group);
   EXPECT_EQ(s.rank, Rank::high);
-  EXPECT_EQ(s.pieces, 16u);
-  EXPECT_EQ(s.need.cores, 8);
-  EXPECT_EQ(s.need.accelerators, 1);
-  EXPECT_EQ(s.need.ram_gb, 64);
+  EXPECT_EQ(s.task_count, 16u);
+  EXPECT_EQ(s.demand.cores, 8);
+  EXPECT_EQ(s.demand.accelerators, 1);
+  EXPECT_EQ(s.demand.ram_gb, 64);
   EXPECT_EQ(s.bundle, "img-07");
   EXPECT_EQ(s.pull_gb, 6.2);
   EXPECT_EQ(s.host_kinds, (std::vector<std::string>{"g8", "g16"}));
@@ -178,10 +178,10 @@
   EXPECT_EQ(s.owner, "red");
   EXPECT_EQ(s.shape, Shape::batch);
   EXPECT_EQ(s.rank, Rank::idle);
-  EXPECT_EQ(s.pieces, 1u);
-  EXPECT_EQ(s.need.cores, 0.5);
-  EXPECT_EQ(s.need.accelerators, 0);
-  EXPECT_EQ(s.need.ram_gb, 1);
+  EXPECT_EQ(s.task_count, 1u);
+  EXPECT_EQ(s.demand.cores, 0.5);
+  EXPECT_EQ(s.demand.accelerators, 0);
+  EXPECT_EQ(s.demand.ram_gb, 1);
   EXPECT_EQ(s.bundle, "img");
   EXPECT_EQ(s.pull_gb, 0);
   EXPECT_TRUE(s.host_kinds.empty());
@@ -366,27 +366,27 @@
   const auto r = parse_report(kFullReport);
   EXPECT_EQ(r.host, "m-000231");
   EXPECT_EQ(r.address, "10.1.0.232:9000");
-  EXPECT_EQ(r.kind, "g8");
+  EXPECT_EQ(r.machine_type, "g8");
   EXPECT_EQ(r.yard, "a");
   EXPECT_TRUE(r.loaner);
   EXPECT_EQ(r.tenure, 1u);
   EXPECT_EQ(r.serial, 88u);
   EXPECT_EQ(r.epoch, 41u);
   EXPECT_EQ(r.recall_s, 61.5);
-  EXPECT_EQ(r.repeats, std::nullopt);
-  ASSERT_EQ(r.pieces.size(), 2u);
-  EXPECT_EQ(r.pieces[0].id.uid, "j-000412");
-  EXPECT_EQ(r.pieces[0].id.task, 3u);
-  EXPECT_EQ(r.pieces[0].attempt, 2u);
-  EXPECT_EQ(r.pieces[0].phase, Phase::running);
-  EXPECT_EQ(r.pieces[0].cause, Cause::none);
-  EXPECT_FALSE(r.pieces[0].kept);
-  EXPECT_EQ(r.pieces[1].id.uid, "j-000398");
-  EXPECT_EQ(r.pieces[1].id.task, 0u);
-  EXPECT_EQ(r.pieces[1].attempt, 1u);
-  EXPECT_EQ(r.pieces[1].phase, Phase::exited);
-  EXPECT_EQ(r.pieces[1].cause, Cause::halted);
-  EXPECT_TRUE(r.pieces[1].kept);
+  EXPECT_EQ(r.repeated_serial, std::nullopt);
+  ASSERT_EQ(r.tasks.size(), 2u);
+  EXPECT_EQ(r.tasks[0].id.uid, "j-000412");
+  EXPECT_EQ(r.tasks[0].id.task, 3u);
+  EXPECT_EQ(r.tasks[0].attempt, 2u);
+  EXPECT_EQ(r.tasks[0].phase, Phase::running);
+  EXPECT_EQ(r.tasks[0].cause, Cause::none);
+  EXPECT_FALSE(r.tasks[0].checkpointed);
+  EXPECT_EQ(r.tasks[1].id.uid, "j-000398");
+  EXPECT_EQ(r.tasks[1].id.task, 0u);
+  EXPECT_EQ(r.tasks[1].attempt, 1u);
+  EXPECT_EQ(r.tasks[1].phase, Phase::exited);
+  EXPECT_EQ(r.tasks[1].cause, Cause::halted);
+  EXPECT_TRUE(r.tasks[1].checkpointed);
 }
 
 TEST(WireFormatWorkers, OmittedFieldsOfAReportHaveTheseValues) {
@@ -394,7 +394,7 @@
   EXPECT_FALSE(r.loaner);
   EXPECT_EQ(r.recall_s, std::nullopt);
   EXPECT_EQ(r.epoch, 0u);
-  EXPECT_TRUE(r.pieces.empty());
+  EXPECT_TRUE(r.tasks.empty());
 }
 
 TEST(WireFormatWorkers, SecondsUntilARecallAreNullOrANumber) {
@@ -410,7 +410,7 @@
 
 TEST(WireFormatWorkers, WordsForPhases) {
   const auto phase_of = [](const std::string& word) {
-    return parse_report(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).pieces.at(0).phase;
+    return parse_report(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).tasks.at(0).phase;
   };
   EXPECT_EQ(phase_of("pulling"), Phase::pulling);
   EXPECT_EQ(phase_of("gathering"), Phase::gathering);
@@ -421,7 +421,7 @@
 
 TEST(WireFormatWorkers, WordsForCauses) {
   const auto cause_of = [](const std::string& word) {
-    return parse_report(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).pieces.at(1).cause;
+    return parse_report(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).tasks.at(1).cause;
   };
   EXPECT_EQ(cause_of("done"), Cause::done);
   EXPECT_EQ(cause_of("halted"), Cause::halted);
@@ -511,9 +511,9 @@
                                      R"("price":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]}]})");
   ASSERT_EQ(flavors.size(), 1u);
   EXPECT_EQ(flavors[0].name, "g8");
-  EXPECT_EQ(flavors[0].room.cores, 96);
-  EXPECT_EQ(flavors[0].room.accelerators, 8);
-  EXPECT_EQ(flavors[0].room.ram_gb, 768);
+  EXPECT_EQ(flavors[0].capacity.cores, 96);
+  EXPECT_EQ(flavors[0].capacity.accelerators, 8);
+  EXPECT_EQ(flavors[0].capacity.ram_gb, 768);
   EXPECT_EQ(flavors[0].cache_gb, 200);
   EXPECT_EQ(flavors[0].fetch_gb_per_s, 1);
   EXPECT_EQ(flavors[0].price, 12);
@@ -524,7 +524,7 @@
 
 TEST(WireFormatCloud, OmittedFieldsOfAMachineTypeHaveTheseValues) {
   const auto flavor = parse_flavors(R"({"hostKinds":[{"sku":"c4","cores":4,"ramGb":16,"price":2}]})").at(0);
-  EXPECT_EQ(flavor.room.accelerators, 0);
+  EXPECT_EQ(flavor.capacity.accelerators, 0);
   EXPECT_EQ(flavor.cache_gb, 0);
   EXPECT_EQ(flavor.fetch_gb_per_s, 0);
   EXPECT_EQ(flavor.market_price, 2);
@@ -553,7 +553,7 @@
   ASSERT_EQ(page.machines.size(), 3u);
   EXPECT_EQ(page.machines[0].name, "m-000231");
   EXPECT_EQ(page.machines[0].address, "10.1.0.232:9000");
-  EXPECT_EQ(page.machines[0].kind, "g8");
+  EXPECT_EQ(page.machines[0].machine_type, "g8");
   EXPECT_EQ(page.machines[0].yard, "a");
   EXPECT_TRUE(page.machines[0].loaner);
   EXPECT_EQ(page.machines[0].status, Machine::Status::running);
@@ -685,7 +685,7 @@
   const auto rows = parse_rows(R"({"rows":[{"path":"c/8","value":{"x":1},"stamp":430},{"path":"c/9","value":"t","stamp":431,"hold":7}],)"
                                R"("truncated":true,"ledgerRev":433})");
   EXPECT_TRUE(rows.truncated);
-  EXPECT_EQ(rows.rev, 433u);
+  EXPECT_EQ(rows.revision, 433u);
   ASSERT_EQ(rows.rows.size(), 2u);
   EXPECT_EQ(rows.rows[0].key, "c/8");
   EXPECT_EQ(rows.rows[0].value, R"({"x":1})");
@@ -872,11 +872,11 @@
 }
 
 StartRecord start_record() {
-  StartRecord::Part first;
+  StartRecord::NodeAssignment first;
   first.host = "m-1";
   first.tenure = 3;
   first.tasks = {range(0, 4), range(6, 7)};
-  StartRecord::Part second;
+  StartRecord::NodeAssignment second;
   second.host = "m-2";
   second.tenure = 1;
   second.tasks = {range(4, 6)};
@@ -884,7 +884,7 @@
   r.uid = "j-1";
   r.attempt = 5;
   r.at = 13;
-  r.parts = {first, second};
+  r.assignments = {first, second};
   return r;
 }
 
@@ -914,7 +914,7 @@
 FlavorsRecord flavors_record() {
   Flavor big;
   big.name = "big";
-  big.room = resources(8, 2, 32);
+  big.capacity = resources(8, 2, 32);
   big.cache_gb = 50;
   big.fetch_gb_per_s = 1.5;
   big.price = 3;
@@ -923,7 +923,7 @@
   big.yards = {"x", "y"};
   Flavor small;
   small.name = "small";
-  small.room = resources(0.5, 0, 2);
+  small.capacity = resources(0.5, 0, 2);
   FlavorsRecord r;
   r.flavors = {big, small};
   return r;
@@ -949,7 +949,7 @@
 }
 
 JobRecord running_job_record(double ready_at) {
-  JobRecord::Placed placed;
+  JobRecord::PlacedTasks placed;
   placed.host = "m-1";
   placed.tenure = 3;
   placed.attempt = 2;
@@ -1072,9 +1072,9 @@
   head.level = level;
   head.generation = 3;
   head.seq = 7;
-  head.before = 0x0123456789abcdef;
-  head.n = 31;
-  head.first = 24;
+  head.previous_link = 0x0123456789abcdef;
+  head.number = 31;
+  head.first_needed = 24;
   return head;
 }
 
@@ -1163,7 +1163,7 @@
 
 TEST(WireFormatLedger, TheFirstNeededEntryIsAlwaysToldAtLevelFourAndBelowWhereThereIsOne) {
   auto head = head_at(2);
-  head.first = 0;
+  head.first_needed = 0;
   EXPECT_EQ(entry_of({}, head),
             R"({"level":2,"generation":3,"check":"97f253d3b4f680fe","before":"0123456789abcdef","seq":7,"records":[]})");
   head.level = 4;
@@ -1204,9 +1204,9 @@
   EXPECT_EQ(entry.level, 4u);
   EXPECT_EQ(entry.generation, 3u);
   EXPECT_EQ(entry.seq, 7u);
-  EXPECT_EQ(digest_text(entry.before), "0123456789abcdef");
-  EXPECT_EQ(entry.n, 31u);
-  EXPECT_EQ(entry.first, 24u);
+  EXPECT_EQ(digest_text(entry.previous_link), "0123456789abcdef");
+  EXPECT_EQ(entry.number, 31u);
+  EXPECT_EQ(entry.first_needed, 24u);
   EXPECT_EQ(digest_text(entry.check), "2fefa7fe74797301");
   ASSERT_EQ(entry.records.size(), 1u);
   EXPECT_EQ(std::get<CancelRecord>(entry.records[0]).uid, "j-1");
@@ -1217,9 +1217,9 @@
   EXPECT_EQ(entry.level, 1u);
   EXPECT_EQ(entry.generation, 0u);
   EXPECT_EQ(entry.seq, 7u);
-  EXPECT_EQ(entry.before, 0u);
-  EXPECT_EQ(entry.n, 0u);
-  EXPECT_EQ(entry.first, 0u);
+  EXPECT_EQ(entry.previous_link, 0u);
+  EXPECT_EQ(entry.number, 0u);
+  EXPECT_EQ(entry.first_needed, 0u);
   EXPECT_EQ(entry.check, 0u);
 }
 
@@ -1232,8 +1232,8 @@
   EXPECT_EQ(r.job.owner, "vision");
   EXPECT_EQ(r.job.shape, Shape::group);
   EXPECT_EQ(r.job.rank, Rank::high);
-  EXPECT_EQ(r.job.pieces, 16u);
-  EXPECT_EQ(r.job.need, resources(8, 1, 64));
+  EXPECT_EQ(r.job.task_count, 16u);
+  EXPECT_EQ(r.job.demand, resources(8, 1, 64));
   EXPECT_EQ(r.job.bundle, "img-07");
   EXPECT_EQ(r.job.pull_gb, 6.2);
   EXPECT_EQ(r.job.host_kinds, (std::vector<std::string>{"g8", "g16"}));
@@ -1253,11 +1253,11 @@
   EXPECT_EQ(r.uid, "j-1");
   EXPECT_EQ(r.attempt, 5u);
   EXPECT_EQ(r.at, 13);
-  ASSERT_EQ(r.parts.size(), 2u);
-  EXPECT_EQ(r.parts[0].host, "m-1");
-  EXPECT_EQ(r.parts[0].tenure, 3u);
-  EXPECT_EQ(r.parts[0].tasks, (Ranges{range(0, 4), range(6, 7)}));
-  EXPECT_EQ(r.parts[1].host, "m-2");
+  ASSERT_EQ(r.assignments.size(), 2u);
+  EXPECT_EQ(r.assignments[0].host, "m-1");
+  EXPECT_EQ(r.assignments[0].tenure, 3u);
+  EXPECT_EQ(r.assignments[0].tasks, (Ranges{range(0, 4), range(6, 7)}));
+  EXPECT_EQ(r.assignments[1].host, "m-2");
 }
 
 TEST(WireFormatLedger, DoneRecordsAreReadFieldByField) {
@@ -1285,7 +1285,7 @@
   const auto r = read_back<FlavorsRecord>(flavors_record());
   ASSERT_EQ(r.flavors.size(), 2u);
   EXPECT_EQ(r.flavors[0].name, "big");
-  EXPECT_EQ(r.flavors[0].room, resources(8, 2, 32));
+  EXPECT_EQ(r.flavors[0].capacity, resources(8, 2, 32));
   EXPECT_EQ(r.flavors[0].cache_gb, 50);
   EXPECT_EQ(r.flavors[0].fetch_gb_per_s, 1.5);
   EXPECT_EQ(r.flavors[0].price, 3);
@@ -1354,15 +1354,15 @@
   const auto page = parse_entries(R"({"rows":[{"path":"ledger/000000000001","value":{"seq":7,"records":[["cancel","j-1"]]},"stamp":430},)"
                                   R"({"path":"ledger/000000000002","value":{"seq":8},"stamp":431}],"truncated":true,"ledgerRev":433})");
   EXPECT_TRUE(page.truncated);
-  EXPECT_EQ(page.rev, 433u);
+  EXPECT_EQ(page.revision, 433u);
   ASSERT_EQ(page.rows.size(), 2u);
   EXPECT_EQ(page.rows[0].key, "ledger/000000000001");
   EXPECT_EQ(page.rows[0].stamp, 430u);
-  EXPECT_EQ(page.rows[0].unreadable, "");
+  EXPECT_EQ(page.rows[0].error, "");
   EXPECT_EQ(page.rows[0].entry.seq, 7u);
   ASSERT_EQ(page.rows[0].entry.records.size(), 1u);
   EXPECT_EQ(std::get<CancelRecord>(page.rows[0].entry.records[0]).uid, "j-1");
-  EXPECT_EQ(page.rows[1].unreadable, "records: missing");
+  EXPECT_EQ(page.rows[1].error, "records: missing");
 }
 
 // ---- controllers
@@ -1404,18 +1404,18 @@
   Beat beat;
   beat.label = "host-1";
   beat.epoch = 9;
-  beat.takeover = 7;
-  beat.marked_by = 5;
-  beat.mark = 1234;
+  beat.takeover_epoch = 7;
+  beat.echoed_process = 5;
+  beat.echoed_clock_ms = 1234;
   beat.owed_ms = 6;
   EXPECT_EQ(hex_of(pack(beat)), kBeatBytes);
   const auto read = unpack_beat(frame_of(kBeatBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->label, "host-1");
   EXPECT_EQ(read->epoch, 9u);
-  EXPECT_EQ(read->takeover, 7u);
-  EXPECT_EQ(read->marked_by, 5u);
-  EXPECT_EQ(read->mark, 1234u);
+  EXPECT_EQ(read->takeover_epoch, 7u);
+  EXPECT_EQ(read->echoed_process, 5u);
+  EXPECT_EQ(read->echoed_clock_ms, 1234u);
   EXPECT_EQ(read->owed_ms, 6u);
 }
 
@@ -1425,16 +1425,16 @@
   BeatAck ack;
   ack.epoch = 9;
   ack.leader = "host-1";
-  ack.marked_by = 5;
-  ack.mark = 1234;
+  ack.process = 5;
+  ack.clock_ms = 1234;
   ack.kept_ms_ago = 6;
   EXPECT_EQ(hex_of(pack(ack)), kBeatAckBytes);
   const auto read = unpack_ack(frame_of(kBeatAckBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->epoch, 9u);
   EXPECT_EQ(read->leader, "host-1");
-  EXPECT_EQ(read->marked_by, 5u);
-  EXPECT_EQ(read->mark, 1234u);
+  EXPECT_EQ(read->process, 5u);
+  EXPECT_EQ(read->clock_ms, 1234u);
   EXPECT_EQ(read->kept_ms_ago, 6u);
 }
 
@@ -1490,7 +1490,7 @@
   piece.attempt = 2;
   piece.phase = phase;
   piece.cause = cause;
-  piece.kept = kept;
+  piece.checkpointed = kept;
   return piece;
 }
 
@@ -1515,18 +1515,18 @@
   auto delta = delta_of(ReportDelta::Kind::whole);
   delta.recall_s = 61.5;
   delta.address = "10.1.0.2:9000";
-  delta.host_kind = "g8";
+  delta.machine_type = "g8";
   delta.yard = "a";
   delta.loaner = true;
-  delta.pieces = {reported_piece("j-1", 3, Phase::running, Cause::none, false),
-                  reported_piece("j-2", 0, Phase::exited, Cause::halted, true)};
+  delta.tasks = {reported_piece("j-1", 3, Phase::running, Cause::none, false),
+                 reported_piece("j-2", 0, Phase::exited, Cause::halted, true)};
   return delta;
 }
 ReportDelta difference_delta() {
   auto delta = delta_of(ReportDelta::Kind::difference);
   delta.base_serial = 87;
   delta.loaner = true;
-  delta.pieces = {reported_piece("j-1", 3, Phase::saving, Cause::none, false)};
+  delta.tasks = {reported_piece("j-1", 3, Phase::saving, Cause::none, false)};
   delta.removed = {attempt_key("j-2", 0, 1), attempt_key("j-3", 7, 4)};
   return delta;
 }
@@ -1540,8 +1540,8 @@
 IntakeBatch batch_of(const std::vector<ReportDelta>& reports) {
   IntakeBatch batch;
   batch.sender = "host-2";
-  batch.takeover = 7;
-  batch.workers = 300;
+  batch.takeover_epoch = 7;
+  batch.worker_count = 300;
   batch.reports = reports;
   return batch;
 }
@@ -1559,7 +1559,7 @@
   EXPECT_EQ(piece.attempt, 2u);
   EXPECT_EQ(piece.phase, phase);
   EXPECT_EQ(piece.cause, cause);
-  EXPECT_EQ(piece.kept, kept);
+  EXPECT_EQ(piece.checkpointed, kept);
 }
 
 void expect_head(const ReportDelta& delta, ReportDelta::Kind kind) {
@@ -1577,8 +1577,8 @@
   const auto batch = unpack_intake_batch(frame_of(kEmptyBatchBytes));
   ASSERT_TRUE(batch);
   EXPECT_EQ(batch->sender, "host-2");
-  EXPECT_EQ(batch->takeover, 7u);
-  EXPECT_EQ(batch->workers, 300u);
+  EXPECT_EQ(batch->takeover_epoch, 7u);
+  EXPECT_EQ(batch->worker_count, 300u);
   EXPECT_TRUE(batch->reports.empty());
 }
 
@@ -1595,12 +1595,12 @@
   EXPECT_EQ(delta.recall_s, 61.5);
   EXPECT_EQ(delta.base_serial, 0u);
   EXPECT_EQ(delta.address, "10.1.0.2:9000");
-  EXPECT_EQ(delta.host_kind, "g8");
+  EXPECT_EQ(delta.machine_type, "g8");
   EXPECT_EQ(delta.yard, "a");
   EXPECT_TRUE(delta.loaner);
-  ASSERT_EQ(delta.pieces.size(), 2u);
-  expect_piece(delta.pieces[0], "j-1", 3, Phase::running, Cause::none, false);
-  expect_piece(delta.pieces[1], "j-2", 0, Phase::exited, Cause::halted, true);
+  ASSERT_EQ(delta.tasks.size(), 2u);
+  expect_piece(delta.tasks[0], "j-1", 3, Phase::running, Cause::none, false);
+  expect_piece(delta.tasks[1], "j-2", 0, Phase::exited, Cause::halted, true);
   EXPECT_TRUE(delta.removed.empty());
 }
 
@@ -1618,8 +1618,8 @@
   EXPECT_EQ(delta.base_serial, 87u);
   EXPECT_EQ(delta.address, "");
   EXPECT_TRUE(delta.loaner);
-  ASSERT_EQ(delta.pieces.size(), 1u);
-  expect_piece(delta.pieces[0], "j-1", 3, Phase::saving, Cause::none, false);
+  ASSERT_EQ(delta.tasks.size(), 1u);
+  expect_piece(delta.tasks[0], "j-1", 3, Phase::saving, Cause::none, false);
   ASSERT_EQ(delta.removed.size(), 2u);
   EXPECT_EQ(delta.removed[0].id.uid, "j-2");
   EXPECT_EQ(delta.removed[0].id.task, 0u);
@@ -1641,7 +1641,7 @@
   EXPECT_EQ(delta.recall_s, 0.25);
   EXPECT_EQ(delta.base_serial, 86u);
   EXPECT_FALSE(delta.loaner);
-  EXPECT_TRUE(delta.pieces.empty());
+  EXPECT_TRUE(delta.tasks.empty());
 }
 
 constexpr std::string_view kMixedBytes =
@@ -1677,12 +1677,12 @@
 
 TEST(WireFormatControllers, NumbersOfPhasesAndCauses) {
   auto delta = difference_delta();
-  delta.pieces.clear();
+  delta.tasks.clear();
   delta.removed.clear();
-  for (const auto phase : kPhasesInOrder) delta.pieces.push_back(reported_piece("j-1", 0, phase, Cause::none, false));
-  for (const auto cause : kCausesInOrder) delta.pieces.push_back(reported_piece("j-1", 0, Phase::exited, cause, false));
+  for (const auto phase : kPhasesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, phase, Cause::none, false));
+  for (const auto cause : kCausesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, Phase::exited, cause, false));
   EXPECT_EQ(hex_of(pack(batch_of({delta}))), kPhasesAndCausesBytes);
-  const auto pieces = only_report(kPhasesAndCausesBytes).pieces;
+  const auto pieces = only_report(kPhasesAndCausesBytes).tasks;
   ASSERT_EQ(pieces.size(), kPhasesInOrder.size() + kCausesInOrder.size());
   for (std::size_t i = 0; i < kPhasesInOrder.size(); ++i) EXPECT_EQ(pieces[i].phase, kPhasesInOrder[i]) << i;
   for (std::size_t i = 0; i < kCausesInOrder.size(); ++i) EXPECT_EQ(pieces[kPhasesInOrder.size() + i].cause, kCausesInOrder[i]) << i;
@@ -1701,35 +1701,35 @@
 
 TEST(WireFormatControllers, AnswerToABatchIsPackedAndUnpacked) {
   IntakeAnswer answer;
-  answer.takeover = 7;
+  answer.takeover_epoch = 7;
   answer.epoch = 9;
-  answer.send_away = 20;
-  answer.send_to = "host-3";
+  answer.redirect_count = 20;
+  answer.redirect_target = "host-3";
   answer.answers = {answer_of(WorkerAnswer::Outcome::renewed), answer_of(WorkerAnswer::Outcome::refused),
-                    answer_of(WorkerAnswer::Outcome::whole_wanted), answer_of(WorkerAnswer::Outcome::not_now)};
+                    answer_of(WorkerAnswer::Outcome::full_required), answer_of(WorkerAnswer::Outcome::retry_later)};
   answer.answers[0].orders = {order(Verb::run, "j-1", 4, 2), order(Verb::kill, "j-2", 1, 1, 2.5), order(Verb::reap, "j-3", 0, 1)};
   EXPECT_EQ(hex_of(pack(answer)), kAnswerBytes);
 
   const auto read = unpack_intake_answer(frame_of(kAnswerBytes));
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->takeover, 7u);
+  EXPECT_EQ(read->takeover_epoch, 7u);
   EXPECT_EQ(read->epoch, 9u);
-  EXPECT_EQ(read->send_away, 20u);
-  EXPECT_EQ(read->send_to, "host-3");
+  EXPECT_EQ(read->redirect_count, 20u);
+  EXPECT_EQ(read->redirect_target, "host-3");
   ASSERT_EQ(read->answers.size(), 4u);
   EXPECT_EQ(read->answers[0].outcome, WorkerAnswer::Outcome::renewed);
   EXPECT_EQ(read->answers[1].outcome, WorkerAnswer::Outcome::refused);
-  EXPECT_EQ(read->answers[2].outcome, WorkerAnswer::Outcome::whole_wanted);
-  EXPECT_EQ(read->answers[3].outcome, WorkerAnswer::Outcome::not_now);
+  EXPECT_EQ(read->answers[2].outcome, WorkerAnswer::Outcome::full_required);
+  EXPECT_EQ(read->answers[3].outcome, WorkerAnswer::Outcome::retry_later);
   const auto& orders = read->answers[0].orders;
   ASSERT_EQ(orders.size(), 3u);
-  EXPECT_EQ(orders[0].verb, Verb::run);
+  EXPECT_EQ(orders[0].type, Verb::run);
   EXPECT_EQ(orders[0].id.uid, "j-1");
   EXPECT_EQ(orders[0].id.task, 4u);
   EXPECT_EQ(orders[0].attempt, 2u);
-  EXPECT_EQ(orders[1].verb, Verb::kill);
+  EXPECT_EQ(orders[1].type, Verb::kill);
   EXPECT_EQ(orders[1].wind_down_s, 2.5);
-  EXPECT_EQ(orders[2].verb, Verb::reap);
+  EXPECT_EQ(orders[2].type, Verb::reap);
 }
 
 TEST(WireFormatControllers, FramesOfAnotherVersionOrKindAreNotTaken) {
@@ -1883,8 +1883,8 @@
   EXPECT_EQ(s.peers[1].label, "host-2");
   EXPECT_EQ(s.peers[1].site, "north");
   EXPECT_EQ(s.peers[1].address, "10.0.0.3:8081");
-  EXPECT_EQ(s.cloud, "10.2.0.2:8443");
-  EXPECT_EQ(s.state, "10.2.0.1:2379");
+  EXPECT_EQ(s.cloud_address, "10.2.0.2:8443");
+  EXPECT_EQ(s.store_address, "10.2.0.1:2379");
 }
 
 TEST(WireFormatSettings, TeamsAreRead) {
--- a/tests/worker_balance_test.cpp
+++ b/tests/worker_balance_test.cpp
@@ -25,15 +25,15 @@
   void run(double seconds) {
     for (const double until = now + seconds; now < until; now += 0.1) {
       for (auto& [label, workers] : intakes) {
-        balance.heard(label, workers, now);
-        const auto away = balance.from_intake(label, now);
+        balance.record_worker_count(label, workers, now);
+        const auto away = balance.redirect_from_relay(label, now);
         ASSERT_LE(away.count, workers);
         workers -= away.count;
-        if (away.count > 0) intakes.at(away.to) += away.count;
+        if (away.count > 0) intakes.at(away.target) += away.count;
         moved += away.count;
       }
       for (int reports = 0; reports < 20; ++reports) {
-        const auto to = balance.from_leader(own, now);
+        const auto to = balance.redirect_from_leader(own, now);
         if (!to) continue;
         --own;
         ++intakes.at(*to);
@@ -73,11 +73,11 @@
 
 TEST(WorkerBalance, NobodyIsSentToAnIntakeThatFellSilent) {
   WorkerBalance balance;
-  balance.heard("host-1", 0, 100);
-  EXPECT_TRUE(balance.from_leader(300, 101));
-  EXPECT_FALSE(balance.from_leader(300, 110));
-  balance.heard("host-2", 200, 110);
-  EXPECT_EQ(balance.from_intake("host-2", 110).count, 0u);
+  balance.record_worker_count("host-1", 0, 100);
+  EXPECT_TRUE(balance.redirect_from_leader(300, 101));
+  EXPECT_FALSE(balance.redirect_from_leader(300, 110));
+  balance.record_worker_count("host-2", 200, 110);
+  EXPECT_EQ(balance.redirect_from_relay("host-2", 110).count, 0u);
 }
 
 }  // namespace
