--- a/src/bookkeeping/book.hpp
+++ b/src/cluster_state/cluster_state.hpp
@@ -9,39 +9,44 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/accounts.hpp"
-#include "bookkeeping/blame.hpp"
-#include "bookkeeping/largest.hpp"
-#include "bookkeeping/pipelines.hpp"
-#include "protocol/types.hpp"
+#include "cluster_state/dependency_graph.hpp"
+#include "cluster_state/failure_attribution.hpp"
+#include "cluster_state/job_size_ranking.hpp"
+#include "cluster_state/quota_accounts.hpp"
+#include "model/identifiers.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/machine.hpp"
+#include "model/resources.hpp"
+#include "model/task.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-enum class TaskState : std::uint8_t { waiting, placed, done };
+enum class TaskState : std::uint8_t { pending, placed, done };
 
 // Where a task may be. From its start record until a record says that it is off (or done), it occupies this place.
 struct Placement {
-  HostIdx host;
-  std::uint64_t tenure = 0, attempt = 0;
+  NodeIndex node;
+  std::uint64_t agent_incarnation = 0, attempt = 0;
   double decided_at = 0;  // wall seconds of the decision to start it
   // Learned from reports, not in the ledger:
-  Phase phase = Phase::pulling;
-  bool reported = false;     // some report showed it
-  bool end_pending = false;  // its end is on its way into the ledger
-  bool stopping = false;     // to be stopped
-  double wind_down_s = 0;    // grace that goes with the stop
-  double running_at = 0;     // wall seconds when it was first seen running
+  TaskPhase phase = TaskPhase::pulling_image;
+  bool reported = false;      // some report showed it
+  bool end_pending = false;   // its end is on its way into the ledger
+  bool stopping = false;      // to be stopped
+  double grace_period_s = 0;  // grace that goes with the stop
+  double running_since = 0;   // wall seconds when it was first seen running
 };
 
 struct Job {
   std::string uid;
-  Submission spec;
-  TeamIdx team;
-  ClassIdx job_class;
-  ImageIdx image;
-  ZoneIdx yard;
-  std::vector<KindIdx> machine_types;  // empty: any
-  double draw = 0, accepted_at = 0;
+  JobSpec spec;
+  TeamIndex team;
+  JobClassIndex job_class;
+  ImageIndex image;
+  ZoneIndex zone;
+  std::vector<MachineTypeIndex> machine_types;  // empty: any
+  double random_draw = 0, accepted_at = 0;
   // Wall seconds from which its waits count: its acceptance, or the end of the last job that it waited for.
   double eligible_since = 0;
   Urgency urgency;       // its own, or that of a job that needs it
@@ -53,27 +58,27 @@
   std::vector<TaskState> tasks;
   std::map<std::uint32_t, Placement> placed;
   std::uint32_t done = 0, pending = 0;
-  double cancelled_at = 0;   // steady seconds: when this leader cancelled it; 0 where it was an earlier one
-  bool partly_read = false;  // records with its other tasks follow in the ledger: it is not settled before them
-  [[nodiscard]] bool ended() const { return status == JobStatus::done || status == JobStatus::aborted; }
+  double cancelled_at = 0;          // steady seconds: when this leader cancelled it; 0 where it was an earlier one
+  bool partially_replayed = false;  // records with its other tasks follow in the ledger: it is not settled before them
+  [[nodiscard]] bool ended() const { return status == JobStatus::done || status == JobStatus::cancelled; }
   [[nodiscard]] std::uint32_t running() const;
 };
 
-struct PieceRef {
-  JobIdx job;
+struct TaskRef {
+  JobIndex job;
   std::uint32_t task = 0;
-  friend auto operator<=>(const PieceRef&, const PieceRef&) = default;
+  friend auto operator<=>(const TaskRef&, const TaskRef&) = default;
 };
 
 // A task placed on a host, with its placement at hand (it stays where it is until it is taken off).
-struct PlacedPiece : PieceRef {
+struct PlacedTask : TaskRef {
   Placement* placement = nullptr;
 };
 
-struct SeenPiece {
-  PieceRef ref;  // job not valid: not in the book
+struct ReportedTask {
+  TaskRef ref;  // job not valid: not in the book
   std::uint64_t attempt = 0;
-  Phase phase = Phase::pulling;
+  TaskPhase phase = TaskPhase::pulling_image;
   std::string uid;  // kept for pieces not in the book
 };
 
@@ -93,7 +98,7 @@
   double unresponsive_since = 0;          // answers have not reached it since then; 0: they do (worker_control/one_way_partition)
   std::uint64_t unresponsive_token = 0;   // highest token that it had seen then
   std::optional<double> interruption_at;  // the cloud takes the spot instance back
-  std::vector<SeenPiece> tasks;           // of its newest message, sorted by ref
+  std::vector<ReportedTask> tasks;        // of its newest message, sorted by ref
 };
 
 // What is known of commands on their way to a node.
@@ -109,7 +114,7 @@
 // What the cloud's instance list tells of a node. Times are steady seconds.
 struct InstanceState {
   bool listed = false;
-  Machine::Status status = Machine::Status::running;
+  Instance::Status status = Instance::Status::running;
   double age_s = 0;          // since it was requested, as of `listed_at`
   double listed_at = 0;      // 0: in no list yet
   double requested_at = 0;   // when this leader was told that it is rented; 0: by another one
@@ -117,18 +122,18 @@
 };
 
 // A machine that runs tasks. Times are steady seconds.
-struct Host {
+struct Node {
   std::string name, address;
-  KindIdx machine_type;
-  ZoneIdx zone;
-  bool loaner = false;
+  MachineTypeIndex machine_type;
+  ZoneIndex zone;
+  bool spot = false;
   AgentState agent;
   CommandState commands;
   InstanceState instance;
 
-  std::vector<PlacedPiece> placed;
-  Resources used;                                          // by placed tasks
-  std::vector<std::pair<ImageIdx, double>> cached_images;  // with their sizes in GB; most recently used last
+  std::vector<PlacedTask> placed;
+  Resources used;                                            // by placed tasks
+  std::vector<std::pair<ImageIndex, double>> cached_images;  // with their sizes in GB; most recently used last
 
   bool lease_expired = false;  // not used until its agent reports again
   bool terminated = false;     // released or taken by the cloud: it does not come back
@@ -145,125 +150,125 @@
 
 inline constexpr std::size_t kRecordBytes = 3600;  // where the state service's limits are not known
 
-class Book {
+class ClusterState {
  public:
   // `record_bytes`: about what one record may take in the ledger.
-  explicit Book(const std::vector<Team>& teams, std::size_t record_bytes = kRecordBytes);
+  explicit ClusterState(const std::vector<Team>& teams, std::size_t record_bytes = kRecordBytes);
   [[nodiscard]] std::size_t record_bytes() const { return record_bytes_; }
 
   void apply(const Record& record);
 
   // Jobs
-  [[nodiscard]] JobIdx find(std::string_view uid) const;
-  [[nodiscard]] Job& job(JobIdx j) { return jobs_[j.v]; }
-  [[nodiscard]] const Job& job(JobIdx j) const { return jobs_[j.v]; }
+  [[nodiscard]] JobIndex find(std::string_view uid) const;
+  [[nodiscard]] Job& job(JobIndex j) { return jobs_[j.value]; }
+  [[nodiscard]] const Job& job(JobIndex j) const { return jobs_[j.value]; }
   // Not ended, or still on hosts; jobs that wait for others come when they are ready. What is planned, rented for and
   // counted as waiting is of these alone.
-  [[nodiscard]] const std::vector<JobIdx>& live() const { return live_; }
-  [[nodiscard]] const Pipelines& pipelines() const { return pipelines_; }
+  [[nodiscard]] const std::vector<JobIndex>& live() const { return live_; }
+  [[nodiscard]] const DependencyGraph& dependency_graph() const { return dependency_graph_; }
   // One of the largest jobs of its class lately.
-  [[nodiscard]] bool is_large(const Job& job) const { return largest_.is_among_largest(job.job_class, size_of(job.spec)); }
+  [[nodiscard]] bool is_large(const Job& job) const { return size_ranking_.is_among_largest(job.job_class, size_of(job.spec)); }
   // Why a submission may not wait for the jobs that it names; nullopt: it may. The whole ledger has been read.
-  [[nodiscard]] std::optional<std::string> why_not_after(const Submission& s) const;
+  [[nodiscard]] std::optional<std::string> dependency_rejection_reason(const JobSpec& s) const;
   // What waits for others, for which levels before 4 have no form. A job that waited and does not any more loses there
   // since when it is ready, and nothing else.
-  [[nodiscard]] std::optional<std::string> in_pipeline() const;
+  [[nodiscard]] std::optional<std::string> dependencies_without_older_format() const;
   // Its flavors decide whether the task can ever run; nullopt while they are unknown.
-  [[nodiscard]] std::optional<std::string> why_never(const Submission& s) const;
-  [[nodiscard]] bool allows(const Job& job, const Host& host) const;
-  Placement* placement(PieceRef ref);
+  [[nodiscard]] std::optional<std::string> rejection_reason(const JobSpec& s) const;
+  [[nodiscard]] bool allows(const Job& job, const Node& node) const;
+  Placement* placement(TaskRef ref);
 
   // Hosts
-  HostIdx host_named(const std::string& name);
-  [[nodiscard]] HostIdx find_host(const std::string& name) const;
-  [[nodiscard]] Host& host(HostIdx h) { return hosts_[h.v]; }
-  [[nodiscard]] const Host& host(HostIdx h) const { return hosts_[h.v]; }
-  [[nodiscard]] std::size_t host_count() const { return hosts_.size(); }
-  void describe(HostIdx h, const std::string& address, const std::string& kind, const std::string& zone, bool loaner);
-  void touch_image(Host& host, ImageIdx image, double gb);
+  NodeIndex find_or_add_node(const std::string& name);
+  [[nodiscard]] NodeIndex find_node(const std::string& name) const;
+  [[nodiscard]] Node& node(NodeIndex h) { return nodes_[h.value]; }
+  [[nodiscard]] const Node& node(NodeIndex h) const { return nodes_[h.value]; }
+  [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
+  void describe_node(NodeIndex h, const std::string& address, const std::string& kind, const std::string& zone, bool spot);
+  void record_image_use(Node& node, ImageIndex image, double gb);
 
   // Flavors, by kind; nullptr while unknown
-  [[nodiscard]] const Flavor* flavor(KindIdx k) const;
-  [[nodiscard]] const std::vector<Flavor>& flavors() const { return flavors_; }
-  [[nodiscard]] KindIdx kind_of(std::string_view name) const { return kinds_.find(name); }
-  [[nodiscard]] const std::string& kind_name(KindIdx k) const { return kinds_.name(k); }
-  [[nodiscard]] ZoneIdx zone_of(std::string_view name) { return zones_.intern(name); }
-  [[nodiscard]] const std::string& zone_name(ZoneIdx z) const { return zones_.name(z); }
+  [[nodiscard]] const MachineType* machine_type(MachineTypeIndex k) const;
+  [[nodiscard]] const std::vector<MachineType>& machine_types() const { return machine_types_; }
+  [[nodiscard]] MachineTypeIndex find_machine_type(std::string_view name) const { return machine_type_names_.find(name); }
+  [[nodiscard]] const std::string& machine_type_name(MachineTypeIndex k) const { return machine_type_names_.name(k); }
+  [[nodiscard]] ZoneIndex intern_zone(std::string_view name) { return zones_.intern(name); }
+  [[nodiscard]] const std::string& zone_name(ZoneIndex z) const { return zones_.name(z); }
   [[nodiscard]] std::size_t zone_count() const { return zones_.size(); }
 
   // Which jobs and machines are at fault for failures.
-  [[nodiscard]] Blame& blame() { return blame_; }
-  [[nodiscard]] const Blame& blame() const { return blame_; }
+  [[nodiscard]] FailureAttribution& failure_attribution() { return failure_attribution_; }
+  [[nodiscard]] const FailureAttribution& failure_attribution() const { return failure_attribution_; }
 
-  [[nodiscard]] Accounts& accounts() { return accounts_; }
-  [[nodiscard]] const Accounts& accounts() const { return accounts_; }
-  [[nodiscard]] const std::vector<Team>& teams() const { return accounts_.teams(); }
+  [[nodiscard]] QuotaAccounts& quota_accounts() { return quota_accounts_; }
+  [[nodiscard]] const QuotaAccounts& quota_accounts() const { return quota_accounts_; }
+  [[nodiscard]] const std::vector<Team>& teams() const { return quota_accounts_.teams(); }
   // What is used by each team, counted from the placements: the accounts must say the same.
   [[nodiscard]] std::vector<Resources> recount() const;
   // Where an account says less, it says as much from then on; the teams concerned.
   std::vector<std::string> correct_accounts();
   // Counts what workers report and the book places nowhere against its team.
-  void count_unplaced();
+  void recount_unplaced();
   // When a job that is accepted now (wall seconds) counts as accepted: after all that are, so that a team's jobs have the
   // ledger's order for every leader, whatever its clock says within the bound that is known of it.
-  [[nodiscard]] double accepted_next(double wall, double skew_s) const;
+  [[nodiscard]] double next_acceptance_time(double wall, double skew_s) const;
 
   // The largest task with accelerators accepted so far that may run on this kind, spot or not; zero when none.
-  [[nodiscard]] Resources accelerator_need(KindIdx k, bool loaner) const;
+  [[nodiscard]] Resources largest_accelerator_demand(MachineTypeIndex k, bool spot) const;
 
   // A job as it is now, as records that replace all earlier ones about it. Records are kept short: one covers tasks
   // from `from` on until it holds `most_items` ranges, and moves `from` behind them; the job is covered when `from`
   // has reached the number of its tasks. An ended job is one short record.
-  [[nodiscard]] Record job_record(JobIdx j, std::uint32_t& from, std::size_t most_items) const;
-  [[nodiscard]] bool covered(JobIdx j, std::uint32_t from) const { return from >= jobs_[j.v].tasks.size(); }
+  [[nodiscard]] Record snapshot_record(JobIndex j, std::uint32_t& from, std::size_t most_items) const;
+  [[nodiscard]] bool is_snapshot_complete(JobIndex j, std::uint32_t from) const { return from >= jobs_[j.value].tasks.size(); }
   [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
 
  private:
-  JobIdx add_job(const AcceptRecord& r);
-  void place(JobIdx j, std::uint32_t task, HostIdx h, std::uint64_t tenure, std::uint64_t attempt, double at);
-  void unplace(JobIdx j, std::uint32_t task);
-  void mark_done(JobIdx j, const Ranges& ranges, double at);
-  void settle(JobIdx j);
+  JobIndex add_job(const JobAcceptedRecord& r);
+  void place(JobIndex j, std::uint32_t task, NodeIndex h, std::uint64_t agent_incarnation, std::uint64_t attempt, double at);
+  void unplace(JobIndex j, std::uint32_t task);
+  void mark_done(JobIndex j, const TaskRanges& ranges, double at);
+  void settle(JobIndex j);
   // Pipelines: what is asked of them, and what comes of it.
   static Urgency own_urgency(const Job& job);
-  void enliven(JobIdx j);
-  [[nodiscard]] Pipelines::DependencyStatus named(JobIdx j) const;
-  void wait_for_others(JobIdx j);
-  void name_read(JobIdx j, double done_at = 0);
-  void take(const Pipelines::Changes& news);
-  void ended(JobIdx j, double at);
+  void activate(JobIndex j);
+  [[nodiscard]] DependencyGraph::DependencyStatus named(JobIndex j) const;
+  void register_dependencies(JobIndex j);
+  void resolve_dependency(JobIndex j, double done_at = 0);
+  void take(const DependencyGraph::Changes& news);
+  void ended(JobIndex j, double at);
   // Some of what it waits for has not been read whole.
-  [[nodiscard]] bool reading_on(JobIdx j) const;
+  [[nodiscard]] bool is_replay_incomplete(JobIndex j) const;
 
-  void on(const AcceptRecord& r);
-  void on(const StartRecord& r);
-  void on(const DoneRecord& r);
-  void on(const OffRecord& r);
-  void on(const CancelRecord& r);
-  void on(const FlavorsRecord& r);
-  void on(const JobRecord& r);
-  void on(const EndedRecord& r);
-  void on(const TeamRecord& r) { accounts_.apply_record(r); }
+  void on(const JobAcceptedRecord& r);
+  void on(const TasksStartedRecord& r);
+  void on(const TasksCompletedRecord& r);
+  void on(const TasksRemovedRecord& r);
+  void on(const JobCancelledRecord& r);
+  void on(const MachineTypesRecord& r);
+  void on(const JobSnapshotRecord& r);
+  void on(const JobsEndedRecord& r);
+  void on(const TeamQuotaRecord& r) { quota_accounts_.apply_record(r); }
 
   std::size_t record_bytes_;
-  Accounts accounts_;
+  QuotaAccounts quota_accounts_;
   double latest_accepted_ = 0;  // wall seconds
-  Interner<KindIdx> kinds_;
-  Interner<ZoneIdx> zones_;
-  Interner<ImageIdx> images_;
-  Interner<ClassIdx> classes_;
+  Interner<MachineTypeIndex> machine_type_names_;
+  Interner<ZoneIndex> zones_;
+  Interner<ImageIndex> images_;
+  Interner<JobClassIndex> classes_;
   std::deque<Job> jobs_;  // never moved: hosts point to placements
-  NameMap<JobIdx> by_uid_;
-  std::vector<JobIdx> live_;
-  std::vector<Host> hosts_;
-  NameMap<HostIdx> by_name_;
-  std::vector<Flavor> flavors_;
-  std::vector<int> flavor_of_kind_;
-  Blame blame_;
-  Pipelines pipelines_;
-  Largest largest_;
+  NameMap<JobIndex> by_uid_;
+  std::vector<JobIndex> live_;
+  std::vector<Node> nodes_;
+  NameMap<NodeIndex> nodes_by_name_;
+  std::vector<MachineType> machine_types_;
+  std::vector<int> machine_type_positions_;
+  FailureAttribution failure_attribution_;
+  DependencyGraph dependency_graph_;
+  JobSizeRanking size_ranking_;
   // By kind (not valid: jobs that may use any), and whether the machine is a spot one.
-  std::map<std::pair<KindIdx, bool>, Resources> accelerator_needs_;
+  std::map<std::pair<MachineTypeIndex, bool>, Resources> accelerator_demands_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/pipelines.cpp
+++ b/src/cluster_state/dependency_graph.cpp
@@ -1,26 +1,26 @@
-#include "bookkeeping/pipelines.hpp"
+#include "cluster_state/dependency_graph.hpp"
 
 #include <algorithm>
 #include <cassert>
 #include <utility>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
-const std::vector<JobIdx> kNone;
+const std::vector<JobIndex> kNone;
 }  // namespace
 
 Urgency more_urgent(const Urgency& a, const Urgency& b) {
-  return {std::max(a.rank, b.rank), std::min(a.due_at, b.due_at)};
+  return {std::max(a.priority, b.priority), std::min(a.deadline_at, b.deadline_at)};
 }
 
-const Pipelines::Vertex* Pipelines::find(JobIdx job) const {
+const DependencyGraph::Vertex* DependencyGraph::find(JobIndex job) const {
   const auto it = vertices_.find(job);
   return it == vertices_.end() ? nullptr : &it->second;
 }
 
-void Pipelines::add(JobIdx job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
-                    const std::vector<DependencyStatus>& as_named, Changes& news) {
+void DependencyGraph::add(JobIndex job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
+                          const std::vector<DependencyStatus>& as_named, Changes& news) {
   assert(names.size() == as_named.size() && !vertices_.contains(job));
   Vertex& n = vertices_[job];
   n.own = own;
@@ -49,18 +49,18 @@
   }
 }
 
-void Pipelines::add_edge(JobIdx job, JobIdx need, Changes& news) {
+void DependencyGraph::add_edge(JobIndex job, JobIndex need, Changes& news) {
   vertices_[job].dependencies.push_back(need);
   vertices_[need].dependents.push_back(job);
   propagate_urgency({need}, news);
 }
 
-void Pipelines::resolve_name(const std::string& name, const DependencyStatus& named, Changes& news) {
+void DependencyGraph::resolve_name(const std::string& name, const DependencyStatus& named, Changes& news) {
   const auto it = unresolved_.find(name);
   if (it == unresolved_.end()) return;
   const auto jobs = std::move(it->second);
   unresolved_.erase(it);
-  for (JobIdx j : jobs) {
+  for (JobIndex j : jobs) {
     const auto at = vertices_.find(j);
     if (at == vertices_.end() || at->second.ended || at->second.unresolved == 0) continue;
     --at->second.unresolved;
@@ -85,14 +85,14 @@
   }
 }
 
-void Pipelines::mark_done(JobIdx job, double at, Changes& news) {
+void DependencyGraph::mark_done(JobIndex job, double at, Changes& news) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || it->second.ended) return;
   it->second.ended = true;
   it->second.done_at = at;
   if (std::exchange(it->second.blocked, false)) --blocked_;  // begun before the names were read: it was ready
   const auto dependents = it->second.dependents;
-  for (JobIdx d : dependents) {
+  for (JobIndex d : dependents) {
     Vertex& n = vertices_.at(d);
     if (std::erase(n.dependencies, job) == 0) continue;
     n.completed_dependencies.push_back(job);
@@ -102,7 +102,7 @@
   detach(job, news);
 }
 
-void Pipelines::update_eligibility(JobIdx job, Changes& news) {
+void DependencyGraph::update_eligibility(JobIndex job, Changes& news) {
   Vertex& n = vertices_.at(job);
   if (!n.blocked || n.ended || n.unresolved > 0 || !n.dependencies.empty()) return;
   n.blocked = false;
@@ -112,21 +112,21 @@
   erase_if_unused(job);
 }
 
-void Pipelines::mark_cancelled(JobIdx job, Changes& news) {
+void DependencyGraph::mark_cancelled(JobIndex job, Changes& news) {
   if (const Vertex* n = find(job); n && !n->ended) cancel_dependents(job, news);
 }
 
-void Pipelines::cancel_dependents(JobIdx job, Changes& news) {
+void DependencyGraph::cancel_dependents(JobIndex job, Changes& news) {
   // No recursion: a chain may be as long as there are jobs.
-  std::vector<JobIdx> work{job};
+  std::vector<JobIndex> work{job};
   while (!work.empty()) {
-    const JobIdx j = work.back();
+    const JobIndex j = work.back();
     work.pop_back();
     Vertex& n = vertices_.at(j);
     n.ended = true;
     if (std::exchange(n.blocked, false)) --blocked_;
     const auto dependents = std::exchange(n.dependents, {});
-    for (JobIdx d : dependents) {
+    for (JobIndex d : dependents) {
       Vertex& dependent = vertices_.at(d);
       std::erase(dependent.dependencies, j);
       if (dependent.ended) continue;
@@ -139,47 +139,47 @@
   }
 }
 
-void Pipelines::mark_eligible(JobIdx job, Changes& news) {
+void DependencyGraph::mark_eligible(JobIndex job, Changes& news) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || !it->second.blocked) return;
   Vertex& n = it->second;
   n.unresolved = 0;
   const auto needs = std::exchange(n.dependencies, {});
-  for (JobIdx f : needs) std::erase(vertices_.at(f).dependents, job);
+  for (JobIndex f : needs) std::erase(vertices_.at(f).dependents, job);
   propagate_urgency(needs, news);
   n.blocked = false;
   --blocked_;
   ++eligible_;
-  for (JobIdx f : needs) erase_if_unused(f);
+  for (JobIndex f : needs) erase_if_unused(f);
   erase_if_unused(job);
 }
 
-void Pipelines::detach(JobIdx job, Changes& news) {
+void DependencyGraph::detach(JobIndex job, Changes& news) {
   Vertex& n = vertices_.at(job);
   const auto needs = std::exchange(n.dependencies, {});
   const auto met = std::exchange(n.completed_dependencies, {});
   for (const auto* list : {&needs, &met})
-    for (JobIdx f : *list)
+    for (JobIndex f : *list)
       if (const auto it = vertices_.find(f); it != vertices_.end()) std::erase(it->second.dependents, job);
   propagate_urgency(needs, news);
   for (const auto* list : {&needs, &met})
-    for (JobIdx f : *list) erase_if_unused(f);
+    for (JobIndex f : *list) erase_if_unused(f);
   erase_if_unused(job);
 }
 
 // A job counts as the most urgent of itself and of those that need it; what follows it takes its time first.
-void Pipelines::propagate_urgency(std::vector<JobIdx> work, Changes& news) {
+void DependencyGraph::propagate_urgency(std::vector<JobIndex> work, Changes& news) {
   while (!work.empty()) {
-    const JobIdx j = work.back();
+    const JobIndex j = work.back();
     work.pop_back();
     const auto it = vertices_.find(j);
     if (it == vertices_.end() || it->second.ended) continue;
     Vertex& n = it->second;
     Urgency wanted;
-    for (JobIdx d : n.dependents) {
+    for (JobIndex d : n.dependents) {
       const Vertex& dependent = vertices_.at(d);
       auto total = more_urgent(dependent.own, dependent.required);
-      total.due_at -= dependent.estimated_run_s;
+      total.deadline_at -= dependent.estimated_run_s;
       wanted = more_urgent(wanted, total);
     }
     if (wanted == n.required) continue;
@@ -190,39 +190,39 @@
   }
 }
 
-void Pipelines::erase_if_unused(JobIdx job) {
+void DependencyGraph::erase_if_unused(JobIndex job) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end()) return;
   const Vertex& n = it->second;
   if (!n.blocked && n.dependents.empty() && (n.ended || (n.dependencies.empty() && n.completed_dependencies.empty()))) vertices_.erase(it);
 }
 
-bool Pipelines::is_blocked(JobIdx job) const {
+bool DependencyGraph::is_blocked(JobIndex job) const {
   const Vertex* n = find(job);
   return n && n->blocked;
 }
-const std::vector<JobIdx>& Pipelines::dependencies(JobIdx job) const {
+const std::vector<JobIndex>& DependencyGraph::dependencies(JobIndex job) const {
   const Vertex* n = find(job);
   return n ? n->dependencies : kNone;
 }
-bool Pipelines::has_unresolved_names(JobIdx job) const {
+bool DependencyGraph::has_unresolved_names(JobIndex job) const {
   const Vertex* n = find(job);
   return n && n->unresolved > 0;
 }
-bool Pipelines::has_dependents(JobIdx job) const {
+bool DependencyGraph::has_dependents(JobIndex job) const {
   const Vertex* n = find(job);
   return n && !n->dependents.empty();
 }
-double Pipelines::done_at(JobIdx job) const {
+double DependencyGraph::done_at(JobIndex job) const {
   const Vertex* n = find(job);
   return n ? n->done_at : 0;
 }
-Urgency Pipelines::required_urgency(JobIdx job) const {
+Urgency DependencyGraph::required_urgency(JobIndex job) const {
   const Vertex* n = find(job);
   return n ? n->required : Urgency{};
 }
-Pipelines::Counts Pipelines::counts() const {
+DependencyGraph::Counts DependencyGraph::counts() const {
   return {blocked_, unresolved_.size(), eligible_, cancelled_};
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/blame.cpp
+++ b/src/cluster_state/failure_attribution.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/blame.hpp"
+#include "cluster_state/failure_attribution.hpp"
 
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr std::size_t kIndependent = 2;  // machines with nothing else against them that convict a job
@@ -17,7 +17,7 @@
 constexpr std::size_t kMostRemembered = 8;  // machines remembered of a job
 }  // namespace
 
-void Blame::record_failure(JobIdx j, HostIdx h, double at, bool sound) {
+void FailureAttribution::record_failure(JobIndex j, NodeIndex h, double at, bool sound) {
   auto& job = jobs_[j];
   job.failed_on[h] = at;
   if (job.failed_on.size() > kMostRemembered) {
@@ -40,8 +40,8 @@
   }
   // A machine on which others fail as well says little about this job.
   const auto independent = std::count_if(job.failed_on.begin(), job.failed_on.end(), [&](const auto& f) {
-    const auto it = hosts_.find(f.first);
-    return it == hosts_.end() || it->second.failed.size() - it->second.failed.count(j) == 0;
+    const auto it = nodes_.find(f.first);
+    return it == nodes_.end() || it->second.failed.size() - it->second.failed.count(j) == 0;
   });
   if (static_cast<std::size_t>(independent) >= kIndependent || job.failed_on.size() >= kAnyMachines || job.failures >= kFailuresInARow) {
     job.suspect = true;
@@ -53,15 +53,15 @@
   blame_node(j, h, at);
 }
 
-void Blame::record_success(JobIdx j, HostIdx h) {
-  if (auto it = hosts_.find(h); it != hosts_.end()) {
-    auto& host = it->second;
-    if (!host.failed.empty()) host.failed.erase(host.failed.begin());
-    if (host.cordoned_until > 0) {
+void FailureAttribution::record_success(JobIndex j, NodeIndex h) {
+  if (auto it = nodes_.find(h); it != nodes_.end()) {
+    auto& node = it->second;
+    if (!node.failed.empty()) node.failed.erase(node.failed.begin());
+    if (node.cordoned_until > 0) {
       // It does work: one more such judgement is needed before it is set aside again.
-      host.cordoned_until = 0;
-      host.failed.clear();
-      news_.push_back({Verdict::Kind::uncordoned, j, h, host.times_cordoned, 0});
+      node.cordoned_until = 0;
+      node.failed.clear();
+      news_.push_back({Verdict::Kind::uncordoned, j, h, node.times_cordoned, 0});
     }
   }
   auto it = jobs_.find(j);
@@ -78,7 +78,7 @@
     if (failed_on != h) blame_node(j, failed_on, at);
 }
 
-void Blame::forget_job(JobIdx j, bool sound) {
+void FailureAttribution::forget_job(JobIndex j, bool sound) {
   const auto it = jobs_.find(j);
   if (it == jobs_.end()) return;
   if (!sound)
@@ -86,18 +86,18 @@
   jobs_.erase(it);
 }
 
-void Blame::blame_node(JobIdx j, HostIdx h, double at) {
-  auto& host = hosts_[h];
-  host.failed.insert(j);
-  if (host.failed.size() < kJobsAgainstHost || host.cordoned_until > at) return;
-  host.cordoned_until = at + kAsideAtFirst * static_cast<double>(1u << std::min(host.times_cordoned, kMostDoublings));
-  ++host.times_cordoned;  // what counted against it still does: tried again, its next failure tells
-  news_.push_back({Verdict::Kind::cordoned, j, h, host.times_cordoned, host.cordoned_until});
+void FailureAttribution::blame_node(JobIndex j, NodeIndex h, double at) {
+  auto& node = nodes_[h];
+  node.failed.insert(j);
+  if (node.failed.size() < kJobsAgainstHost || node.cordoned_until > at) return;
+  node.cordoned_until = at + kAsideAtFirst * static_cast<double>(1u << std::min(node.times_cordoned, kMostDoublings));
+  ++node.times_cordoned;  // what counted against it still does: tried again, its next failure tells
+  news_.push_back({Verdict::Kind::cordoned, j, h, node.times_cordoned, node.cordoned_until});
 }
 
-void Blame::clear_node(JobIdx j, HostIdx h) {
-  const auto it = hosts_.find(h);
-  if (it == hosts_.end() || it->second.failed.erase(j) == 0) return;
+void FailureAttribution::clear_node(JobIndex j, NodeIndex h) {
+  const auto it = nodes_.find(h);
+  if (it == nodes_.end() || it->second.failed.erase(j) == 0) return;
   if (it->second.cordoned_until == 0 || it->second.failed.size() >= kJobsAgainstHost) return;
   // What it was set aside for was the job's fault.
   it->second.cordoned_until = 0;
@@ -105,31 +105,31 @@
   news_.push_back({Verdict::Kind::uncordoned, j, h, it->second.times_cordoned, 0});
 }
 
-bool Blame::is_suspect(JobIdx j) const {
+bool FailureAttribution::is_suspect(JobIndex j) const {
   const auto it = jobs_.find(j);
   return it != jobs_.end() && it->second.suspect;
 }
 
-double Blame::next_try_at(JobIdx j) const {
+double FailureAttribution::next_try_at(JobIndex j) const {
   const auto it = jobs_.find(j);
   return it == jobs_.end() ? 0 : it->second.not_before;
 }
 
-std::vector<HostIdx> Blame::avoided_nodes(JobIdx j, double wall) const {
-  std::vector<HostIdx> out;
+std::vector<NodeIndex> FailureAttribution::avoided_nodes(JobIndex j, double wall) const {
+  std::vector<NodeIndex> out;
   if (const auto it = jobs_.find(j); it != jobs_.end())
     for (const auto& [h, at] : it->second.failed_on)
       if (wall - at < kAvoidFor) out.push_back(h);
   return out;
 }
 
-bool Blame::is_cordoned(HostIdx h, double wall) const {
-  const auto it = hosts_.find(h);
-  return it != hosts_.end() && it->second.cordoned_until > wall;
+bool FailureAttribution::is_cordoned(NodeIndex h, double wall) const {
+  const auto it = nodes_.find(h);
+  return it != nodes_.end() && it->second.cordoned_until > wall;
 }
 
-bool Blame::should_replace(HostIdx h, double wall) const {
-  return is_cordoned(h, wall) && hosts_.at(h).times_cordoned >= 2;
+bool FailureAttribution::should_replace(NodeIndex h, double wall) const {
+  return is_cordoned(h, wall) && nodes_.at(h).times_cordoned >= 2;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/largest.cpp
+++ b/src/cluster_state/job_size_ranking.cpp
@@ -1,21 +1,21 @@
-#include "bookkeeping/largest.hpp"
+#include "cluster_state/job_size_ranking.hpp"
 
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr std::size_t kLately = 64;   // jobs of a class
 constexpr double kLargeShare = 0.85;  // at or above this share of them
 }  // namespace
 
-double size_of(const Submission& s) {
+double size_of(const JobSpec& s) {
   return s.demand.cores * s.task_count;
 }
 
-void Largest::record(ClassIdx c, double size) {
-  if (classes_.size() <= c.v) classes_.resize(c.v + 1);
-  auto& lately = classes_[c.v];
+void JobSizeRanking::record(JobClassIndex c, double size) {
+  if (classes_.size() <= c.value) classes_.resize(c.value + 1);
+  auto& lately = classes_[c.value];
   lately.sizes.push_back(size);
   if (lately.sizes.size() > kLately) lately.sizes.pop_front();
   std::vector<double> sorted(lately.sizes.begin(), lately.sizes.end());
@@ -25,10 +25,10 @@
   lately.median = at(0.5);
 }
 
-bool Largest::is_among_largest(ClassIdx c, double size) const {
-  if (!c.valid() || classes_.size() <= c.v) return false;
-  const auto& lately = classes_[c.v];
+bool JobSizeRanking::is_among_largest(JobClassIndex c, double size) const {
+  if (!c.valid() || classes_.size() <= c.value) return false;
+  const auto& lately = classes_[c.value];
   return size >= lately.large && size > lately.median;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/largest.hpp
+++ b/src/cluster_state/job_size_ranking.hpp
@@ -5,19 +5,20 @@
 #include <deque>
 #include <vector>
 
-#include "protocol/types.hpp"
+#include "model/identifiers.hpp"
+#include "model/job.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 // What a job asks for in all, to be compared within its class: cores.
-double size_of(const Submission& s);
+double size_of(const JobSpec& s);
 
-class Largest {
+class JobSizeRanking {
  public:
   // A job of the class came.
-  void record(ClassIdx c, double size);
+  void record(JobClassIndex c, double size);
   // Among the largest few of those that came lately, and larger than most of them; none where all are alike.
-  [[nodiscard]] bool is_among_largest(ClassIdx c, double size) const;
+  [[nodiscard]] bool is_among_largest(JobClassIndex c, double size) const;
 
  private:
   struct RecentSizes {
@@ -28,6 +29,6 @@
 };
 
 // Seconds within which its users want one of the largest to begin.
-inline constexpr double kLargestBegins = 240.0;
+inline constexpr double kLargestStartTarget = 240.0;
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/waiting.hpp
+++ b/src/cluster_state/pending_summary.hpp
@@ -4,11 +4,11 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/book.hpp"
+#include "cluster_state/cluster_state.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-struct Waiting {
+struct PendingSummary {
   std::string team, job_class;
   enum class Reason : std::uint8_t {
     capacity,       // on machines, behind what goes before
@@ -20,9 +20,9 @@
   std::uint32_t tasks = 0;
   double unstarted_s = 0;  // since the oldest job of which nothing has run yet was accepted; 0: there is none
 };
-const char* name_of(Waiting::Reason what);
+const char* name_of(PendingSummary::Reason what);
 
 // `wall`: seconds. In the order of teams, classes and reasons.
-std::vector<Waiting> what_waits(const Book& book, double wall);
+std::vector<PendingSummary> summarize_pending(const ClusterState& cluster_state, double wall);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/bookkeeping/served.hpp
+++ b/src/cluster_state/service_level_counters.hpp
@@ -8,11 +8,13 @@
 #include <string>
 #include <utility>
 
-#include "bookkeeping/book.hpp"
+#include "cluster_state/cluster_state.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class Served {
+class ServiceLevelCounters {
  public:
   struct Counts {
     std::uint64_t accepted = 0, started = 0;  // jobs; started: its first task, or its gang
@@ -24,30 +26,30 @@
     friend bool operator==(const Counts&, const Counts&) = default;
   };
   // Classes that `classes` does not name are counted together, as "other".
-  explicit Served(std::set<std::string> classes) : classes_(std::move(classes)) {}
+  explicit ServiceLevelCounters(std::set<std::string> classes) : classes_(std::move(classes)) {}
   [[nodiscard]] std::string class_label(const std::string& job_class) const { return classes_.contains(job_class) ? job_class : "other"; }
 
   // This record of its own is in the ledger; `book` is as it is before it is applied, and `wall` seconds.
-  void before_apply(const Record& record, const Book& book);
-  void after_apply(const Record& record, const Book& book, double wall);
+  void before_apply(const Record& record, const ClusterState& cluster_state);
+  void after_apply(const Record& record, const ClusterState& cluster_state, double wall);
   // The services of the book for the seconds since the last look.
-  void add_replica_time(const Book& book, double seconds);
+  void add_replica_time(const ClusterState& cluster_state, double seconds);
 
   using Key = std::pair<std::string, std::string>;  // team, class
   [[nodiscard]] const std::map<Key, Counts>& counts() const { return counts_; }
 
  private:
-  [[nodiscard]] Key key_of(const Submission& spec) const { return {spec.owner, class_label(spec.job_class)}; }
-  Counts& counts_of(const Submission& spec) { return counts_[key_of(spec)]; }
+  [[nodiscard]] Key key_of(const JobSpec& spec) const { return {spec.owner, class_label(spec.job_class)}; }
+  Counts& counts_of(const JobSpec& spec) { return counts_[key_of(spec)]; }
 
   std::set<std::string> classes_;
   std::map<Key, Counts> counts_;
   // The job that the record at hand may end: an ended one no longer says whose it was.
   struct Ending {
     Key key;
-    std::optional<double> due_at;  // wall seconds
+    std::optional<double> deadline_at;  // wall seconds
   };
   std::optional<Ending> ending_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "coordination/controller.hpp"
+#include "controller/controller.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 std::uint64_t random_word() {
@@ -22,54 +22,58 @@
   return out;
 }
 
-TeamsFile teams_file(const Settings& settings) {
-  TeamsFile out;
+TeamQuotas team_quotas(const Settings& settings) {
+  TeamQuotas out;
   for (const auto& t : settings.teams) out[t.name] = {t.guarantee, t.limit};
   return out;
 }
 }  // namespace
 
-Controller::Controller(Settings settings, Tuning tuning)
+Controller::Controller(Settings settings, Options options)
     : settings_(std::move(settings)),
-      tuning_(tuning),
-      budget_(split_budget(tuning.threads, settings_.max_sockets, settings_.peers.size())),
+      options_(options),
+      budget_(split_resource_budget(options.threads, settings_.max_sockets, settings_.peers.size())),
       incarnation_(random_word() >> 2),
-      teams_file_(teams_file(settings_)),
-      able_{rollout::kLeastLevel, tuning.state_level_reads, std::min(tuning.state_level_most, tuning.state_level_reads),
-            incarnation_,         rollout::kBuild,          digest_of(teams_file_)},
-      writes_(settings_.state_write_rps),
+      team_quotas_(team_quotas(settings_)),
+      supported_versions_{rollout::kMinFormatVersion,
+                          options.max_readable_format_version,
+                          std::min(options.max_format_version, options.max_readable_format_version),
+                          incarnation_,
+                          rollout::kBuild,
+                          digest_of(team_quotas_)},
+      write_limiter_(settings_.state_write_rps),
       random_(random_word()),
-      due_(std::max<std::size_t>(budget_.senders / 4, 1)),
-      lines_(budget_.worker_connections),
+      command_queue_(std::max<std::size_t>(budget_.senders / 4, 1)),
+      worker_connections_(budget_.worker_connections),
       began_(steady_now()),
-      custody_(custody_span(settings_.cancel_s, settings_.lease_s), began_),
-      served_(named_classes(settings_)),
-      intake_store_(settings_.store_address),
-      intake_(
+      partition_lease_(max_partition_lease_s(settings_.cancel_s, settings_.lease_s), began_),
+      service_levels_(named_classes(settings_)),
+      relay_store_(settings_.store_address),
+      heartbeat_relay_(
           settings_.label,
-          [this]() -> std::optional<IntakeSender::Lead> {
+          [this]() -> std::optional<HeartbeatRelay::Lead> {
             Lock lock(mutex_);
             FramePool* pool = role_ == Role::follower ? leader_pool() : nullptr;
             if (!pool) return std::nullopt;
-            return IntakeSender::Lead{pool, leads_known_, known_takeover_};
+            return HeartbeatRelay::Lead{pool, leads_known_, known_takeover_token_};
           },
           [this] {
             Rows rows;
-            return intake_store_.list(kLeadPrefix, rows) == StoreStatus::ok;
+            return relay_store_.list(kLeadershipPrefix, rows) == StoreStatus::ok;
           }) {
   follower_since_ = began_;
   for (const auto& o : settings_.objectives)
     if (o.kind == "wait") wait_aims_[o.job_class].push_back(o.within_s);
   for (const auto& p : settings_.peers) {
     links_.push_back(
-        {p, std::make_unique<FramePool>(p.address, Budget::kCallsToAPeer), std::make_unique<FramePool>(p.address, 1), {}, 0, 0, 0});
+        {p, std::make_unique<FramePool>(p.address, ResourceBudget::kCallsToAPeer), std::make_unique<FramePool>(p.address, 1), {}, 0, 0, 0});
   }
 }
 
 Controller::~Controller() = default;
 
 void Controller::run(std::stop_token stop) {
-  if (custody_span(settings_.cancel_s, settings_.lease_s) <= 0)
+  if (max_partition_lease_s(settings_.cancel_s, settings_.lease_s) <= 0)
     spdlog::info("cancel_s, {} s, leaves no time beyond lease_s, {} s: no lease is renewed in a cut or in doubt", settings_.cancel_s,
                  settings_.lease_s);
   frame_server_ = std::make_unique<FrameServer>(settings_.peer_listen, budget_.peers, [this](const Frame& f) { return on_frame(f); });
@@ -78,7 +82,7 @@
   duties_.emplace_back([this](std::stop_token st) { pass_duty(st); });
   duties_.emplace_back([this](std::stop_token st) { cloud_duty(st); });
   duties_.emplace_back([this](std::stop_token st) { rollout_duty(st); });
-  if (tuning_.relay_mode != IntakeMode::off) duties_.emplace_back([this](std::stop_token st) { intake_.run(st); });
+  if (options_.relay_mode != RelayMode::off) duties_.emplace_back([this](std::stop_token st) { heartbeat_relay_.run(st); });
   for (std::size_t i = 0; i < links_.size(); ++i) duties_.emplace_back([this, i](std::stop_token st) { peer_duty(st, i); });
   duties_.emplace_back([this](std::stop_token st) { leadership_duty(st); });
   spdlog::info("{} serves on {}, peers on {}", settings_.label, settings_.client_listen, settings_.peer_listen);
@@ -107,13 +111,13 @@
   return {status, error_body(reason), retry_after_s};
 }
 
-bool Controller::decisive() const {
+bool Controller::may_decide() const {
   return role_ == Role::leading && !term_->hand_over && steady_now() < term_->valid_until;
 }
 
-void Controller::want_pass() {
+void Controller::request_pass() {
   pass_due_ = true;
   pass_wanted_.notify_all();
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/intake_sender.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -1,15 +1,16 @@
-#include "coordination/intake_sender.hpp"
+#include "controller/heartbeat_relay.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <chrono>
 
+#include "model/heartbeat.hpp"
 #include "protocol/peer_messages.hpp"
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kBatchPeriod = 0.05;  // seconds from one batch to the next, at least
@@ -22,20 +23,20 @@
 constexpr double kAfterFailure = 0.1;  // seconds
 constexpr double kNoLead = 0.05;       // seconds until it is looked again who leads
 constexpr std::size_t kMostBytes = 256 * 1024;
-constexpr std::size_t kMostReports = 1024;
+constexpr std::size_t kMaxHeartbeats = 1024;
 constexpr std::size_t kMostWaiting = 4096;  // reports; a connection has one at a time
 constexpr double kHeardLately = 20.0;       // seconds
 constexpr double kCountPeriod = 1.0;        // seconds
 }  // namespace
 
-IntakeSender::RelayResult IntakeSender::relay(const Report& report, double timeout_s) {
+HeartbeatRelay::RelayResult HeartbeatRelay::relay(const Heartbeat& heartbeat, double timeout_s) {
   std::unique_lock lock(mutex_);
   const double now = steady_now();
-  heard_at_[report.host] = now;
+  heard_at_[heartbeat.node] = now;
   if (leader_support_ == LeaderSupport::no) return {RelayResult::Outcome::not_supported, {}, 0, 0};
   if (waiting_.size() >= kMostWaiting) return {};
   WaitingHeartbeat mine;
-  mine.report = &report;
+  mine.heartbeat = &heartbeat;
   mine.since = now;
   mine.until = now + timeout_s;
   waiting_.push_back(&mine);
@@ -44,29 +45,29 @@
   mine.changed.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] { return mine.done; });
   mine.changed.wait(lock, [&] { return mine.done || !mine.in_batch; });
   if (!mine.done) std::erase(waiting_, &mine);
-  return mine.passed;
+  return mine.relay_result;
 }
 
-void IntakeSender::fail_waiting() {
+void HeartbeatRelay::fail_waiting() {
   std::lock_guard lock(mutex_);
   refuse_waiting();
 }
 
-IntakeSender::Backlog IntakeSender::backlog() const {
+HeartbeatRelay::Backlog HeartbeatRelay::backlog() const {
   std::lock_guard lock(mutex_);
   Backlog out{waiting_.size(), 0};
   for (const WaitingHeartbeat* w : waiting_) out.oldest_s = std::max(out.oldest_s, steady_now() - w->since);
   return out;
 }
 
-std::optional<std::string> IntakeSender::redirect_target() {
+std::optional<std::string> HeartbeatRelay::redirect_target() {
   std::lock_guard lock(mutex_);
   if (redirect_count_ == 0) return std::nullopt;
   --redirect_count_;
   return redirect_target_;
 }
 
-void IntakeSender::run(std::stop_token stop) {
+void HeartbeatRelay::run(std::stop_token stop) {
   while (!stop.stop_requested()) {
     {
       std::unique_lock lock(mutex_);
@@ -91,13 +92,13 @@
   refuse_waiting();
 }
 
-void IntakeSender::find_lead() {
+void HeartbeatRelay::find_lead() {
   const auto now_leads = lead_now_();
   std::lock_guard lock(mutex_);
-  const bool same = lead_ && now_leads && lead_->number == now_leads->number && lead_->takeover == now_leads->takeover;
+  const bool same = lead_ && now_leads && lead_->number == now_leads->number && lead_->takeover_token == now_leads->takeover_token;
   lead_ = now_leads;
   if (!same) {
-    reports_.clear();
+    heartbeats_.clear();
     leader_support_ = LeaderSupport::unknown;
     failing_since_ = 0;
     cut_off_ = false;
@@ -107,9 +108,9 @@
 }
 
 // Older builds, and leaders whose operator has switched it off, do not take batches: workers are then sent to the leader.
-void IntakeSender::query_leader_support(const Lead& lead) {
+void HeartbeatRelay::query_leader_support(const Lead& lead) {
   const double asked = steady_now();
-  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kIntakeTarget, ""}), kBatchTimeout);
+  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeout);
   const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(asked);
@@ -124,14 +125,14 @@
   if (leader_support_ == LeaderSupport::no) refuse_waiting();
 }
 
-void IntakeSender::send_batch(const Lead& lead) {
-  IntakeBatch batch;
+void HeartbeatRelay::send_batch(const Lead& lead) {
+  HeartbeatBatch batch;
   const auto sent = collect_batch(batch, lead);
   const double asked = steady_now();
   const auto frame = lead.pool->ask(pack(batch), kBatchTimeout);
-  const auto answer = frame ? unpack_intake_answer(*frame) : std::nullopt;
+  const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("malformed answer to a batch of reports");
-  const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_epoch == lead.takeover;
+  const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_token == lead.takeover_token;
   if (taken) {
     apply_answer(sent, *answer, lead);
     return;
@@ -139,21 +140,21 @@
   // Not known what came of it: asked once more, of whoever leads then, with whole reports.
   if (!frame) record_failure(asked);
   std::lock_guard lock(mutex_);
-  reports_.clear();
+  heartbeats_.clear();
   if (leader_support_ == LeaderSupport::yes) leader_support_ = LeaderSupport::unknown;
   for (WaitingHeartbeat* w : sent) {
     requeue(*w);
   }
 }
 
-std::vector<IntakeSender::WaitingHeartbeat*> IntakeSender::collect_batch(IntakeBatch& batch, const Lead& lead) {
+std::vector<HeartbeatRelay::WaitingHeartbeat*> HeartbeatRelay::collect_batch(HeartbeatBatch& batch, const Lead& lead) {
   std::lock_guard lock(mutex_);
   batch.sender = label_;
-  batch.takeover_epoch = lead.takeover;
+  batch.takeover_token = lead.takeover_token;
   batch.worker_count = count_workers(steady_now());
   std::vector<WaitingHeartbeat*> out;
   std::size_t bytes = 0;
-  while (!waiting_.empty() && out.size() < kMostReports && bytes < kMostBytes) {
+  while (!waiting_.empty() && out.size() < kMaxHeartbeats && bytes < kMostBytes) {
     WaitingHeartbeat* next = waiting_.front();
     waiting_.pop_front();
     if (steady_now() >= next->until) {
@@ -161,14 +162,14 @@
       continue;
     }
     next->in_batch = true;
-    batch.reports.push_back(reports_.encode(*next->report));
-    bytes += packed_size(batch.reports.back());
+    batch.heartbeats.push_back(heartbeats_.encode(*next->heartbeat));
+    bytes += packed_size(batch.heartbeats.back());
     out.push_back(next);
   }
   return out;
 }
 
-void IntakeSender::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const IntakeAnswer& answer, const Lead& lead) {
+void HeartbeatRelay::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Lead& lead) {
   std::lock_guard lock(mutex_);
   failing_since_ = 0;
   cut_off_ = false;
@@ -177,20 +178,20 @@
   for (std::size_t i = 0; i < sent.size(); ++i) {
     WaitingHeartbeat& w = *sent[i];
     const auto outcome = answer.answers[i].outcome;
-    if (outcome == WorkerAnswer::Outcome::full_required) {
-      reports_.forget(w.report->host);
+    if (outcome == HeartbeatAnswer::Outcome::full_required) {
+      heartbeats_.forget(w.heartbeat->node);
       requeue(w);
-    } else if (outcome == WorkerAnswer::Outcome::retry_later) {
+    } else if (outcome == HeartbeatAnswer::Outcome::retry_later) {
       requeue(w);
     } else {
-      reports_.record_acknowledged(*w.report);
-      w.passed = {RelayResult::Outcome::answered, answer.answers[i], answer.epoch, lead.number};
+      heartbeats_.record_acknowledged(*w.heartbeat);
+      w.relay_result = {RelayResult::Outcome::answered, answer.answers[i], answer.fencing_token, lead.number};
       finish(w, RelayResult::Outcome::answered);
     }
   }
 }
 
-void IntakeSender::requeue(WaitingHeartbeat& waiting) {
+void HeartbeatRelay::requeue(WaitingHeartbeat& waiting) {
   waiting.in_batch = false;
   if (steady_now() >= waiting.until)
     finish(waiting, RelayResult::Outcome::not_answered);
@@ -198,7 +199,7 @@
     waiting_.push_back(&waiting);
 }
 
-void IntakeSender::record_failure(double since) {
+void HeartbeatRelay::record_failure(double since) {
   const bool reaches_state = !is_in_use() || reaches_state_();
   std::lock_guard lock(mutex_);
   cut_off_ = !reaches_state;
@@ -209,37 +210,37 @@
   refuse_waiting();
 }
 
-bool IntakeSender::is_in_use() const {
+bool HeartbeatRelay::is_in_use() const {
   std::lock_guard lock(mutex_);
   return in_use_;
 }
 
-bool IntakeSender::is_cut_off() const {
+bool HeartbeatRelay::is_cut_off() const {
   std::lock_guard lock(mutex_);
   return cut_off_;
 }
 
-void IntakeSender::finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome) {
-  waiting.passed.outcome = outcome;
+void HeartbeatRelay::finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome) {
+  waiting.relay_result.outcome = outcome;
   waiting.done = true;
   waiting.changed.notify_one();
 }
 
-void IntakeSender::refuse_waiting() {
+void HeartbeatRelay::refuse_waiting() {
   for (WaitingHeartbeat* w : waiting_) finish(*w, RelayResult::Outcome::not_supported);
   waiting_.clear();
 }
 
-std::uint32_t IntakeSender::count_workers(double now) {
+std::uint32_t HeartbeatRelay::count_workers(double now) {
   if (now - counted_at_ < kCountPeriod) return workers_;
   counted_at_ = now;
   std::erase_if(heard_at_, [&](const auto& heard) {
     if (now - heard.second <= kHeardLately) return false;
-    reports_.forget(heard.first);
+    heartbeats_.forget(heard.first);
     return true;
   });
   workers_ = static_cast<std::uint32_t>(heard_at_.size());
   return workers_;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/intake_sender.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -11,18 +11,20 @@
 #include <string>
 #include <unordered_map>
 
-#include "intake/report_exchange.hpp"
-#include "protocol/intake_messages.hpp"
+#include "heartbeat_relay/heartbeat_delta.hpp"
+#include "model/heartbeat.hpp"
+#include "model/identifiers.hpp"
+#include "protocol/relay_messages.hpp"
 #include "transport/frames.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class IntakeSender {
+class HeartbeatRelay {
  public:
   // The lead that reports go to. `number` grows with each lead that this controller learns of.
   struct Lead {
     FramePool* pool = nullptr;
-    std::uint64_t number = 0, takeover = 0;
+    std::uint64_t number = 0, takeover_token = 0;
   };
   // Asked without any lock of the sender's; nothing where no other controller is known to lead.
   using LeadNow = std::function<std::optional<Lead>()>;
@@ -35,19 +37,19 @@
       not_supported,  // the leader takes no batches, or can't be reached from here
     };
     Outcome outcome = Outcome::not_answered;
-    WorkerAnswer answer;
-    std::uint64_t epoch = 0;        // of the answer
-    std::uint64_t lead_number = 0;  // of the lead that made it
+    HeartbeatAnswer answer;
+    std::uint64_t fencing_token = 0;  // of the answer
+    std::uint64_t lead_number = 0;    // of the lead that made it
   };
 
   // Whether this controller reaches the state service; asked by the duty alone, while the leader does not answer.
   using ReachesState = std::function<bool()>;
 
-  IntakeSender(std::string label, LeadNow lead_now, ReachesState reaches_state)
+  HeartbeatRelay(std::string label, LeadNow lead_now, ReachesState reaches_state)
       : label_(std::move(label)), lead_now_(std::move(lead_now)), reaches_state_(std::move(reaches_state)) {}
 
   // Waits until the leader has answered, at most this long.
-  RelayResult relay(const Report& report, double timeout_s);
+  RelayResult relay(const Heartbeat& heartbeat, double timeout_s);
   // Neither the leader nor the state service is reached: a cut, with this controller inside. Where the state service is reached, the
   // workers may well reach the leader themselves.
   [[nodiscard]] bool is_cut_off() const;
@@ -60,7 +62,7 @@
 
   // Reports that wait now, and for how many seconds the one that has waited longest.
   struct Backlog {
-    std::size_t reports = 0;
+    std::size_t heartbeats = 0;
     double oldest_s = 0;
   };
   [[nodiscard]] Backlog backlog() const;
@@ -69,10 +71,10 @@
 
  private:
   struct WaitingHeartbeat {
-    const Report* report = nullptr;  // of the routine that waits
-    double since = 0, until = 0;     // steady seconds
+    const Heartbeat* heartbeat = nullptr;  // of the routine that waits
+    double since = 0, until = 0;           // steady seconds
     bool in_batch = false, done = false;
-    RelayResult passed;
+    RelayResult relay_result;
     std::condition_variable changed;  // done, or no longer in a batch
   };
   enum class LeaderSupport { unknown, yes, no };  // whether the leader takes batches
@@ -80,8 +82,8 @@
   void find_lead();
   void query_leader_support(const Lead& lead);
   void send_batch(const Lead& lead);
-  std::vector<WaitingHeartbeat*> collect_batch(IntakeBatch& batch, const Lead& lead);
-  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const IntakeAnswer& answer, const Lead& lead);
+  std::vector<WaitingHeartbeat*> collect_batch(HeartbeatBatch& batch, const Lead& lead);
+  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Lead& lead);
   // The leader did not answer. Where that lasts though it still leads, workers are better sent to it.
   void record_failure(double since);
   void finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome);
@@ -100,7 +102,7 @@
   LeaderSupport leader_support_ = LeaderSupport::unknown;
   double asked_at_ = 0;       // steady seconds: whether the leader takes batches
   double failing_since_ = 0;  // steady seconds: the leader does not answer this controller; 0: it does
-  ReportSender reports_;
+  HeartbeatDeltaEncoder heartbeats_;
   NameMap<double> heard_at_;  // by worker, steady seconds
   double counted_at_ = 0;
   std::uint32_t workers_ = 0;  // heard of lately
@@ -110,4 +112,4 @@
   bool in_use_ = false;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/histograms.cpp
+++ b/src/controller/histograms.cpp
@@ -1,8 +1,8 @@
-#include "coordination/histograms.hpp"
+#include "controller/histograms.hpp"
 
 #include <sstream>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kShortest = 0.01;
@@ -36,4 +36,4 @@
   out += text.str();
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/histograms.hpp
+++ b/src/controller/histograms.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace thistle {
+namespace thistlefront {
 
 // Seconds, in buckets that double.
 class SecondsHistogram {
@@ -24,4 +24,4 @@
   double sum_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/ledger.cpp
+++ b/src/controller/ledger.cpp
@@ -5,12 +5,16 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/controller.hpp"
-#include "ledger/reader.hpp"
+#include "controller/controller.hpp"
+#include "ledger/ledger_reader.hpp"
+#include "model/identifiers.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/machine.hpp"
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 
@@ -22,14 +26,14 @@
 constexpr double kAskAgain = 0.1;    // where the state service does not answer
 constexpr double kKeepUnread = 8.0;  // so long one keeps the lead that can't read, where nobody can
 
-double cores_on_plain_machines(const Book& book, const DoneRecord& done) {
-  const JobIdx j = book.find(done.uid);
+double cores_on_plain_machines(const ClusterState& cluster_state, const TasksCompletedRecord& done) {
+  const JobIndex j = cluster_state.find(done.uid);
   if (!j.valid()) return 0;
-  const Job& job = book.job(j);
+  const Job& job = cluster_state.job(j);
   double cores = 0;
   for (const auto& range : done.tasks) {
     for (auto it = job.placed.lower_bound(range.first); it != job.placed.end() && it->first < range.last; ++it) {
-      const Flavor* f = book.flavor(book.host(it->second.host).machine_type);
+      const MachineType* f = cluster_state.machine_type(cluster_state.node(it->second.node).machine_type);
       if (f && f->capacity.accelerators <= 0) cores += job.spec.demand.cores;
     }
   }
@@ -38,12 +42,12 @@
 
 }  // namespace
 
-std::uint64_t Controller::enqueue(std::vector<Record> records, Haste haste) {
-  const double at = steady_now() + (haste == Haste::soon ? kLingerWrites / writes_.rate() : 0);
+std::uint64_t Controller::enqueue(std::vector<Record> records, CommitPriority commit_priority) {
+  const double at = steady_now() + (commit_priority == CommitPriority::deferrable ? kLingerWrites / write_limiter_.rate() : 0);
   commit_at_ = queue_.empty() ? at : std::min(commit_at_, at);
-  if (haste == Haste::user) users_wait_ = true;
+  if (commit_priority == CommitPriority::user_waiting) users_wait_ = true;
   for (auto& r : records)
-    if (!join_ends(queue_, r)) queue_.push_back({std::move(r), ++tickets_});
+    if (!merge_completions(queue_, r)) queue_.push_back({std::move(r), ++tickets_});
   queue_filled_.notify_all();
   return tickets_;
 }
@@ -58,49 +62,49 @@
   const auto number = term_number_;
   while (!stop.stop_requested() && term_number_ == number) {
     const bool users = for_users || users_wait_;
-    const double wait = writes_.delay_s(steady_now(), users);
+    const double wait = write_limiter_.delay_s(steady_now(), users);
     if (wait == 0) return;
     queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(wait),
                            [&] { return term_number_ != number || (users_wait_ && !users); });
   }
 }
 
-void Controller::note_starts(const StartRecord& start) {
-  const JobIdx j = term_->book->find(start.uid);
-  if (!j.valid() || term_->book->job(j).ended()) return;
-  const Job& job = term_->book->job(j);
+void Controller::record_starts(const TasksStartedRecord& start) {
+  const JobIndex j = term_->cluster_state->find(start.uid);
+  if (!j.valid() || term_->cluster_state->job(j).ended()) return;
+  const Job& job = term_->cluster_state->job(j);
   if (job.attempts == 0)
     spdlog::debug("{}: begins, {} {} of {} tasks, after {:.1f} s", job.uid, job.spec.job_class,
-                  job.spec.shape == Shape::group ? "gang" : "job", job.tasks.size(), wall_now() - job.eligible_since);
+                  job.spec.job_type == JobType::gang ? "gang" : "job", job.tasks.size(), wall_now() - job.eligible_since);
   if (term_->within.contains(j)) guarantee_waits_.add(wall_now() - job.eligible_since);
   // One for each start: a job's tasks that start together waited alike.
-  start_waits_[served_.class_label(job.spec.job_class)].add(wall_now() - job.eligible_since);
+  start_waits_[service_levels_.class_label(job.spec.job_class)].add(wall_now() - job.eligible_since);
 }
 
-void Controller::tell_blame() {
-  Book& book = *term_->book;
-  for (const auto& n : book.blame().take_verdicts()) {
-    const std::string& uid = book.job(n.job).uid;
+void Controller::log_verdicts() {
+  ClusterState& cluster_state = *term_->cluster_state;
+  for (const auto& n : cluster_state.failure_attribution().take_verdicts()) {
+    const std::string& uid = cluster_state.job(n.job).uid;
     const double pause = std::max(0.0, n.until - wall_now());
     switch (n.kind) {
-      case Blame::Verdict::Kind::suspected:
+      case FailureAttribution::Verdict::Kind::suspected:
         ++counters_.suspected;
         spdlog::info("{}: suspected, it failed on {} machines and succeeded on none; tries with one task", uid, n.count);
         break;
-      case Blame::Verdict::Kind::cleared: spdlog::info("{}: no longer suspected, a task of it succeeded", uid); break;
-      case Blame::Verdict::Kind::cordoned:
-        ++counters_.set_aside;
-        spdlog::info("{}: set aside for {:.0f} s, several jobs failed there, the last one {}", book.host(n.host).name, pause, uid);
+      case FailureAttribution::Verdict::Kind::cleared: spdlog::info("{}: no longer suspected, a task of it succeeded", uid); break;
+      case FailureAttribution::Verdict::Kind::cordoned:
+        ++counters_.cordoned;
+        spdlog::info("{}: set aside for {:.0f} s, several jobs failed there, the last one {}", cluster_state.node(n.node).name, pause, uid);
         break;
-      case Blame::Verdict::Kind::uncordoned:
-        spdlog::info("{}: in use again, by what is known now of {}", book.host(n.host).name, uid);
+      case FailureAttribution::Verdict::Kind::uncordoned:
+        spdlog::info("{}: in use again, by what is known now of {}", cluster_state.node(n.node).name, uid);
         break;
     }
   }
 }
 
 void Controller::charge_writes(std::size_t changes) {
-  writes_.charge(static_cast<double>(changes));
+  write_limiter_.charge(static_cast<double>(changes));
   counters_.writes += changes;
 }
 
@@ -120,18 +124,18 @@
     lock.lock();
     while (!stop.stop_requested() && term_number_ == number) {
       // Entries of another level are written anew also while nothing else is to be written.
-      const double rewrite_period = 1 / (writes_.rate() * kRewriteShare);
-      const auto rewrite_due = [&] { return term_->tail.has_old_entries() && steady_now() >= term_->rewrote_at + rewrite_period; };
+      const double rewrite_period = 1 / (write_limiter_.rate() * kRewriteShare);
+      const auto rewrite_due = [&] { return term_->ledger_writer.has_old_entries() && steady_now() >= term_->rewrote_at + rewrite_period; };
       const auto due = [&] {
-        return term_number_ != number || (term_ && (term_->bump_wanted || term_->step || rewrite_due())) ||
+        return term_number_ != number || (term_ && (term_->raise_token_requested || term_->step || rewrite_due())) ||
                (!queue_.empty() && steady_now() >= commit_at_);
       };
       // First for something to write, then for the moment when it must go: with one wait for both, a record that can
       // wait a little would wait for the next one to come (a gang's end, told late on a quiet machine).
       const auto something = [&] {
-        return term_number_ != number || (term_ && (term_->bump_wanted || term_->step || rewrite_due())) || !queue_.empty();
+        return term_number_ != number || (term_ && (term_->raise_token_requested || term_->step || rewrite_due())) || !queue_.empty();
       };
-      if (term_->tail.has_old_entries()) {
+      if (term_->ledger_writer.has_old_entries()) {
         queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(rewrite_period), something);
       } else {
         queue_filled_.wait(lock, stop, something);
@@ -140,7 +144,7 @@
         queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(std::max(commit_at_ - steady_now(), 0.001)), due);
       if (stop.stop_requested() || term_number_ != number) break;
       if (!due()) continue;
-      if (term_->bump_wanted && !bump_epoch(store, stop, lock)) continue;
+      if (term_->raise_token_requested && !raise_fencing_token(store, stop, lock)) continue;
       if (term_number_ != number) break;
       if (term_->step && !take_step(store, stop, lock)) continue;
       if (term_number_ != number) break;
@@ -158,8 +162,8 @@
   std::vector<Team> teams;
   for (const auto& t : settings_.teams) teams.push_back({t.name, t.guarantee, t.limit, {}});
   ReadLedger out;
-  out.book = std::make_unique<Book>(teams, most_record_bytes(entry_bytes()));
-  Reader reader(*out.book, able_.least, able_.most);
+  out.cluster_state = std::make_unique<ClusterState>(teams, max_record_bytes(entry_bytes()));
+  LedgerReader reader(*out.cluster_state, supported_versions_.least, supported_versions_.most);
   std::string from;
   for (bool first = true;; first = false) {
     EntryPage page;
@@ -206,7 +210,7 @@
   if (!ledger) ledger = read_ledger(store, stop, goes_on, unreadable);
   if (!ledger) {
     if (unreadable.empty()) return false;
-    give_back_unread(unreadable);
+    hand_back_unreadable_ledger(unreadable);
     pause_for(stop, kReadAgain);
     return false;
   }
@@ -215,60 +219,62 @@
   unread_since_ = 0;
   const auto entries = ledger->entries;
   term_->first_of_all = entries == 0;
-  term_->tail = Tail(std::move(ledger->contents), term_->level.writes());
-  term_->book = std::move(ledger->book);
-  for (const auto& [name, at] : early_answers_) term_->book->host(term_->book->host_named(name)).agent.last_answered_at = at;
+  term_->ledger_writer = LedgerWriter(std::move(ledger->contents), term_->format_version.writes());
+  term_->cluster_state = std::move(ledger->cluster_state);
+  for (const auto& [name, at] : early_answers_)
+    term_->cluster_state->node(term_->cluster_state->find_or_add_node(name)).agent.last_answered_at = at;
   early_answers_.clear();
-  custody_.revoke();
+  partition_lease_.revoke();
   queue_.clear();
   users_wait_ = false;
   accepting_.clear();
-  term_->book->blame().take_verdicts();  // what was judged then was told then
+  term_->cluster_state->failure_attribution().take_verdicts();  // what was judged then was told then
   role_ = Role::leading;
-  if (const auto p = term_->book->pipelines().counts(); p.unresolved_names > 0)
+  if (const auto p = term_->cluster_state->dependency_graph().counts(); p.unresolved_names > 0)
     spdlog::error("{} jobs that others wait for are not in the ledger: what waits for them does not start", p.unresolved_names);
-  spdlog::info("ledger read: {} entries, {} live jobs, {:.0f} ms after the takeover", entries, term_->book->live().size(),
+  spdlog::info("ledger read: {} entries, {} live jobs, {:.0f} ms after the takeover", entries, term_->cluster_state->live().size(),
                (steady_now() - began) * 1000);
   role_changed_.notify_all();
   applied_.notify_all();
-  want_pass();
+  request_pass();
   return true;
 }
 
 bool Controller::commit(StoreClient& store, std::stop_token stop, Lock& lock) {
   const auto number = term_number_;
   const auto ops = static_cast<std::size_t>(settings_.txn_ops) / shrunk_;
-  const Tail::Limits limits{entry_bytes(), std::max<std::size_t>(2, std::min<std::size_t>(ops - 1, 6)), ops,
-                            writes_.log_factor(entry_bytes())};
+  const LedgerWriter::Limits limits{entry_bytes(), std::max<std::size_t>(2, std::min<std::size_t>(ops - 1, 6)), ops,
+                                    write_limiter_.length_factor(entry_bytes())};
   await_write(lock, stop, false);
   if (stop.stop_requested() || term_number_ != number) return false;
   Term& term = *term_;
   term.rewrote_at = steady_now();
-  auto draft = term.tail.prepare_commit(*term.book, queue_, limits);
-  for (const auto& what : draft.too_large) spdlog::error("a ledger record fits into no entry: {}", what);
+  auto pending_commit = term.ledger_writer.prepare_commit(*term.cluster_state, queue_, limits);
+  for (const auto& what : pending_commit.too_large) spdlog::error("a ledger record fits into no entry: {}", what);
   commit_at_ = 0;
   if (queue_.empty()) users_wait_ = false;
-  if (draft.changes() == 0) return true;
+  if (pending_commit.changes() == 0) return true;
   // The first entry of all hangs on nothing but the lead.
-  const bool on_lead_alone = std::all_of(draft.conditions.begin(), draft.conditions.end(), [](const Condition& c) { return c.stamp == 0; });
-  draft.conditions.insert(draft.conditions.begin(), {term.key(), term.epoch});
-  const auto body = txn_body(draft.conditions, draft.puts, draft.removes);
+  const bool on_lead_alone = std::all_of(pending_commit.conditions.begin(), pending_commit.conditions.end(),
+                                         [](const Condition& c) { return c.mod_revision == 0; });
+  pending_commit.conditions.insert(pending_commit.conditions.begin(), {term.key(), term.fencing_token});
+  const auto body = txn_body(pending_commit.conditions, pending_commit.puts, pending_commit.removes);
   std::size_t largest = 0;
-  for (const auto& p : draft.puts) largest = std::max(largest, p.value.size());
-  const std::string leader_key = term.key(), last_key = draft.puts.empty() ? leader_key : draft.puts.back().key;
+  for (const auto& p : pending_commit.puts) largest = std::max(largest, p.value.size());
+  const std::string leader_key = term.key(), last_key = pending_commit.puts.empty() ? leader_key : pending_commit.puts.back().key;
   committing_ = true;
   lock.unlock();
-  charge_writes(draft.changes());
+  charge_writes(pending_commit.changes());
   const double began = steady_now();
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
   bool in_doubt = false;  // an earlier try of it has no answer
   for (;;) {
     std::vector<std::string> failed;
-    auto status = store.commit(body, stamp, failed);
+    auto status = store.commit(body, mod_revision, failed);
     if (status == StoreStatus::in_doubt) in_doubt = true;
     if (status == StoreStatus::refused)
-      spdlog::error("the state service refused a transaction of {} bytes, {} changes, largest value {} bytes", body.size(), draft.changes(),
-                    largest);
+      spdlog::error("the state service refused a transaction of {} bytes, {} changes, largest value {} bytes", body.size(),
+                    pending_commit.changes(), largest);
     // Refused after its limits were lowered, an earlier try may yet have been applied before.
     if (status == StoreStatus::conflict || (status == StoreStatus::refused && in_doubt)) {
       const bool deposed = std::find(failed.begin(), failed.end(), leader_key) != failed.end();
@@ -276,8 +282,8 @@
       // An earlier try of the same transaction may have been applied without an answer: the entry tells.
       const auto got = deposed ? StoreStatus::missing : store.get(last_key, row);
       if (got == StoreStatus::ok) {
-        if (!draft.puts.empty() && is_as_written(draft.puts.back(), row.value)) {
-          stamp = row.stamp;
+        if (!pending_commit.puts.empty() && is_as_written(pending_commit.puts.back(), row.value)) {
+          mod_revision = row.mod_revision;
           status = StoreStatus::ok;
         }
         if (status != StoreStatus::ok && status != StoreStatus::refused) {
@@ -299,7 +305,8 @@
         return false;
       }
       // In smaller pieces, in the same order.
-      queue_.insert(queue_.begin(), std::make_move_iterator(draft.batch.begin()), std::make_move_iterator(draft.batch.end()));
+      queue_.insert(queue_.begin(), std::make_move_iterator(pending_commit.batch.begin()),
+                    std::make_move_iterator(pending_commit.batch.end()));
       users_wait_ = true;
       return false;
     }
@@ -329,36 +336,38 @@
     spdlog::info("the ledger is written again, after {:.1f} s", steady_now() - store_failing_since_);
     store_failing_since_ = 0;
   }
-  term.tail.record_committed(draft, stamp);
+  term.ledger_writer.record_committed(pending_commit, mod_revision);
   // An earlier try of it may be carried out late, when that entry is gone again: fenced by a higher epoch.
-  if (in_doubt && on_lead_alone) term.bump_wanted = true;
-  auto& batch = draft.batch;
+  if (in_doubt && on_lead_alone) term.raise_token_requested = true;
+  auto& batch = pending_commit.batch;
   for (std::size_t i = 0; i < batch.size(); ++i) {
     auto& q = batch[i];
-    const auto jobs = term.book->job_count();
-    if (const auto* accept = std::get_if<AcceptRecord>(&q.record)) accepting_.erase(accept->job.uid);
-    if (const auto* start = std::get_if<StartRecord>(&q.record)) {
-      note_starts(*start);
-      start_watch_.record_started();
+    const auto jobs = term.cluster_state->job_count();
+    if (const auto* accept = std::get_if<JobAcceptedRecord>(&q.record)) accepting_.erase(accept->job.uid);
+    if (const auto* start = std::get_if<TasksStartedRecord>(&q.record)) {
+      record_starts(*start);
+      start_stall_detector_.record_started();
       if (!std::exchange(term.started, true)) spdlog::info("first start {:.1f} s after the takeover", steady_now() - term.taken_over_at);
     }
-    if (const auto* done = std::get_if<DoneRecord>(&q.record)) {
+    if (const auto* done = std::get_if<TasksCompletedRecord>(&q.record)) {
       for (const auto& r : done->tasks) counters_.finished += r.last - r.first;
-      turnover_.add(cores_on_plain_machines(*term.book, *done), steady_now());
+      release_rate_.add(cores_on_plain_machines(*term.cluster_state, *done), steady_now());
     }
-    served_.before_apply(q.record, *term.book);
-    term.book->apply(q.record);
-    served_.after_apply(q.record, *term.book, wall_now());
-    if (const auto* cancel = std::get_if<CancelRecord>(&q.record))
-      if (const JobIdx j = term.book->find(cancel->uid); j.valid()) term.book->job(j).cancelled_at = steady_now();
-    if (term.book->job_count() > jobs) term.tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(jobs)});
-    if (const auto fact = Rewriter::singleton_of(q.record, *term.book)) term.tail.record_first_entry(draft.batch_entries[i], *fact);
+    service_levels_.before_apply(q.record, *term.cluster_state);
+    term.cluster_state->apply(q.record);
+    service_levels_.after_apply(q.record, *term.cluster_state, wall_now());
+    if (const auto* cancel = std::get_if<JobCancelledRecord>(&q.record))
+      if (const JobIndex j = term.cluster_state->find(cancel->uid); j.valid()) term.cluster_state->job(j).cancelled_at = steady_now();
+    if (term.cluster_state->job_count() > jobs)
+      term.ledger_writer.record_first_entry(pending_commit.batch_entries[i], JobIndex{static_cast<std::uint32_t>(jobs)});
+    if (const auto fact = LedgerCompactor::singleton_of(q.record, *term.cluster_state))
+      term.ledger_writer.record_first_entry(pending_commit.batch_entries[i], *fact);
     applied_ticket_ = q.ticket;
   }
-  tell_blame();
+  log_verdicts();
   ++counters_.commits;
   counters_.commit_seconds = counters_.commit_seconds + (steady_now() - began);
-  want_pass();
+  request_pass();
   return true;
 }
 
@@ -370,7 +379,7 @@
   return true;
 }
 
-void Controller::give_back_unread(const std::string& why) {
+void Controller::hand_back_unreadable_ledger(const std::string& why) {
   Lock lock(mutex_);
   if (role_ != Role::recovering) return;
   spdlog::error("{}", why);
@@ -383,27 +392,27 @@
 }
 
 // A higher epoch of the same term: commands sent under the lower one are refused by every worker that has seen it.
-bool Controller::bump_epoch(StoreClient& store, std::stop_token stop, Lock& lock) {
+bool Controller::raise_fencing_token(StoreClient& store, std::stop_token stop, Lock& lock) {
   const auto number = term_number_;
   await_write(lock, stop, true);
   if (term_number_ != number) return false;
-  const auto old = term_->epoch;
-  const auto step = rollout::raise_epoch(term_->level, {settings_.label, incarnation_}, old, term_->hold);
+  const auto old = term_->fencing_token;
+  const auto step = rollout::raise_token_step(term_->format_version, {settings_.label, incarnation_}, old, term_->session_lease);
   const std::string key = term_->key();
   charge_writes(1);
   term_->lead_in_doubt = true;
   lock.unlock();
-  std::uint64_t epoch = 0;
+  std::uint64_t fencing_token = 0;
   std::vector<std::string> failed;
-  auto status = store.commit(step.body(), epoch, failed);
+  auto status = store.commit(step.body(), fencing_token, failed);
   bool deposed = status == StoreStatus::refused;
   if (status == StoreStatus::conflict) {
     Row row;
     const auto got = store.get(key, row);
     if (got == StoreStatus::ok) {
       try {
-        if (parse_leader(row.value).incarnation == incarnation_ && row.stamp > old) {
-          epoch = row.stamp;
+        if (parse_leader(row.value).incarnation == incarnation_ && row.mod_revision > old) {
+          fencing_token = row.mod_revision;
           status = StoreStatus::ok;
         } else {
           deposed = true;
@@ -423,12 +432,12 @@
     return false;
   }
   if (status != StoreStatus::ok) return false;
-  term_->epoch = epoch;
-  term_->bump_wanted = term_->lead_in_doubt = false;
-  term_->bumped_at = steady_now();
-  learn(epoch, settings_.label);
-  spdlog::info("epoch raised to {} to fence commands in doubt", epoch);
+  term_->fencing_token = fencing_token;
+  term_->raise_token_requested = term_->lead_in_doubt = false;
+  term_->token_raised_at = steady_now();
+  observe_leader(fencing_token, settings_.label);
+  spdlog::info("epoch raised to {} to fence commands in doubt", fencing_token);
   return true;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/roster_view.hpp
+++ b/src/controller/registry_view.hpp
@@ -8,27 +8,27 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/agreement.hpp"
-#include "coordination/store_client.hpp"
+#include "cluster_state/quota_agreement.hpp"
+#include "controller/store_client.hpp"
 #include "protocol/settings.hpp"
-#include "rollout/levels.hpp"
+#include "rollout/format_versions.hpp"
 #include "transport/frames.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class RosterView {
+class RegistryView {
  public:
   // `pools`: connections to the peers, in the order of the settings; they outlive this.
-  RosterView(const Settings& settings, Able able, TeamsFile file, std::vector<FramePool*> pools);
+  RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas file, std::vector<FramePool*> pools);
 
   // Writes this controller's own record, and tries again until it is there; false when asked to stop.
   bool register_self(StoreClient& store, std::stop_token stop) const;
 
   struct Seen {
-    rollout::Look look;
-    rollout::Roster roster;
-    std::map<std::string, Able> answers;                    // of the peers that answered
-    std::map<std::string, std::optional<TeamsFile>> files;  // of all controllers; nullopt: not known
+    rollout::LeadershipSnapshot snapshot;
+    rollout::ControllerRegistry registry;
+    std::map<std::string, SupportedVersions> answers;        // of the peers that answered
+    std::map<std::string, std::optional<TeamQuotas>> files;  // of all controllers; nullopt: not known
   };
   // Nothing where the state service did not answer.
   std::optional<Seen> observe(StoreClient& store, std::stop_token stop);
@@ -38,15 +38,15 @@
 
  private:
   static std::optional<HttpReply> ask(FramePool& peer, const char* target);
-  std::map<std::string, Able> ask_peers(std::stop_token stop) const;
-  std::map<std::string, std::optional<TeamsFile>> files_of_all(const rollout::Roster& roster);
+  std::map<std::string, SupportedVersions> ask_peers(std::stop_token stop) const;
+  std::map<std::string, std::optional<TeamQuotas>> quotas_of_all_controllers(const rollout::ControllerRegistry& registry);
 
   const Settings& settings_;
-  const Able able_;
-  const TeamsFile file_;
+  const SupportedVersions supported_versions_;
+  const TeamQuotas file_;
   std::vector<FramePool*> pools_;
   std::vector<std::string> expected_;
-  std::map<std::uint64_t, TeamsFile> files_;  // of other controllers, by digest
+  std::map<std::uint64_t, TeamQuotas> files_;  // of other controllers, by digest
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/budget.hpp
+++ b/src/controller/resource_budget.hpp
@@ -2,11 +2,11 @@
 #pragma once
 #include <cstddef>
 
-namespace thistle {
+namespace thistlefront {
 
 // Who uses how many. What is accepted can never take what leading needs: a leader that can't open a
 // connection to the state service or make a routine for its commands does not lead.
-struct Budget {
+struct ResourceBudget {
   std::size_t threads = 0, sockets = 0;  // in all
   std::size_t own = 0;                   // threads of long-lived duties
   std::size_t clients = 0, peers = 0;    // accepted connections of users and workers, and of other controllers
@@ -22,6 +22,6 @@
   [[nodiscard]] std::size_t most_sockets() const;
 };
 
-Budget split_budget(std::size_t threads, std::size_t sockets, std::size_t peers);
+ResourceBudget split_resource_budget(std::size_t threads, std::size_t sockets, std::size_t peers);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/rollout.cpp
+++ b/src/controller/rollout.cpp
@@ -2,12 +2,13 @@
 // level.
 #include <spdlog/spdlog.h>
 
-#include "coordination/controller.hpp"
-#include "coordination/roster_view.hpp"
+#include "controller/controller.hpp"
+#include "controller/registry_view.hpp"
+#include "model/ledger_records.hpp"
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kSettled = 1.0;     // one that ends again sooner, over and over, costs no change for each start
@@ -21,7 +22,7 @@
   std::stop_callback abort(stop, [&] { store.abort(); });
   std::vector<FramePool*> pools;
   for (auto& link : links_) pools.push_back(link.calls.get());
-  RosterView view(settings_, able_, teams_file_, std::move(pools));
+  RegistryView view(settings_, supported_versions_, team_quotas_, std::move(pools));
   // Before anything else its own record: a switch is conditional on what it says.
   if (!pause_for(stop, kSettled) || !view.register_self(store, stop)) return;
   while (!stop.stop_requested()) {
@@ -33,13 +34,13 @@
     const bool stepped = plan_step(view, store, stop);
     const bool waits = [&] {
       Lock lock(mutex_);
-      return !level_waits_for_.empty();
+      return !version_blocked_by_.empty();
     }();
     if (!pause_for(stop, stepped || waits ? kSoonAgain : kLookPeriod)) return;
   }
 }
 
-bool Controller::plan_step(RosterView& view, StoreClient& store, std::stop_token stop) {
+bool Controller::plan_step(RegistryView& view, StoreClient& store, std::stop_token stop) {
   std::uint64_t number = 0;
   {
     Lock lock(mutex_);
@@ -47,40 +48,48 @@
   }
   const auto seen = view.observe(store, stop);
   if (!seen) return false;
-  const auto& look = seen->look;
+  const auto& snapshot = seen->snapshot;
   Lock lock(mutex_);
-  if (term_number_ != number || !decisive() || term_->step || look.leader_stamp != term_->epoch) return false;
+  if (term_number_ != number || !may_decide() || term_->step || snapshot.leader_mod_revision != term_->fencing_token) return false;
   // A change of its own that came late. Found by reading: with what it knew of its entries it could have
   // lowered a ledger that was not written anew.
-  if (look.on != term_->level) {
+  if (snapshot.on != term_->format_version) {
     step_down(lock, "the state level is another one than it knows");
     return false;
   }
-  rollout::Leading leading{{settings_.label, incarnation_}, term_->epoch, term_->hold, term_->level, term_->tail.has_old_entries(), {}};
-  if (const auto team = term_->book->accounts().changing_team(); team && teams_at(look.on.level))
-    leading.no_older_form = "the terms of team " + *team;
-  if (const auto job = term_->book->in_pipeline(); job && pipelines_at(look.on.level)) leading.no_older_form = *job;
-  if (term_->tail.generation() != 0) leading.no_older_form = "generation " + std::to_string(term_->tail.generation());
-  auto step = rollout::next_step(look, seen->roster, view.expected(), seen->answers, leading, wall_now(), tuning_.state_level_soak_s);
+  rollout::Leading leading{{settings_.label, incarnation_},
+                           term_->fencing_token,
+                           term_->session_lease,
+                           term_->format_version,
+                           term_->ledger_writer.has_old_entries(),
+                           {}};
+  if (const auto team = term_->cluster_state->quota_accounts().changing_team(); team && has_team_quotas(snapshot.on.format_version))
+    leading.no_older_format = "the terms of team " + *team;
+  if (const auto job = term_->cluster_state->dependencies_without_older_format(); job && has_dependencies(snapshot.on.format_version))
+    leading.no_older_format = *job;
+  if (term_->ledger_writer.generation() != 0) leading.no_older_format = "generation " + std::to_string(term_->ledger_writer.generation());
+  auto step =
+      rollout::next_step(snapshot, seen->registry, view.expected(), seen->answers, leading, wall_now(), options_.format_version_soak_s);
   if (step.changes() > settings_.txn_ops) {
     step = {};
-    step.waits_for = "transactions of more changes than the state service allows";
+    step.blocked_by = "transactions of more changes than the state service allows";
   }
-  if (step.waits_for != level_waits_for_) {
-    level_waits_for_ = step.waits_for;
-    if (!step.waits_for.empty()) spdlog::info("state level {} is on; for another one it waits for: {}", look.on.level, step.waits_for);
+  if (step.blocked_by != version_blocked_by_) {
+    version_blocked_by_ = step.blocked_by;
+    if (!step.blocked_by.empty())
+      spdlog::info("state level {} is on; for another one it waits for: {}", snapshot.on.format_version, step.blocked_by);
   }
-  if (step.kind == rollout::Step::Kind::none) return agree_on_teams(lock, seen->files);
+  if (step.kind == rollout::Step::Kind::none) return agree_on_quotas(lock, seen->files);
   term_->step = std::move(step);
   queue_filled_.notify_all();
   return true;
 }
 
-bool Controller::agree_on_teams(Lock&, const std::map<std::string, std::optional<TeamsFile>>& files) {
-  if (!teams_at(term_->tail.level()) || term_->level.towards != 0) return false;
+bool Controller::agree_on_quotas(Lock&, const std::map<std::string, std::optional<TeamQuotas>>& files) {
+  if (!has_team_quotas(term_->ledger_writer.format_version()) || term_->format_version.downgrade_to != 0) return false;
   // Asked again while they are on their way, they would be sent once more at each look.
-  if (applied_ticket_ < term_->teams_ticket) return false;
-  auto changed = next_agreement(term_->book->accounts(), teams_file_, files);
+  if (applied_ticket_ < term_->quotas_ticket) return false;
+  auto changed = next_quota_records(term_->cluster_state->quota_accounts(), team_quotas_, files);
   if (changed.empty()) return false;
   std::vector<Record> records;
   for (auto& r : changed) {
@@ -90,21 +99,21 @@
                               : "its terms are in force, the same on all controllers");
     records.emplace_back(std::move(r));
   }
-  term_->teams_ticket = enqueue(std::move(records));
+  term_->quotas_ticket = enqueue(std::move(records));
   return true;
 }
 
-void Controller::adopt_level(const LevelOn& on, std::uint64_t stamp) {
-  if (on != term_->level) {
-    if (on.towards != 0) {
-      spdlog::info("state level {} is on and to be lowered: the ledger is written anew at level {}", on.level, on.towards);
+void Controller::adopt_version(const ActiveVersion& on, std::uint64_t mod_revision) {
+  if (on != term_->format_version) {
+    if (on.downgrade_to != 0) {
+      spdlog::info("state level {} is on and to be lowered: the ledger is written anew at level {}", on.format_version, on.downgrade_to);
     } else {
-      spdlog::info("state level {} is switched on, epoch {}", on.level, term_->epoch);
+      spdlog::info("state level {} is switched on, epoch {}", on.format_version, term_->fencing_token);
     }
   }
-  term_->level = on;
-  term_->level_stamp = stamp;
-  term_->tail.set_format_version(on.writes());
+  term_->format_version = on;
+  term_->version_mod_revision = mod_revision;
+  term_->ledger_writer.set_format_version(on.writes());
 }
 
 bool Controller::take_step(StoreClient& store, std::stop_token stop, Lock& lock) {
@@ -113,19 +122,19 @@
   if (term_number_ != number || !term_->step) return false;
   const auto step = *term_->step;
   charge_writes(step.changes());
-  term_->lead_in_doubt = step.raises_epoch();
+  term_->lead_in_doubt = step.raises_token();
   lock.unlock();
-  std::uint64_t rev = 0;
+  std::uint64_t revision = 0;
   std::vector<std::string> failed;
-  auto status = store.commit(step.body(), rev, failed);
+  auto status = store.commit(step.body(), revision, failed);
   // Without an answer, or where an earlier try may have been applied, the keys tell. Until they do nothing is
   // written, for it is not known at which level, nor under which epoch.
-  std::optional<rollout::Look> look;
+  std::optional<rollout::LeadershipSnapshot> snapshot;
   while (status == StoreStatus::conflict || status == StoreStatus::in_doubt) {
     Rows rows;
-    if (store.list(kLeadPrefix, rows) == StoreStatus::ok) {
+    if (store.list(kLeadershipPrefix, rows) == StoreStatus::ok) {
       try {
-        look = rollout::look(rows.rows);
+        snapshot = rollout::parse_leadership_keys(rows.rows);
         break;
       } catch (const std::exception& e) {
         spdlog::error("state service: the leader's keys: {}", e.what());
@@ -152,23 +161,23 @@
   }
   term_->step.reset();
   if (status == StoreStatus::ok) {
-    if (step.raises_epoch()) {
-      term_->epoch = rev;
-      learn(rev, settings_.label);
+    if (step.raises_token()) {
+      term_->fencing_token = revision;
+      observe_leader(revision, settings_.label);
     }
-    if (step.sets_level()) adopt_level(step.after, rev);
+    if (step.sets_version()) adopt_version(step.after, revision);
     return true;
   }
-  if (!look->leader || look->leader->incarnation != incarnation_ || look->leader_stamp < term_->epoch) {
+  if (!snapshot->leader || snapshot->leader->incarnation != incarnation_ || snapshot->leader_mod_revision < term_->fencing_token) {
     step_down(lock, "the leader's key is another's");
     return false;
   }
-  if (look->leader_stamp > term_->epoch) {
-    term_->epoch = look->leader_stamp;
-    learn(term_->epoch, settings_.label);
+  if (snapshot->leader_mod_revision > term_->fencing_token) {
+    term_->fencing_token = snapshot->leader_mod_revision;
+    observe_leader(term_->fencing_token, settings_.label);
   }
-  adopt_level(look->on, look->on_stamp);
+  adopt_version(snapshot->on, snapshot->active_mod_revision);
   return true;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -1,8 +1,8 @@
-#include "coordination/store_client.hpp"
+#include "controller/store_client.hpp"
 
 #include <spdlog/spdlog.h>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 // Answers come in milliseconds, now and then in a few hundred.
@@ -60,7 +60,7 @@
   return parsed(status_of(r), [&] { out = parse_entries(r.body); });
 }
 
-StoreStatus StoreClient::commit(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed) {
+StoreStatus StoreClient::commit(const std::string& body, std::uint64_t& revision, std::vector<std::string>& failed) {
   auto r = http_.post(kTxnPath, body, kTimeout);
   auto status = status_of(r);
   failed.clear();
@@ -72,20 +72,20 @@
     }
     return status;
   }
-  return parsed(status, [&] { rev = parse_rev(r.body); });
+  return parsed(status, [&] { revision = parse_revision(r.body); });
 }
 
 StoreStatus StoreClient::create_lease(unsigned life_ms, std::uint64_t& out) {
-  auto r = http_.post(kHoldsPath, hold_body(life_ms), kTimeout);
-  return parsed(status_of(r), [&] { out = parse_hold(r.body); });
+  auto r = http_.post(kSessionLeasesPath, session_lease_body(life_ms), kTimeout);
+  return parsed(status_of(r), [&] { out = parse_session_lease(r.body); });
 }
 
-StoreStatus StoreClient::renew_lease(std::uint64_t hold) {
-  return status_of(http_.post(hold_path(hold, true), "", kTimeout));
+StoreStatus StoreClient::renew_lease(std::uint64_t session_lease) {
+  return status_of(http_.post(session_lease_path(session_lease, true), "", kTimeout));
 }
 
-StoreStatus StoreClient::revoke_lease(std::uint64_t hold) {
-  return status_of(http_.call("DELETE", hold_path(hold, false), "", kTimeout));
+StoreStatus StoreClient::revoke_lease(std::uint64_t session_lease) {
+  return status_of(http_.call("DELETE", session_lease_path(session_lease, false), "", kTimeout));
 }
 
 StoreStatus StoreClient::has_changed(const std::string& prefix, std::uint64_t from, bool& out) {
@@ -102,4 +102,4 @@
   return status_of(r);
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/store_client.hpp
+++ b/src/controller/store_client.hpp
@@ -7,7 +7,7 @@
 #include "protocol/messages.hpp"
 #include "transport/http.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 enum class StoreStatus {
   ok,
@@ -27,7 +27,7 @@
   StoreStatus list(const std::string& prefix, Rows& out);
   StoreStatus list_entries(const std::string& prefix, const std::string& from, EntryPage& out);
   // On ok, `rev` is the revision of its changes; on conflict, `failed` names the keys.
-  StoreStatus commit(const std::string& body, std::uint64_t& rev, std::vector<std::string>& failed);
+  StoreStatus commit(const std::string& body, std::uint64_t& revision, std::vector<std::string>& failed);
   StoreStatus create_lease(unsigned life_ms, std::uint64_t& out);
   StoreStatus renew_lease(std::uint64_t create_lease);
   StoreStatus revoke_lease(std::uint64_t create_lease);
@@ -42,4 +42,4 @@
   HttpClient http_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/intake/report_exchange.hpp
+++ b/src/heartbeat_relay/heartbeat_delta.hpp
@@ -4,36 +4,37 @@
 #pragma once
 #include <string>
 
-#include "protocol/intake_messages.hpp"
-#include "protocol/types.hpp"
+#include "model/heartbeat.hpp"
+#include "model/identifiers.hpp"
+#include "protocol/relay_messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 // On the intake, for one lead.
-class ReportSender {
+class HeartbeatDeltaEncoder {
  public:
   // What is to be sent of this report.
-  [[nodiscard]] ReportDelta encode(const Report& report) const;
+  [[nodiscard]] HeartbeatDelta encode(const Heartbeat& heartbeat) const;
   // The leader has this report.
-  void record_acknowledged(const Report& report);
+  void record_acknowledged(const Heartbeat& heartbeat);
   // The leader does not have the report that the last delta of this worker was built on.
-  void forget(const std::string& host);
+  void forget(const std::string& node);
   // Another lead: nothing is known of what it has.
   void clear() { acknowledged_.clear(); }
 
  private:
-  NameMap<Report> acknowledged_;  // by worker: the newest
+  NameMap<Heartbeat> acknowledged_;  // by worker: the newest
 };
 
 // On the leader, for one lead.
-class ReportReceiver {
+class HeartbeatDeltaDecoder {
  public:
   // The report that was sent, valid until the next call; null where the whole of it is needed.
-  const Report* decode(const ReportDelta& delta);
+  const Heartbeat* decode(const HeartbeatDelta& delta);
   [[nodiscard]] std::size_t size() const { return received_.size(); }
 
  private:
-  NameMap<Report> received_;  // by worker: the newest
+  NameMap<Heartbeat> received_;  // by worker: the newest
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/intake/intake_mode.hpp
+++ b/src/heartbeat_relay/relay_mode.hpp
@@ -2,15 +2,15 @@
 #pragma once
 #include <cstddef>
 
-namespace thistle {
+namespace thistlefront {
 
-enum class IntakeMode {
+enum class RelayMode {
   off,
   on,
   automatic,  // where holding all workers itself would take too much of the leader's processor, threads or sockets
 };
 
 // What `automatic` decides. `processor_share`: of one core, 0 where it is not known; `most_connections`: of users and workers.
-bool intake_needed(std::size_t workers, double processor_share, std::size_t most_connections);
+bool is_relay_needed(std::size_t workers, double processor_share, std::size_t most_connections);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/intake/worker_balance.cpp
+++ b/src/heartbeat_relay/worker_balancer.cpp
@@ -1,9 +1,9 @@
-#include "intake/worker_balance.hpp"
+#include "heartbeat_relay/worker_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kLately = 3.0;          // seconds: an intake speaks each second at least
@@ -14,27 +14,27 @@
 constexpr double kMostAtOnce = 16;
 }  // namespace
 
-void WorkerBalance::record_worker_count(const std::string& intake, std::uint32_t workers, double now) {
-  relays_[intake] = {workers, now};
+void WorkerBalancer::record_worker_count(const std::string& relay, std::uint32_t workers, double now) {
+  relays_[relay] = {workers, now};
 }
 
-bool WorkerBalance::is_recent(const Relay& intake, double now) const {
-  return now - intake.heard_at < kLately;
+bool WorkerBalancer::is_recent(const Relay& relay, double now) const {
+  return now - relay.heard_at < kLately;
 }
 
-std::size_t WorkerBalance::workers_at_relays(double now) const {
+std::size_t WorkerBalancer::workers_at_relays(double now) const {
   std::size_t out = 0;
-  for (const auto& [label, intake] : relays_)
-    if (is_recent(intake, now)) out += intake.workers;
+  for (const auto& [label, relay] : relays_)
+    if (is_recent(relay, now)) out += relay.workers;
   return out;
 }
 
-double WorkerBalance::relay_share(double now) const {
+double WorkerBalancer::relay_share(double now) const {
   const auto active = std::count_if(relays_.begin(), relays_.end(), [&](const auto& i) { return is_recent(i.second, now); });
   return static_cast<double>(workers_at_relays(now) + own_) / (static_cast<double>(active) + kLeaderWeight);
 }
 
-const std::pair<const std::string, WorkerBalance::Relay>* WorkerBalance::least_loaded(const std::string& but, double now) const {
+const std::pair<const std::string, WorkerBalancer::Relay>* WorkerBalancer::least_loaded(const std::string& but, double now) const {
   const std::pair<const std::string, Relay>* out = nullptr;
   for (const auto& entry : relays_) {
     if (entry.first == but || !is_recent(entry.second, now)) continue;
@@ -43,7 +43,7 @@
   return out;
 }
 
-std::uint32_t WorkerBalance::take_allowance(double wanted, double now) {
+std::uint32_t WorkerBalancer::take_allowance(double wanted, double now) {
   const double rate = std::max(1.0, static_cast<double>(workers_at_relays(now) + own_) / kEvenOutSeconds);
   allowance_ = std::min(allowance_ + std::max(0.0, now - allowance_at_) * rate, std::max(1.0, std::min(rate, kMostAtOnce)));
   allowance_at_ = now;
@@ -52,9 +52,9 @@
   return static_cast<std::uint32_t>(out);
 }
 
-WorkerBalance::Redirection WorkerBalance::redirect_from_relay(const std::string& intake, double now) {
-  const auto it = relays_.find(intake);
-  const auto* other = least_loaded(intake, now);
+WorkerBalancer::Redirection WorkerBalancer::redirect_from_relay(const std::string& relay, double now) {
+  const auto it = relays_.find(relay);
+  const auto* other = least_loaded(relay, now);
   if (it == relays_.end() || !other) return {};
   const double share = relay_share(now), workers = it->second.workers;
   if (workers <= share * kTolerance + kToleranceWorkers || other->second.workers + 1 > share) return {};
@@ -64,7 +64,7 @@
   return {count, count > 0 ? to : std::string()};
 }
 
-std::optional<std::string> WorkerBalance::redirect_from_leader(std::size_t own, double now) {
+std::optional<std::string> WorkerBalancer::redirect_from_leader(std::size_t own, double now) {
   own_ = own;
   const auto* other = least_loaded({}, now);
   if (!other) return std::nullopt;
@@ -78,4 +78,4 @@
   return to;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/intake/worker_balance.hpp
+++ b/src/heartbeat_relay/worker_balancer.hpp
@@ -6,11 +6,11 @@
 #include <optional>
 #include <string>
 
-#include "protocol/types.hpp"
+#include "model/identifiers.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class WorkerBalance {
+class WorkerBalancer {
  public:
   // Workers to be sent to another controller; 0: none.
   struct Redirection {
@@ -18,9 +18,9 @@
     std::string target;
   };
   // An intake said how many workers it holds.
-  void record_worker_count(const std::string& intake, std::uint32_t workers, double now);
+  void record_worker_count(const std::string& relay, std::uint32_t workers, double now);
   // What that intake is to send away.
-  Redirection redirect_from_relay(const std::string& intake, double now);
+  Redirection redirect_from_relay(const std::string& relay, double now);
   // Where the leader is to send one of its own workers, of which it holds `own`.
   std::optional<std::string> redirect_from_leader(std::size_t own, double now);
   // Workers at intakes that were heard of lately.
@@ -31,7 +31,7 @@
     std::uint32_t workers = 0;
     double heard_at = 0;
   };
-  [[nodiscard]] bool is_recent(const Relay& intake, double now) const;
+  [[nodiscard]] bool is_recent(const Relay& relay, double now) const;
   // The intake that holds fewest, but this one; null where there is none.
   const std::pair<const std::string, Relay>* least_loaded(const std::string& but, double now) const;
   [[nodiscard]] double relay_share(double now) const;
@@ -43,4 +43,4 @@
   double allowance_ = 0, allowance_at_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/standing_back.hpp
+++ b/src/leadership/leadership_backoff.hpp
@@ -3,9 +3,9 @@
 #pragma once
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
-class StandingBack {
+class LeadershipBackoff {
  public:
   // It gives the lead back for a reason of its own: for how long it is to stand back.
   double record_hand_over(double now) {
@@ -25,4 +25,4 @@
   unsigned in_a_row_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/ledger/rewriter.hpp
+++ b/src/ledger/ledger_compactor.hpp
@@ -10,32 +10,35 @@
 #include <optional>
 #include <vector>
 
-#include "bookkeeping/book.hpp"
+#include "cluster_state/cluster_state.hpp"
+#include "model/identifiers.hpp"
+#include "model/ledger_records.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class Rewriter {
+class LedgerCompactor {
  public:
   struct Item {
-    JobIdx job;     // or a fact: the flavors, a team\'s terms
+    JobIndex job;   // or a fact: the flavors, a team\'s terms
     Record record;  // true of the book as it is; it goes before anything newer
-    std::uint32_t covered = 0;
+    std::uint32_t is_snapshot_complete = 0;
     bool begins = false, ends = false;  // the first and the last record of this job
   };
 
   // Facts have no job; of each the newest record is all that is needed. Nothing where the record is none.
-  static std::optional<JobIdx> singleton_of(const Record& record, const Book& book);
+  static std::optional<JobIndex> singleton_of(const Record& record, const ClusterState& cluster_state);
   // A job's first record, or a fact, is in this entry.
-  void record_first_entry(std::uint64_t entry, JobIdx job);
+  void record_first_entry(std::uint64_t entry, JobIndex job);
   // What to write next so that the oldest entry can go; nothing while the ledger is short for what the book
   // holds. `next` is the number of the entry after the newest, `entry_bytes` about what one entry holds; `longer`:
   // entries kept for each that the book itself would take.
-  [[nodiscard]] std::vector<Item> next_rewrites(const Book& book, std::uint64_t first, std::uint64_t next_rewrites, std::size_t entry_bytes,
-                                                double longer = kLogFactor) const;
-  static constexpr double kLogFactor = 2;
+  [[nodiscard]] std::vector<Item> next_rewrites(const ClusterState& cluster_state, std::uint64_t first, std::uint64_t next_rewrites,
+                                                std::size_t entry_bytes, double longer = kDefaultLengthFactor) const;
+  static constexpr double kDefaultLengthFactor = 2;
   // The same for the oldest entry's jobs however short the ledger is, about `budget` bytes at a time: entries
   // of a level that is no longer written go this way.
-  [[nodiscard]] std::vector<Item> rewrites_of_oldest(const Book& book, std::uint64_t next_rewrites, std::size_t budget) const;
+  [[nodiscard]] std::vector<Item> rewrites_of_oldest(const ClusterState& cluster_state, std::uint64_t next_rewrites,
+                                                     std::size_t budget) const;
   // These, in the order of next() or with ended jobs put first, are in the ledger: items[i] in entries[i] or
   // a later one. Fewer entries than items: the rest was not written.
   void record_rewritten(const std::vector<Item>& items, const std::vector<std::uint64_t>& entries);
@@ -43,10 +46,10 @@
   [[nodiscard]] std::uint64_t oldest_needed(std::uint64_t otherwise) const;
 
  private:
-  std::map<std::uint64_t, std::vector<JobIdx>> begin_there_;
-  JobIdx partial_;  // being written anew; the first of the oldest entry's jobs
+  std::map<std::uint64_t, std::vector<JobIndex>> begin_there_;
+  JobIndex partial_;  // being written anew; the first of the oldest entry's jobs
   std::uint32_t partial_covered_ = 0;
   std::uint64_t partial_entry_ = 0;  // where its first new record is
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/ledger/reader.hpp
+++ b/src/ledger/ledger_reader.hpp
@@ -5,14 +5,15 @@
 #include <string>
 #include <vector>
 
-#include "ledger/tail.hpp"
+#include "ledger/ledger_writer.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class Reader {
+class LedgerReader {
  public:
   // `least` to `most`: the levels that this build reads.
-  Reader(Book& book, std::uint32_t least, std::uint32_t most) : book_(book), least_(least), most_(most) {}
+  LedgerReader(ClusterState& cluster_state, std::uint32_t least, std::uint32_t most)
+      : cluster_state_(cluster_state), least_(least), most_(most) {}
   // One more entry, in the order of keys, which need not be theirs. False: it can't be read, and why() tells entry, place
   // and reason; a part of the ledger must not be led on, for an accepted job could be in the rest.
   bool add_entry(EntryPage::Row row);
@@ -20,7 +21,7 @@
   bool finish();
   [[nodiscard]] const std::string& error() const { return error_; }
   [[nodiscard]] std::size_t entries() const { return entries_; }
-  [[nodiscard]] Tail::Contents contents() && { return std::move(contents_); }
+  [[nodiscard]] LedgerWriter::Contents contents() && { return std::move(contents_); }
 
  private:
   struct PendingEntry {
@@ -31,20 +32,20 @@
   bool fail(const std::string& key, const std::string& reason);
   bool replay(const PendingEntry& taken);
 
-  Book& book_;
+  ClusterState& cluster_state_;
   std::uint32_t least_, most_;
   std::vector<PendingEntry> pending_;
   std::size_t entries_ = 0, jobs_ = 0;
-  Tail::Contents contents_;
+  LedgerWriter::Contents contents_;
   std::string error_;
 };
 
 // The ledger as it was read while nobody led, when nothing in it changes.
 struct ReadLedger {
-  std::unique_ptr<Book> book;
-  Tail::Contents contents;
+  std::unique_ptr<ClusterState> cluster_state;
+  LedgerWriter::Contents contents;
   std::size_t entries = 0;
   std::uint64_t revision = 0;  // of the state service when its reading began
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/ledger/write_budget.hpp
+++ b/src/ledger/write_rate_limiter.hpp
@@ -3,18 +3,18 @@
 #pragma once
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
-class WriteBudget {
+class WriteRateLimiter {
  public:
   // `allowed`: changes a second that the state service takes, of all who write to it.
-  explicit WriteBudget(double allowed) : rate_(allowed * kShare), burst_(std::max(1.0, rate_ * kBurst)) {}
+  explicit WriteRateLimiter(double allowed) : rate_(allowed * kShare), burst_(std::max(1.0, rate_ * kBurst)) {}
 
   [[nodiscard]] double rate() const { return rate_; }  // changes a second
   // How long a ledger is kept, in entries for each that the book itself would take, where an entry holds so many bytes: a
   // longer one is read for longer by the next leader, a shorter one is written anew more often, which is dear where little
   // may be written (kaubaalus next, 15 changes of 2 KiB a second: as much was written anew as came).
-  [[nodiscard]] double log_factor(std::size_t entry_bytes) const {
+  [[nodiscard]] double length_factor(std::size_t entry_bytes) const {
     return std::clamp(kLeastLog * kAmple / (rate_ * static_cast<double>(entry_bytes)), kLeastLog, kMostLog);
   }
   // Seconds until a write may be made; 0: now. `now`: steady seconds.
@@ -35,4 +35,4 @@
   double rate_, burst_, tokens_ = 0, at_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,58 +9,58 @@
 #include <map>
 #include <thread>
 
-#include "coordination/budget.hpp"
-#include "coordination/controller.hpp"
+#include "controller/controller.hpp"
+#include "controller/resource_budget.hpp"
 #include "protocol/settings.hpp"
 #include "transport/threads.hpp"
 
 int main(int argc, char** argv) {
   CLI::App app{"thistlefront: a cluster scheduler"};
   std::string config;
-  thistle::Tuning tuning;
+  thistlefront::Options options;
   app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
-  app.set_version_flag("--version", std::string("thistlefront ") + thistle::rollout::kBuild);
+  app.set_version_flag("--version", std::string("thistlefront ") + thistlefront::rollout::kBuild);
   app.add_option("--config", config, "the platform's settings file (TOML)")->required()->type_name("FILE");
-  app.add_option("--weight", tuning.weight, "weight of a second waited in the key")
+  app.add_option("--weight", options.weight, "weight of a second waited in the key")
       ->envname("THISTLEFRONT_WEIGHT")
       ->check(CLI::Range(0.0, 1e6))
       ->capture_default_str();
-  app.add_option("--pass-period", tuning.pass_period_s, "least seconds between passes")
+  app.add_option("--pass-period", options.pass_period_s, "least seconds between passes")
       ->envname("THISTLEFRONT_PASS_PERIOD")
       ->check(CLI::Range(0.01, 60.0))
       ->capture_default_str();
-  app.add_option("--overrun", tuning.overrun_s, "seconds after the pass at which an overrun counts as ending")
+  app.add_option("--overrun", options.overrun_s, "seconds after the pass at which an overrun counts as ending")
       ->envname("THISTLEFRONT_OVERRUN")
       ->check(CLI::Range(0.1, 86400.0))
       ->capture_default_str();
-  app.add_option("--hold-ms", tuning.hold_ms, "life of the leader's hold, milliseconds")
+  app.add_option("--hold-ms", options.leader_lease_ms, "life of the leader's hold, milliseconds")
       ->envname("THISTLEFRONT_HOLD_MS")
       ->check(CLI::Range(500u, 600000u))
       ->capture_default_str();
-  app.add_option("--threads", tuning.threads, "threads that the process may have")
+  app.add_option("--threads", options.threads, "threads that the process may have")
       ->envname("THISTLEFRONT_THREADS")
-      ->check(CLI::Range(thistle::Budget::kLeastThreads, std::size_t{1000000}))
+      ->check(CLI::Range(thistlefront::ResourceBudget::kLeastThreads, std::size_t{1000000}))
       ->capture_default_str();
-  app.add_option("--state-level-most", tuning.state_level_most,
+  app.add_option("--state-level-most", options.max_format_version,
                  "highest state level that this controller lets be switched on; a majority held below the one that is on "
                  "lowers it")
       ->envname("THISTLEFRONT_STATE_LEVEL_MOST")
-      ->check(CLI::Range(thistle::rollout::kLeastLevel, thistle::rollout::kMostLevel))
+      ->check(CLI::Range(thistlefront::rollout::kMinFormatVersion, thistlefront::rollout::kMaxFormatVersion))
       ->capture_default_str();
-  app.add_option("--state-level-soak", tuning.state_level_soak_s,
+  app.add_option("--state-level-soak", options.format_version_soak_s,
                  "seconds for which all controllers must have had a state level before it is switched on")
       ->envname("THISTLEFRONT_STATE_LEVEL_SOAK")
       ->check(CLI::Range(0.0, 604800.0))
       ->capture_default_str();
-  app.add_option("--rent", tuning.scale_out, "rent machines for work that can't be served in time")
+  app.add_option("--rent", options.scale_out, "rent machines for work that can't be served in time")
       ->envname("THISTLEFRONT_RENT")
       ->capture_default_str();
-  const std::map<std::string, thistle::IntakeMode> intake_modes{
-      {"off", thistle::IntakeMode::off}, {"on", thistle::IntakeMode::on}, {"auto", thistle::IntakeMode::automatic}};
-  app.add_option("--intake", tuning.relay_mode,
+  const std::map<std::string, thistlefront::RelayMode> relay_modes{
+      {"off", thistlefront::RelayMode::off}, {"on", thistlefront::RelayMode::on}, {"auto", thistlefront::RelayMode::automatic}};
+  app.add_option("--intake", options.relay_mode,
                  "workers stay with any controller, which passes their reports to the leader in batches: on, off or auto")
       ->envname("THISTLEFRONT_INTAKE")
-      ->transform(CLI::CheckedTransformer(intake_modes))
+      ->transform(CLI::CheckedTransformer(relay_modes))
       ->default_str("auto");
   try {
     app.parse(argc, argv);
@@ -79,10 +79,10 @@
   }
   spdlog::set_level(spdlog::level::from_str(wanted == "error" ? "err" : wanted));
 
-  thistle::configure_process_memory();
-  thistle::Settings settings;
+  thistlefront::configure_process_memory();
+  thistlefront::Settings settings;
   try {
-    settings = thistle::load_settings(config);
+    settings = thistlefront::load_settings(config);
   } catch (const std::exception& e) {
     std::cerr << e.what() << "\n";
     return 2;
@@ -95,7 +95,7 @@
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   signal(SIGPIPE, SIG_IGN);
   try {
-    thistle::Controller controller(std::move(settings), tuning);
+    thistlefront::Controller controller(std::move(settings), options);
     std::jthread service([&](std::stop_token stop) {
       try {
         controller.run(stop);
--- /dev/null
+++ b/src/model/machine.hpp
@@ -0,0 +1,25 @@
+// Machine types that the cloud offers, and its instances of them.
+#pragma once
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "model/resources.hpp"
+
+namespace thistlefront {
+
+struct MachineType {
+  std::string name;
+  Resources capacity;
+  double image_cache_gb = 0, image_fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
+  std::vector<std::string> zones;
+};
+
+struct Instance {
+  std::string name, address, machine_type, zone;
+  bool spot = false;
+  enum class Status : std::uint8_t { booting, running, failed } status = Status::booting;
+  double age_s = 0;
+};
+
+}  // namespace thistlefront
--- /dev/null
+++ b/src/model/resources.hpp
@@ -0,0 +1,27 @@
+// Amounts of processor cores, accelerators and memory.
+#pragma once
+
+namespace thistlefront {
+
+struct Resources {
+  double cores = 0, accelerators = 0, ram_gb = 0;
+  Resources& operator+=(const Resources& o) {
+    cores += o.cores, accelerators += o.accelerators, ram_gb += o.ram_gb;
+    return *this;
+  }
+  Resources& operator-=(const Resources& o) {
+    cores -= o.cores, accelerators -= o.accelerators, ram_gb -= o.ram_gb;
+    return *this;
+  }
+  friend Resources operator+(Resources a, const Resources& b) { return a += b; }
+  friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
+  friend Resources operator*(const Resources& a, double k) { return {a.cores * k, a.accelerators * k, a.ram_gb * k}; }
+  // Whether this much can be taken out of `room`; sums of decimals are given a little slack.
+  [[nodiscard]] bool fits(const Resources& room) const {
+    constexpr double slack = 1e-6;
+    return cores <= room.cores + slack && accelerators <= room.accelerators + slack && ram_gb <= room.ram_gb + slack;
+  }
+  friend bool operator==(const Resources&, const Resources&) = default;
+};
+
+}  // namespace thistlefront
--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -9,7 +9,7 @@
 
 #include "protocol/messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 using Crc = boost::crc_optimal<64, 0x42F0E1EBA9EA3693, 0xFFFFFFFFFFFFFFFF, 0xFFFFFFFFFFFFFFFF, true, true>;
@@ -92,8 +92,8 @@
   std::uint64_t out = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
   if (text.size() != kDigits || error != std::errc{} || end != text.data() + text.size())
-    throw Malformed("not a digest: " + std::string(text.substr(0, kDigits)));
+    throw ProtocolError("not a digest: " + std::string(text.substr(0, kDigits)));
   return out;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/digest.hpp
+++ b/src/protocol/digest.hpp
@@ -8,15 +8,15 @@
 #include <string>
 #include <string_view>
 
-namespace thistle {
+namespace thistlefront {
 
 // Of one JSON value.
 std::uint64_t digest_of(const nlohmann::json& value);
 std::uint64_t digest_of_text(std::string_view text);
 // Of a sequence, extended by one more.
 std::uint64_t digest_with(std::uint64_t before, std::uint64_t more);
-// 16 hexadecimal digits, and back; throws Malformed.
+// 16 hexadecimal digits, and back; throws ProtocolError.
 std::string digest_text(std::uint64_t digest);
 std::uint64_t parse_digest(std::string_view text);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/report_memo.cpp
+++ b/src/protocol/heartbeat_cache.cpp
@@ -1,10 +1,10 @@
-#include "protocol/report_memo.hpp"
+#include "protocol/heartbeat_cache.hpp"
 
 #include <charconv>
 
 #include "protocol/messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr std::string_view kSerialKey = "\"serial\":";
@@ -21,19 +21,19 @@
 }
 }  // namespace
 
-const Report& ReportMemo::read(std::string_view body) {
+const Heartbeat& HeartbeatCache::read(std::string_view body) {
   if (const auto serial = serial_if_repeated(body)) {
-    report_.repeated_serial = report_.serial;
-    report_.serial = *serial;
-    return report_;
+    heartbeat_.repeated_serial = heartbeat_.serial;
+    heartbeat_.serial = *serial;
+    return heartbeat_;
   }
   remembers_ = false;
-  report_ = parse_report(body);
+  heartbeat_ = parse_heartbeat(body);
   remember(body);
-  return report_;
+  return heartbeat_;
 }
 
-std::optional<std::uint64_t> ReportMemo::serial_if_repeated(std::string_view body) const {
+std::optional<std::uint64_t> HeartbeatCache::serial_if_repeated(std::string_view body) const {
   if (!remembers_ || !body.starts_with(before_serial_) || !body.ends_with(after_serial_)) return std::nullopt;
   const std::size_t around = before_serial_.size() + after_serial_.size();
   if (body.size() <= around) return std::nullopt;
@@ -41,14 +41,14 @@
 }
 
 // Only where the bytes leave no doubt which digits are the serial: its key stands there once, and nothing is escaped.
-void ReportMemo::remember(std::string_view body) {
+void HeartbeatCache::remember(std::string_view body) {
   if (body.size() > kMostRemembered || body.find('\\') != std::string_view::npos) return;
   const std::size_t key = body.find(kSerialKey);
   if (key == std::string_view::npos || body.find(kSerialKey, key + 1) != std::string_view::npos) return;
   const std::size_t first = body.find_first_of(kDigits, key + kSerialKey.size());
   if (first == std::string_view::npos) return;
   const std::size_t last = std::min(body.find_first_not_of(kDigits, first), body.size());
-  if (whole_number(body.substr(first, last - first)) != report_.serial) return;
+  if (whole_number(body.substr(first, last - first)) != heartbeat_.serial) return;
   // A fraction or an exponent behind the digits would make another number of them.
   if (last < body.size() && body[last] != ',' && body[last] != '}' && body[last] != ' ') return;
   before_serial_ = body.substr(0, first);
@@ -56,4 +56,4 @@
   remembers_ = true;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kLongestValidity = 1e6;  // seconds; beyond it an answer is valid for good
@@ -14,20 +14,20 @@
 }
 }  // namespace
 
-Frame pack(const Beat& beat) {
+Frame pack(const PeerHeartbeat& peer_heartbeat) {
   Packer p;
-  p.integer(beat.epoch)
-      .integer(beat.takeover_epoch)
-      .text(beat.label)
-      .integer(beat.echoed_process)
-      .integer(beat.echoed_clock_ms)
-      .integer(beat.owed_ms);
-  return frame_of(PeerKind::beat, p);
+  p.integer(peer_heartbeat.fencing_token)
+      .integer(peer_heartbeat.takeover_token)
+      .text(peer_heartbeat.label)
+      .integer(peer_heartbeat.echoed_process)
+      .integer(peer_heartbeat.echoed_clock_ms)
+      .integer(peer_heartbeat.oldest_cancellation_age_ms);
+  return frame_of(PeerKind::peer_heartbeat, p);
 }
-Frame pack(const BeatAck& ack) {
+Frame pack(const PeerHeartbeatAck& ack) {
   Packer p;
-  p.integer(ack.epoch).text(ack.leader).integer(ack.process).integer(ack.clock_ms).integer(ack.kept_ms_ago);
-  return frame_of(PeerKind::beat_ack, p);
+  p.integer(ack.fencing_token).text(ack.leader).integer(ack.process).integer(ack.clock_ms).integer(ack.last_renewal_age_ms);
+  return frame_of(PeerKind::peer_heartbeat_ack, p);
 }
 Frame pack(const PeerCall& call) {
   Packer p;
@@ -44,27 +44,27 @@
   return frame_of(PeerKind::reply, p);
 }
 
-std::optional<Beat> unpack_beat(const Frame& frame) {
+std::optional<PeerHeartbeat> unpack_peer_heartbeat(const Frame& frame) {
   Unpacker u(frame.payload);
-  Beat beat;
-  beat.epoch = u.integer<std::uint64_t>();
-  beat.takeover_epoch = u.integer<std::uint64_t>();
-  beat.label = u.text();
-  beat.echoed_process = u.integer<std::uint64_t>();
-  beat.echoed_clock_ms = u.integer<std::uint64_t>();
-  beat.owed_ms = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::beat) || !u.done()) return std::nullopt;
-  return beat;
+  PeerHeartbeat peer_heartbeat;
+  peer_heartbeat.fencing_token = u.integer<std::uint64_t>();
+  peer_heartbeat.takeover_token = u.integer<std::uint64_t>();
+  peer_heartbeat.label = u.text();
+  peer_heartbeat.echoed_process = u.integer<std::uint64_t>();
+  peer_heartbeat.echoed_clock_ms = u.integer<std::uint64_t>();
+  peer_heartbeat.oldest_cancellation_age_ms = u.integer<std::uint32_t>();
+  if (!is(frame, PeerKind::peer_heartbeat) || !u.done()) return std::nullopt;
+  return peer_heartbeat;
 }
-std::optional<BeatAck> unpack_ack(const Frame& frame) {
+std::optional<PeerHeartbeatAck> unpack_peer_heartbeat_ack(const Frame& frame) {
   Unpacker u(frame.payload);
-  BeatAck ack;
-  ack.epoch = u.integer<std::uint64_t>();
+  PeerHeartbeatAck ack;
+  ack.fencing_token = u.integer<std::uint64_t>();
   ack.leader = u.text();
   ack.process = u.integer<std::uint64_t>();
   ack.clock_ms = u.integer<std::uint64_t>();
-  ack.kept_ms_ago = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::beat_ack) || !u.done()) return std::nullopt;
+  ack.last_renewal_age_ms = u.integer<std::uint32_t>();
+  if (!is(frame, PeerKind::peer_heartbeat_ack) || !u.done()) return std::nullopt;
   return ack;
 }
 std::optional<PeerCall> unpack_call(const Frame& frame) {
@@ -87,4 +87,4 @@
   return reply;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/intake_messages.hpp
+++ b/src/protocol/relay_messages.hpp
@@ -6,43 +6,44 @@
 #include <string>
 #include <vector>
 
-#include "protocol/types.hpp"
+#include "model/command.hpp"
+#include "model/task.hpp"
 #include "transport/frames.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 // One attempt of a task, as a report names it.
 struct AttemptKey {
-  PieceId id;
+  TaskId id;
   std::uint64_t attempt = 0;
 };
 
 // A worker's report as it travels in a batch: whole, or by what differs from an earlier one of the same session.
-struct ReportDelta {
+struct HeartbeatDelta {
   enum class Kind : std::uint8_t {
     whole = 1,
     difference,  // other tasks, or other states of them, than the report with `base_serial`
     unchanged,   // all as in that report, but for serial, epoch and the time until a recall
   };
   Kind kind = Kind::whole;
-  std::string host;
-  std::uint64_t tenure = 0, serial = 0, epoch = 0;
-  std::optional<double> recall_s;
+  std::string node;
+  std::uint64_t agent_incarnation = 0, serial = 0, fencing_token = 0;
+  std::optional<double> interruption_in_s;
   std::uint64_t base_serial = 0;            // not of a whole report
-  std::string address, machine_type, yard;  // of a whole report alone
-  bool loaner = false;
-  std::vector<ReportedPiece> tasks;  // all of them, or those that are new or have changed
-  std::vector<AttemptKey> removed;   // of a difference
+  std::string address, machine_type, zone;  // of a whole report alone
+  bool spot = false;
+  std::vector<TaskReport> tasks;    // all of them, or those that are new or have changed
+  std::vector<AttemptKey> removed;  // of a difference
 };
 
-struct IntakeBatch {
+struct HeartbeatBatch {
   std::string sender;                // label of the controller
-  std::uint64_t takeover_epoch = 0;  // epoch of the lead that it is meant for
+  std::uint64_t takeover_token = 0;  // epoch of the lead that it is meant for
   std::uint32_t worker_count = 0;    // that the sender heard of lately
-  std::vector<ReportDelta> reports;
+  std::vector<HeartbeatDelta> heartbeats;
 };
 
-struct WorkerAnswer {
+struct HeartbeatAnswer {
   enum class Outcome : std::uint8_t {
     renewed = 1,    // the worker's lease is renewed; its orders go along
     refused,        // the worker is to be told 421
@@ -50,23 +51,23 @@
     retry_later,    // asked again soon: the leader is still reading the ledger
   };
   Outcome outcome = Outcome::refused;
-  std::vector<Order> orders;
+  std::vector<Command> commands;
 };
 
-struct IntakeAnswer {
-  std::uint64_t takeover_epoch = 0, epoch = 0;  // of the lead that made it
-  std::uint32_t redirect_count = 0;             // workers that the sender is to send to `send_to`, where it has more than its share
-  std::string redirect_target;                  // label of a controller
-  std::vector<WorkerAnswer> answers;            // one for each report, in their order
+struct HeartbeatBatchAnswer {
+  std::uint64_t takeover_token = 0, fencing_token = 0;  // of the lead that made it
+  std::uint32_t redirect_count = 0;                     // workers that the sender is to send to `send_to`, where it has more than its share
+  std::string redirect_target;                          // label of a controller
+  std::vector<HeartbeatAnswer> answers;                 // one for each report, in their order
 };
 
 // Bytes that a delta takes in a batch, at most.
-std::size_t packed_size(const ReportDelta& delta);
+std::size_t packed_size(const HeartbeatDelta& delta);
 
-Frame pack(const IntakeBatch& batch);
-Frame pack(const IntakeAnswer& answer);
+Frame pack(const HeartbeatBatch& batch);
+Frame pack(const HeartbeatBatchAnswer& answer);
 // Nothing where any part of the frame is malformed: a batch is taken as a whole or not at all.
-std::optional<IntakeBatch> unpack_intake_batch(const Frame& frame);
-std::optional<IntakeAnswer> unpack_intake_answer(const Frame& frame);
+std::optional<HeartbeatBatch> unpack_heartbeat_batch(const Frame& frame);
+std::optional<HeartbeatBatchAnswer> unpack_heartbeat_batch_answer(const Frame& frame);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -11,14 +11,15 @@
 
 #include "transport/socket.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 
 // Reads fields of one table and names the field in what it throws.
-class Reader {
+class LedgerReader {
  public:
-  Reader(const std::string& file, const toml::table& table, std::string prefix) : file_(file), table_(table), prefix_(std::move(prefix)) {}
+  LedgerReader(const std::string& file, const toml::table& table, std::string prefix)
+      : file_(file), table_(table), prefix_(std::move(prefix)) {}
 
   [[noreturn]] void fail(const std::string& field, const std::string& error) const {
     throw std::runtime_error(file_ + ": " + prefix_ + field + ": " + error);
@@ -46,13 +47,13 @@
     return static_cast<std::uint64_t>(*v);
   }
   [[nodiscard]] bool has(const char* field) const { return table_.contains(field); }
-  Reader table(const char* field) const {
+  LedgerReader table(const char* field) const {
     const auto* t = node(field).as_table();
     if (!t) fail(field, "not a table");
     return {file_, *t, prefix_ + field + "."};
   }
-  std::vector<Reader> tables(const char* field) const {
-    std::vector<Reader> out;
+  std::vector<LedgerReader> tables(const char* field) const {
+    std::vector<LedgerReader> out;
     const auto* n = table_.get(field);
     if (!n) return out;
     const auto* a = n->as_array();
@@ -106,7 +107,7 @@
     why << path << ": line " << e.source().begin.line << ": " << e.description();
     throw std::runtime_error(why.str());
   }
-  const Reader top(path, root, "");
+  const LedgerReader top(path, root, "");
   Settings s;
   s.label = top.text("label");
   s.site = top.text("site");
@@ -140,7 +141,7 @@
     s.objectives.push_back(std::move(objective));
   }
   const auto w = d.table("workers");
-  s.report_s = w.number("report_s", 0.01, kDay);
+  s.heartbeat_interval_s = w.number("report_s", 0.01, kDay);
   s.lease_s = w.number("lease_s", 0.01, kDay);
   s.gang_wait_s = w.number("gang_wait_s", 0, kDay);
   s.gang_peer_s = w.number("gang_peer_s", 0, kDay);
@@ -168,4 +169,4 @@
   return s;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "protocol/types.hpp"
+#include "model/resources.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 struct Settings {
   struct Peer {
@@ -26,7 +26,7 @@
   double skew_ms = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
+  double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
   // What the state service takes: the lesser of its limits now and those announced for some unknown moment.
   double state_rps = 0, state_write_rps = 0, value_kb = 0;
   std::uint64_t txn_ops = 0;
@@ -38,4 +38,4 @@
 // Throws std::runtime_error with one line that names file, field and reason.
 Settings load_settings(const std::string& path);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/rollout/levels.hpp
+++ b/src/rollout/format_versions.hpp
@@ -9,35 +9,35 @@
 #include <string>
 #include <vector>
 
-#include "protocol/rollout_messages.hpp"
+#include "protocol/version_messages.hpp"
 
-namespace thistle::rollout {
+namespace thistlefront::rollout {
 
 // Levels that this build reads and writes. 1: entries and leader's key as they were before levels. 2: entries
 // carry their level, generation, and checks, and the leader's key is another one.
-inline constexpr std::uint32_t kLeastLevel = 1, kMostLevel = 4;
+inline constexpr std::uint32_t kMinFormatVersion = 1, kMaxFormatVersion = 4;
 inline constexpr const char* kBuild = "0.3.0";
 
-// What one look at the keys under kLeadPrefix tells.
-struct Look {
-  LevelOn on;
-  std::uint64_t on_stamp = 0;  // 0: no such record
-  std::optional<Ready> ready;
-  std::uint64_t ready_stamp = 0;
-  std::optional<LeaderValue> leader;  // of the key that counts at this level
-  std::uint64_t leader_stamp = 0;     // the epoch
+// What one look at the keys under kLeadershipPrefix tells.
+struct LeadershipSnapshot {
+  ActiveVersion on;
+  std::uint64_t active_mod_revision = 0;  // 0: no such record
+  std::optional<VersionReadiness> ready;
+  std::uint64_t readiness_mod_revision = 0;
+  std::optional<LeaderValue> leader;      // of the key that counts at this level
+  std::uint64_t leader_mod_revision = 0;  // the epoch
 };
-// Throws Malformed.
-Look look(const std::vector<Row>& rows);
+// Throws ProtocolError.
+LeadershipSnapshot parse_leadership_keys(const std::vector<Row>& rows);
 
-struct Known {
-  Able able;
-  std::uint64_t stamp = 0;  // of its record; 0: none
-  friend bool operator==(const Known&, const Known&) = default;
+struct RegisteredController {
+  SupportedVersions supported_versions;
+  std::uint64_t mod_revision = 0;  // of its record; 0: none
+  friend bool operator==(const RegisteredController&, const RegisteredController&) = default;
 };
-using Roster = std::map<std::string, Known>;  // by label
+using ControllerRegistry = std::map<std::string, RegisteredController>;  // by label
 // Records that can't be read count as of a build that has nothing but level 1.
-Roster roster_of(const std::vector<Row>& rows);
+ControllerRegistry parse_registry(const std::vector<Row>& rows);
 
 // A transaction, and what it is for.
 struct Step {
@@ -51,15 +51,15 @@
     no_lower,   // and after all not
     lowered,    // the lower one is on: the epoch is raised with it
   } kind = Kind::none;
-  LevelOn after;  // what is on when it is done
+  ActiveVersion after;  // what is on when it is done
   std::vector<Condition> conditions;
   std::vector<Put> puts;
   std::vector<std::string> removes;
   // Why nothing more is done: which controller is waited for, or what stands against it. For the log and the
   // metrics.
-  std::string waits_for;
-  [[nodiscard]] bool raises_epoch() const { return kind == Kind::raise || kind == Kind::lowered; }
-  [[nodiscard]] bool sets_level() const { return raises_epoch() || kind == Kind::lower || kind == Kind::no_lower; }
+  std::string blocked_by;
+  [[nodiscard]] bool raises_token() const { return kind == Kind::raise || kind == Kind::lowered; }
+  [[nodiscard]] bool sets_version() const { return raises_token() || kind == Kind::lower || kind == Kind::no_lower; }
   [[nodiscard]] std::size_t changes() const { return puts.size() + removes.size(); }
   [[nodiscard]] std::string body() const { return txn_body(conditions, puts, removes); }
 };
@@ -67,26 +67,27 @@
 // Of the leader that steps: what it knows beside the keys.
 struct Leading {
   LeaderValue value;
-  std::uint64_t epoch = 0, hold = 0;
-  LevelOn level;              // as it knows it, and writes by
-  bool old_entries = true;    // some of the ledger's entries are not of the level being written
-  std::string no_older_form;  // what in the ledger can't be written at a lower level; empty: all can
+  std::uint64_t fencing_token = 0, session_lease = 0;
+  ActiveVersion format_version;  // as it knows it, and writes by
+  bool has_old_entries = true;   // some of the ledger's entries are not of the level being written
+  std::string no_older_format;   // what in the ledger can't be written at a lower level; empty: all can
 };
 
 // The next step of the leader. `expected`: the labels of all controllers of the settings. `answers`: what
 // peers answered last when asked directly; a build from before levels has Able{}.
-Step next_step(const Look& look, const Roster& roster, const std::vector<std::string>& expected, const std::map<std::string, Able>& answers,
-               const Leading& leading, double wall, double soak_s);
+Step next_step(const LeadershipSnapshot& snapshot, const ControllerRegistry& registry, const std::vector<std::string>& expected,
+               const std::map<std::string, SupportedVersions>& answers, const Leading& leading, double wall, double soak_s);
 
 // A controller's own roster record, at its start; nothing to write: Kind::none.
-Step enlist(const std::string& label, const Able& able, const Known* known);
+Step registration_step(const std::string& label, const SupportedVersions& supported_versions, const RegisteredController* known);
 
 // The transaction that takes the lead, conditional on the level being still the one looked at. Nothing where
 // a build that reads only `able`'s levels must not lead.
-std::optional<Step> take_lead(const Look& look, const Able& able, const LeaderValue& value, std::uint64_t hold);
+std::optional<Step> acquire_leadership_step(const LeadershipSnapshot& snapshot, const SupportedVersions& supported_versions,
+                                            const LeaderValue& value, std::uint64_t session_lease);
 // Takes the key of a lead away whose process has ended, by whoever knows that for sure; nothing if another leads by then.
-Step leave_lead(const Look& look);
+Step release_leadership_step(const LeadershipSnapshot& snapshot);
 // Raises the leader's epoch.
-Step raise_epoch(const LevelOn& on, const LeaderValue& value, std::uint64_t epoch, std::uint64_t hold);
+Step raise_token_step(const ActiveVersion& on, const LeaderValue& value, std::uint64_t fencing_token, std::uint64_t session_lease);
 
-}  // namespace thistle::rollout
+}  // namespace thistlefront::rollout
--- a/src/planning/turnover.hpp
+++ b/src/scheduling/capacity_release_rate.hpp
@@ -3,9 +3,9 @@
 #pragma once
 #include <cmath>
 
-namespace thistle {
+namespace thistlefront {
 
-class Turnover {
+class CapacityReleaseRate {
  public:
   // Cores a second, lately.
   [[nodiscard]] double rate(double now) const { return faded(now) / kMemory; }
@@ -20,4 +20,4 @@
   double cores_ = 0, at_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/pass_pacing.cpp
+++ b/src/scheduling/pass_pacing.cpp
@@ -1,8 +1,8 @@
-#include "planning/pass_pacing.hpp"
+#include "scheduling/pass_pacing.hpp"
 
 #include <algorithm>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kRestPerElapsed = 4.0;    // seconds of rest for each second that a pass took
@@ -17,4 +17,4 @@
   return std::min(wanted, std::max(kLongestPassRest, pacing.shortest_rest_s));
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/pass_pacing.hpp
+++ b/src/scheduling/pass_pacing.hpp
@@ -1,7 +1,7 @@
 // How long the planner rests after a pass, so that planning leaves the processor to requests and lease renewals. Pure.
 #pragma once
 
-namespace thistle {
+namespace thistlefront {
 
 // What one pass cost.
 struct PassCost {
@@ -20,4 +20,4 @@
 
 inline constexpr double kLongestPassRest = 1.0;  // seconds
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -1,11 +1,11 @@
-#include "planning/planner.hpp"
+#include "scheduling/planner.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <queue>
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 
@@ -26,14 +26,14 @@
 
 }  // namespace
 
-double key_of(double draw, double estimate_s, double weight, double waited_s, bool service) {
+double key_of(double random_draw, double estimate_s, double weight, double waited_s, bool service) {
   const double delay = weight * std::max(0.0, waited_s);
-  return service ? delay : draw / std::max(estimate_s, kEstimateFloor) + delay;
+  return service ? delay : random_draw / std::max(estimate_s, kEstimateFloor) + delay;
 }
 
-Profile::Profile(const PlanHost& host, double now, double overrun_s) : until_(host.usable_until) {
-  Resources free = host.capacity;
-  std::vector<PlanHost::Occupant> ends = host.occupants;
+Profile::Profile(const PlanNode& node, double now, double overrun_s) : until_(node.usable_until) {
+  Resources free = node.capacity;
+  std::vector<PlanNode::Occupant> ends = node.occupants;
   for (auto& o : ends) {
     if (o.until <= now) o.until = now + overrun_s;
     free -= o.demand;
@@ -96,35 +96,35 @@
   for (auto i = first; i < last; ++i) steps_[i].free -= amount;
 }
 
-bool borrows(const PlanJob& job, const PlanHost& host) {
+bool borrows(const PlanJob& job, const PlanNode& node) {
   if (job.demand.accelerators > 0) return false;
-  return host.lending == PlanHost::Lending::kept || (host.lending == PlanHost::Lending::not_to_services && job.service);
+  return node.lending == PlanNode::Lending::kept || (node.lending == PlanNode::Lending::not_to_services && job.service);
 }
 
 bool goes_before(const PlanJob& a, const PlanJob& b) {
   return a.tier != b.tier ? a.tier > b.tier : a.key > b.key;
 }
 
-bool elsewhere(const std::vector<std::uint32_t>& by_zone, ZoneIdx zone) {
+bool elsewhere(const std::vector<std::uint32_t>& by_zone, ZoneIndex zone) {
   for (std::size_t z = 0; z < by_zone.size(); ++z)
-    if (z != zone.v && by_zone[z] > 0) return true;
+    if (z != zone.value && by_zone[z] > 0) return true;
   return false;
 }
 
-double pull_on(const PlanJob& job, const PlanHost& host) {
-  if (std::find(host.images.begin(), host.images.end(), job.image) != host.images.end()) return 0;
-  return host.fetch_gb_per_s > 0 ? job.pull_gb / host.fetch_gb_per_s : 0;
+double image_pull_time(const PlanJob& job, const PlanNode& node) {
+  if (std::find(node.images.begin(), node.images.end(), job.image) != node.images.end()) return 0;
+  return node.image_fetch_gb_per_s > 0 ? job.image_gb / node.image_fetch_gb_per_s : 0;
 }
 
-bool may_run_on(const PlanJob& job, const PlanHost& host) {
-  if (host.loaner && !job.loaners) return false;
-  if (job.yard.valid() && host.zone != job.yard) return false;
+bool may_run_on(const PlanJob& job, const PlanNode& node) {
+  if (node.spot && !job.allows_spot) return false;
+  if (job.zone.valid() && node.zone != job.zone) return false;
   if (!job.machine_types.empty() &&
-      std::find(job.machine_types.begin(), job.machine_types.end(), host.machine_type) == job.machine_types.end())
+      std::find(job.machine_types.begin(), job.machine_types.end(), node.machine_type) == job.machine_types.end())
     return false;
-  if (std::find(job.avoided_nodes.begin(), job.avoided_nodes.end(), host.host) != job.avoided_nodes.end()) return false;
-  if (borrows(job, host) && !job.demand.fits(host.lent)) return false;
-  return job.demand.fits(host.capacity);
+  if (std::find(job.avoided_nodes.begin(), job.avoided_nodes.end(), node.node) != job.avoided_nodes.end()) return false;
+  if (borrows(job, node) && !job.demand.fits(node.lent)) return false;
+  return job.demand.fits(node.capacity);
 }
 
 namespace {
@@ -132,10 +132,10 @@
 class Planner {
  public:
   explicit Planner(const PlanInput& input) : in_(input), teams_(input.teams), held_(input.teams.size()) {
-    pull_seconds_.resize(in_.hosts.size());
-    profiles_.reserve(in_.hosts.size());
-    lent_.reserve(in_.hosts.size());
-    for (const auto& h : in_.hosts) {
+    pull_seconds_.resize(in_.nodes.size());
+    profiles_.reserve(in_.nodes.size());
+    lent_.reserve(in_.nodes.size());
+    for (const auto& h : in_.nodes) {
       profiles_.emplace_back(h, in_.now, in_.overrun_s);
       lent_.push_back(h.lent);
     }
@@ -161,7 +161,7 @@
   // Of the job that is being placed: seconds until host `h` has its image. Computed once for each host.
   double pull(const PlanJob& job, std::size_t h) {
     double& seconds = pull_seconds_[h];
-    if (seconds == kNotComputed) seconds = pull_on(job, in_.hosts[h]);
+    if (seconds == kNotComputed) seconds = image_pull_time(job, in_.nodes[h]);
     return seconds;
   }
   double duration(const PlanJob& job, std::size_t h) {
@@ -171,17 +171,17 @@
   // Units that the team's limit lets start now, and units that it lets hold a later slot. What is only held does not
   // count against starts: a long queue of one job must not keep the team's next one from starting.
   [[nodiscard]] std::uint32_t startable(const PlanJob& job) const {
-    return job.team.valid() ? whole_units(job.demand, teams_[job.team.v].remaining) : UINT32_MAX;
+    return job.team.valid() ? whole_units(job.demand, teams_[job.team.value].remaining) : UINT32_MAX;
   }
   [[nodiscard]] std::uint32_t holdable(const PlanJob& job) const {
-    return job.team.valid() ? whole_units(job.demand, teams_[job.team.v].remaining - held_[job.team.v]) : UINT32_MAX;
+    return job.team.valid() ? whole_units(job.demand, teams_[job.team.value].remaining - held_[job.team.value]) : UINT32_MAX;
   }
   void charge(const PlanJob& job, std::uint32_t units, bool now) {
     if (!job.team.valid()) return;
     if (now) {
-      teams_[job.team.v].remaining -= job.demand * units;
+      teams_[job.team.value].remaining -= job.demand * units;
     } else {
-      held_[job.team.v] += job.demand * units;
+      held_[job.team.value] += job.demand * units;
     }
   }
   static std::uint32_t& at(std::vector<std::uint32_t>& counts, std::size_t i) {
@@ -191,28 +191,28 @@
 
   // Lower is better among slots at the same time.
   double cost(PlanJob& job, std::size_t h) {
-    const PlanHost& host = in_.hosts[h];
+    const PlanNode& node = in_.nodes[h];
     double c = pull(job, h);
     // Machines with accelerators are left to the work that needs them while there is room elsewhere.
-    if (job.demand.accelerators == 0 && host.capacity.accelerators > 0) c += 1000;
+    if (job.demand.accelerators == 0 && node.capacity.accelerators > 0) c += 1000;
     // Spot machines take what may run there, and leave the others to the work that may not.
-    if (job.loaners && host.loaner) c -= 2;
+    if (job.allows_spot && node.spot) c -= 2;
     if (job.service) {
       // Replicas of one job in different places, so that a lost machine or zone takes few of them.
-      c += 4.0 * at(job.tasks_by_node, h) + 2.0 * at(job.tasks_by_zone, host.zone.v);
+      c += 4.0 * at(job.tasks_by_node, h) + 2.0 * at(job.tasks_by_zone, node.zone.value);
     }
     // Among equals the fuller machine, so that whole machines stay free.
     const auto& free = profiles_[h].steps().front().free;
-    return c + (host.capacity.cores > 0 ? free.cores / host.capacity.cores : 0);
+    return c + (node.capacity.cores > 0 ? free.cores / node.capacity.cores : 0);
   }
 
   void record(PlanJob& job, std::size_t h, std::uint32_t units, double t) {
-    const PlanHost& host = in_.hosts[h];
+    const PlanNode& node = in_.nodes[h];
     profiles_[h].take(job.demand * units, t, duration(job, h));
-    if (borrows(job, host)) lent_[h] -= job.demand * units;
-    at(job.tasks_by_zone, host.zone.v) += units;
+    if (borrows(job, node)) lent_[h] -= job.demand * units;
+    at(job.tasks_by_zone, node.zone.value) += units;
     at(job.tasks_by_node, h) += units;
-    (t <= in_.now ? plan_.starts : plan_.reservations).push_back({job.job, host.host, units, t, pull(job, h)});
+    (t <= in_.now ? plan_.starts : plan_.reservations).push_back({job.job, node.node, units, t, pull(job, h)});
   }
 
   void place_units(PlanJob& job) {
@@ -236,26 +236,26 @@
       const double t = profiles_[h].earliest(job.demand, duration(job, h), from);
       if (t < kForever) queue.push({t, job.service ? t + pull(job, h) : t, cost(job, h), h});
     };
-    for (std::size_t h = 0; h < in_.hosts.size(); ++h)
-      if (may_run_on(job, in_.hosts[h]) && lends(job, h)) offer(h, in_.now);
+    for (std::size_t h = 0; h < in_.nodes.size(); ++h)
+      if (may_run_on(job, in_.nodes[h]) && lends(job, h)) offer(h, in_.now);
     Plan::Unserved unserved{job.job, 0, 0};
     while (left > 0 && !queue.empty()) {
       const Candidate c = queue.top();
       queue.pop();
-      const PlanHost& host = in_.hosts[c.h];
+      const PlanNode& node = in_.nodes[c.h];
       // What was true when it was offered may be no more: zones fill up, replicas were put there.
       const double again = job.service ? cost(job, c.h) : c.cost;
       if (again > c.cost + 1e-9) {
         queue.push({c.t, c.serves, again, c.h});
         continue;
       }
-      const std::uint32_t used = at(job.tasks_by_zone, host.zone.v);
+      const std::uint32_t used = at(job.tasks_by_zone, node.zone.value);
       if (used >= job.max_tasks_per_zone || !lends(job, c.h)) continue;
-      if (job.one_zone && elsewhere(job.tasks_by_zone, host.zone)) continue;
+      if (job.single_zone && elsewhere(job.tasks_by_zone, node.zone)) continue;
       std::uint32_t n = std::min(left, job.max_tasks_per_zone - used);
       n = std::min(n, profiles_[c.h].fits(job.demand, c.t, duration(job, c.h)));
       if (job.service) n = std::min(n, 1u);
-      if (borrows(job, host)) n = std::min(n, whole_units(job.demand, lent_[c.h]));
+      if (borrows(job, node)) n = std::min(n, whole_units(job.demand, lent_[c.h]));
       const bool now = c.t <= in_.now;
       n = std::min(n, now ? startable(job) : holdable(job));
       if (n == 0) continue;
@@ -277,30 +277,30 @@
   void place_gang(PlanJob& job) {
     if (startable(job) < job.units) return;
     std::vector<std::size_t> all;
-    for (std::size_t h = 0; h < in_.hosts.size(); ++h)
-      if (may_run_on(job, in_.hosts[h])) all.push_back(h);
+    for (std::size_t h = 0; h < in_.nodes.size(); ++h)
+      if (may_run_on(job, in_.nodes[h])) all.push_back(h);
     std::vector<std::vector<std::size_t>> sets;
-    if (job.one_zone) {
+    if (job.single_zone) {
       std::size_t zones = 0;
-      for (auto h : all) zones = std::max<std::size_t>(zones, in_.hosts[h].zone.v + 1);
+      for (auto h : all) zones = std::max<std::size_t>(zones, in_.nodes[h].zone.value + 1);
       sets.resize(zones);
       for (auto h : all)
-        if (!elsewhere(job.tasks_by_zone, in_.hosts[h].zone)) sets[in_.hosts[h].zone.v].push_back(h);
+        if (!elsewhere(job.tasks_by_zone, in_.nodes[h].zone)) sets[in_.nodes[h].zone.value].push_back(h);
     } else {
       sets.push_back(all);
     }
     // A gang runs when the last of its machines has the image: of its slots the one where it runs first is taken.
     double best = kForever, best_runs = kForever;
     std::vector<std::pair<std::size_t, std::uint32_t>> chosen;
-    for (const auto& hosts : sets) {
+    for (const auto& nodes : sets) {
       double longest = 0;
-      for (auto h : hosts) longest = std::max(longest, duration(job, h));
+      for (auto h : nodes) longest = std::max(longest, duration(job, h));
       // Before all of its units have a machine that takes one at all, a gang need not be tried.
       std::vector<std::pair<double, std::uint32_t>> first;
-      for (auto h : hosts) {
+      for (auto h : nodes) {
         ++plan_.examined_nodes;
         const double t = profiles_[h].earliest(job.demand, longest, in_.now);
-        if (t < kForever) first.emplace_back(t, whole_units(job.demand, in_.hosts[h].capacity));
+        if (t < kForever) first.emplace_back(t, whole_units(job.demand, in_.nodes[h].capacity));
       }
       std::sort(first.begin(), first.end());
       double from = kForever;
@@ -313,10 +313,10 @@
       }
       if (from >= best_runs || (from > in_.now && holds_full())) continue;
       std::vector<std::pair<double, std::size_t>> ordered;
-      for (auto h : hosts) ordered.emplace_back(cost(job, h), h);
+      for (auto h : nodes) ordered.emplace_back(cost(job, h), h);
       std::sort(ordered.begin(), ordered.end());
       // Times at which room comes free, earliest first: mostly only the first few are looked at.
-      std::priority_queue<double, std::vector<double>, std::greater<>> times(std::greater<>(), later_steps(hosts, from));
+      std::priority_queue<double, std::vector<double>, std::greater<>> times(std::greater<>(), later_steps(nodes, from));
       std::size_t tries = 0;
       bool fitted = false;
       for (double t = from; t < kForever; t = next_after(times, t)) {
@@ -340,9 +340,9 @@
   }
 
   // Starts of the profiles' steps behind `from`, in no order.
-  std::vector<double> later_steps(const std::vector<std::size_t>& hosts, double from) const {
+  std::vector<double> later_steps(const std::vector<std::size_t>& nodes, double from) const {
     std::vector<double> out;
-    for (auto h : hosts)
+    for (auto h : nodes)
       for (const auto& step : profiles_[h].steps())
         if (step.at > from) out.push_back(step.at);
     return out;
@@ -360,7 +360,7 @@
     auto zones = job.tasks_by_zone;
     std::uint32_t left = job.units;
     for (auto [c, h] : ordered) {
-      auto& used = at(zones, in_.hosts[h].zone.v);
+      auto& used = at(zones, in_.nodes[h].zone.value);
       if (used >= job.max_tasks_per_zone) continue;
       ++plan_.examined_nodes;
       const auto n = std::min({left, profiles_[h].fits(job.demand, t, longest), job.max_tasks_per_zone - used});
@@ -377,37 +377,37 @@
   // either: room that is free now only shrinks within a pass. Bursts of hundreds of single tasks, each looked for on
   // each machine, took most of the planning (lienzo ops).
   struct Kin {
-    std::vector<KindIdx> kinds;
-    ZoneIdx yard;
-    bool loaners;
+    std::vector<MachineTypeIndex> kinds;
+    ZoneIndex zone;
+    bool allows_spot;
     auto operator<=>(const Kin&) const = default;
   };
   static bool plain(const PlanJob& job) {
-    return !job.service && job.avoided_nodes.empty() && job.max_tasks_per_zone == UINT32_MAX && !job.one_zone &&
+    return !job.service && job.avoided_nodes.empty() && job.max_tasks_per_zone == UINT32_MAX && !job.single_zone &&
            job.demand.accelerators == 0;
   }
   bool hopeless(const PlanJob& job) const {
     if (!plain(job)) return false;
-    const auto it = hopeless_.find({job.machine_types, job.yard, job.loaners});
+    const auto it = hopeless_.find({job.machine_types, job.zone, job.allows_spot});
     if (it == hopeless_.end()) return false;
     return std::any_of(it->second.begin(), it->second.end(),
                        [&](const Resources& r) { return job.demand.cores >= r.cores && job.demand.ram_gb >= r.ram_gb; });
   }
   void note_hopeless(const PlanJob& job) {
     if (!plain(job) || startable(job) == 0) return;
-    auto& needs = hopeless_[{job.machine_types, job.yard, job.loaners}];
+    auto& needs = hopeless_[{job.machine_types, job.zone, job.allows_spot}];
     std::erase_if(needs, [&](const Resources& r) { return r.cores >= job.demand.cores && r.ram_gb >= job.demand.ram_gb; });
     needs.push_back(job.demand);
   }
 
-  [[nodiscard]] bool holds_full() const { return plan_.reservations.size() >= in_.most_holds; }
-  [[nodiscard]] bool lends(const PlanJob& job, std::size_t h) const { return !borrows(job, in_.hosts[h]) || job.demand.fits(lent_[h]); }
+  [[nodiscard]] bool holds_full() const { return plan_.reservations.size() >= in_.max_reservations; }
+  [[nodiscard]] bool lends(const PlanJob& job, std::size_t h) const { return !borrows(job, in_.nodes[h]) || job.demand.fits(lent_[h]); }
 
   const PlanInput& in_;
   std::vector<Profile> profiles_;
   std::vector<Resources> lent_;
   std::vector<double> pull_seconds_;  // by host, of the job that is being placed
-  std::vector<TeamRoom> teams_;
+  std::vector<TeamHeadroom> teams_;
   std::vector<Resources> held_;
   std::map<Kin, std::vector<Resources>> hopeless_;
   Plan plan_;
@@ -419,4 +419,4 @@
   return Planner(input).run();
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -3,25 +3,26 @@
 #include <set>
 #include <vector>
 
-#include "bookkeeping/book.hpp"
-#include "planning/planner.hpp"
+#include "cluster_state/cluster_state.hpp"
+#include "model/identifiers.hpp"
+#include "scheduling/planner.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 struct Victim {
-  PieceRef ref;
-  double wind_down_s = 0;
+  TaskRef ref;
+  double grace_period_s = 0;
 };
 
 struct PreemptionInput {
-  const Book& book;
-  const PlanInput& plan_input;
+  const ClusterState& cluster_state;
+  const PlanInput& make_plan_input;
   const Plan& plan;
-  const std::set<JobIdx>& within_guarantee;
+  const std::set<JobIndex>& within_guarantee;
   double wall = 0;
-  double turnover = 0;                     // cores that come free in a second by themselves, lately, on machines without accelerators
-  std::set<std::string> starts_count;      // job classes with an aim for their wait
-  const std::set<JobIdx>& protected_jobs;  // run by the floor: not stopped for rank alone
+  double release_rate = 0;                   // cores that come free in a second by themselves, lately, on machines without accelerators
+  std::set<std::string> starts_count;        // job classes with an aim for their wait
+  const std::set<JobIndex>& protected_jobs;  // run by the floor: not stopped for rank alone
 };
 
 // Never of equal or higher rank, except work that another team runs beyond its guarantee, of no higher rank, for
@@ -32,4 +33,4 @@
 };
 PreemptionPlan choose_victims(const PreemptionInput& in);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/coordination/start_watch.hpp
+++ b/src/scheduling/start_stall_detector.hpp
@@ -2,9 +2,9 @@
 // seconds.
 #pragma once
 
-namespace thistle {
+namespace thistlefront {
 
-class StartWatch {
+class StartStallDetector {
  public:
   void record_planned(double now) {
     if (since_ == 0) since_ = now;
@@ -24,4 +24,4 @@
   bool told_ = false;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/floor.cpp
+++ b/src/scheduling/starvation_guard.cpp
@@ -1,21 +1,23 @@
-#include "planning/floor.hpp"
+#include "scheduling/starvation_guard.hpp"
 
 #include <algorithm>
 
-namespace thistle {
+#include "model/identifiers.hpp"
+
+namespace thistlefront {
 
 namespace {
 constexpr double kShare = 0.05;    // of the cores that come free
 constexpr double kSavings = 20.0;  // seconds' worth of it at most
 }  // namespace
 
-void Floor::accrue(double rate, double now) {
+void StarvationGuard::accrue(double rate, double now) {
   const double since = at_ < 0 ? 0 : std::min(now - at_, kSavings);
   at_ = now;
   balance_ = std::min(balance_ + kShare * rate * since, std::max(kShare * rate * kSavings, balance_));
 }
 
-std::vector<Floor::Promotion> Floor::promote(std::vector<StarvingJob> starving) const {
+std::vector<StarvationGuard::Promotion> StarvationGuard::promote(std::vector<StarvingJob> starving) const {
   std::stable_sort(starving.begin(), starving.end(), [](const StarvingJob& a, const StarvingJob& b) { return a.waited_s > b.waited_s; });
   std::vector<Promotion> out;
   double left = balance_;
@@ -30,13 +32,13 @@
   return out;
 }
 
-void Floor::charge(JobIdx job, double cores) {
+void StarvationGuard::charge(JobIndex job, double cores) {
   balance_ -= cores;
   protected_jobs_.insert(job);
 }
 
-void Floor::prune_protected(const Book& book) {
-  std::erase_if(protected_jobs_, [&](JobIdx j) { return book.job(j).ended() || book.job(j).placed.empty(); });
+void StarvationGuard::prune_protected(const ClusterState& cluster_state) {
+  std::erase_if(protected_jobs_, [&](JobIndex j) { return cluster_state.job(j).ended() || cluster_state.job(j).placed.empty(); });
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/planning/floor.hpp
+++ b/src/scheduling/starvation_guard.hpp
@@ -8,15 +8,16 @@
 #include <set>
 #include <vector>
 
-#include "bookkeeping/book.hpp"
+#include "cluster_state/cluster_state.hpp"
+#include "model/identifiers.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class Floor {
+class StarvationGuard {
  public:
   struct StarvingJob {
     std::size_t position = 0;  // the caller's position of it
-    JobIdx job;
+    JobIndex job;
     double waited_s = 0;
     double unit_cores = 0;
     std::uint32_t units = 0;
@@ -32,17 +33,17 @@
   // unit is never too large: what it takes beyond is owed, and earned before the next one.
   [[nodiscard]] std::vector<Promotion> promote(std::vector<StarvingJob> starving) const;
   // Units of a raised job were started.
-  void charge(JobIdx job, double cores);
+  void charge(JobIndex job, double cores);
   // Jobs that run by it are spared while anything of them runs; the others are forgotten.
-  void prune_protected(const Book& book);
-  [[nodiscard]] const std::set<JobIdx>& protected_jobs() const { return protected_jobs_; }
+  void prune_protected(const ClusterState& cluster_state);
+  [[nodiscard]] const std::set<JobIndex>& protected_jobs() const { return protected_jobs_; }
 
  private:
   double balance_ = 0, at_ = -1;  // cores
-  std::set<JobIdx> protected_jobs_;
+  std::set<JobIndex> protected_jobs_;
 };
 
 // So long a job of which nothing runs has waited when the floor is for it: seconds.
 inline constexpr double kStarvesAfter = 60.0;
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/acceptor.cpp
+++ b/src/transport/acceptor.cpp
@@ -9,7 +9,7 @@
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr std::size_t kClosing = 16;  // connections beyond the bound that may be closing at a time
@@ -134,4 +134,4 @@
   }
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/acceptor.hpp
+++ b/src/transport/acceptor.hpp
@@ -14,7 +14,7 @@
 
 #include "transport/socket.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 class Acceptor {
  public:
@@ -23,22 +23,24 @@
    public:
     explicit Connection(Socket socket) : stream(std::move(socket)) {}
     void touch();
-    void dear(bool is) { dear_.store(is, std::memory_order_relaxed); }
+    void evict_last(bool is) { evict_last_.store(is, std::memory_order_relaxed); }
     Stream stream;
 
    private:
     friend class Acceptor;
     // Which connection goes first when there are too many: the smallest.
     struct Standing {
-      bool dear = false;
+      bool evict_last = false;
       double active = 0;  // steady seconds
       auto operator<=>(const Standing&) const = default;
     };
-    [[nodiscard]] Standing standing() const { return {dear_.load(std::memory_order_relaxed), active_.load(std::memory_order_relaxed)}; }
+    [[nodiscard]] Standing standing() const {
+      return {evict_last_.load(std::memory_order_relaxed), active_.load(std::memory_order_relaxed)};
+    }
     Standing filed_under_;  // where it stands in by_standing_; used by the accept loop alone
     std::list<std::unique_ptr<Connection>>::iterator place_;
     std::atomic<double> active_{0};
-    std::atomic<bool> dear_{false};
+    std::atomic<bool> evict_last_{false};
     std::stop_source stop_;
     // The last thing that its thread touches. The thread is detached, and is never waited for: a join in the accept loop did
     // not return once in a while though the thread was gone, and nothing was accepted any more by a controller that led on
@@ -77,4 +79,4 @@
   std::jthread thread_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -4,7 +4,7 @@
 
 #include <chrono>
 
-namespace thistle {
+namespace thistlefront {
 
 inline double steady_now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -20,4 +20,4 @@
   return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * 1e-9;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/kept_lines.cpp
+++ b/src/transport/connection_pool.cpp
@@ -1,8 +1,8 @@
-#include "transport/kept_lines.hpp"
+#include "transport/connection_pool.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-std::unique_ptr<HttpClient> KeptLines::acquire(const std::string& address) {
+std::unique_ptr<HttpClient> ConnectionPool::acquire(const std::string& address) {
   const auto it = by_address_.find(address);
   if (it == by_address_.end()) return std::make_unique<HttpClient>(address);
   auto client = std::move(it->second->client);
@@ -11,7 +11,7 @@
   return client;
 }
 
-void KeptLines::release(const std::string& address, std::unique_ptr<HttpClient> client) {
+void ConnectionPool::release(const std::string& address, std::unique_ptr<HttpClient> client) {
   if (!client->connected() || by_address_.contains(address)) return;
   entries_.push_back({address, std::move(client)});
   by_address_.emplace(address, std::prev(entries_.end()));
@@ -20,9 +20,9 @@
   entries_.pop_front();
 }
 
-void KeptLines::clear() {
+void ConnectionPool::clear() {
   by_address_.clear();
   entries_.clear();
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/kept_lines.hpp
+++ b/src/transport/connection_pool.hpp
@@ -8,11 +8,11 @@
 
 #include "transport/http.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-class KeptLines {
+class ConnectionPool {
  public:
-  explicit KeptLines(std::size_t most) : most_(most) {}
+  explicit ConnectionPool(std::size_t most) : most_(most) {}
   // The kept one, or a new one that is not connected yet.
   std::unique_ptr<HttpClient> acquire(const std::string& address);
   void release(const std::string& address, std::unique_ptr<HttpClient> client);
@@ -29,4 +29,4 @@
   std::unordered_map<std::string, std::list<Entry>::iterator> by_address_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/frames.cpp
+++ b/src/transport/frames.cpp
@@ -5,7 +5,7 @@
 
 #include "transport/clock.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 constexpr double kConnectTimeout = 0.5;  // between controllers; a silent one refuses nothing
@@ -126,4 +126,4 @@
   freed_.notify_all();
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/frames.hpp
+++ b/src/transport/frames.hpp
@@ -15,7 +15,7 @@
 
 #include "transport/acceptor.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 struct Frame {
   std::uint8_t kind = 0;
@@ -120,4 +120,4 @@
   std::uint64_t interrupts_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -5,7 +5,7 @@
 
 #include "transport/clock.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -47,7 +47,7 @@
       const auto method = request.method_string();
       const auto target = request.target();
       reply = handler_({{method.data(), method.size()}, {target.data(), target.size()}, request.body(), session});
-      connection.dear(reply.dear);
+      connection.evict_last(reply.evict_last);
     }
     http::response<http::string_body> response(static_cast<http::status>(reply.status), 11);
     response.set(http::field::content_type, beast::string_view(reply.type.data(), reply.type.size()));
@@ -122,4 +122,4 @@
   return {Delivery::in_doubt, 0, {}};
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -11,7 +11,7 @@
 
 #include "transport/acceptor.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 struct HttpCall {
   std::string_view method;
@@ -29,7 +29,7 @@
   // Steady seconds until when it may be given: looked at just before it is sent, for the process may have stood still
   // since it was made. Later it is a 503.
   double valid_until = std::numeric_limits<double>::infinity();
-  bool dear = false;  // of a connection that goes last where there are too many
+  bool evict_last = false;  // of a connection that goes last where there are too many
 };
 
 class HttpServer {
@@ -81,4 +81,4 @@
   std::unique_ptr<Stream> stream_;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -15,7 +15,7 @@
 
 #include "transport/clock.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
 namespace {
 
@@ -191,4 +191,4 @@
   return true;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -13,7 +13,7 @@
 #include <optional>
 #include <string>
 
-namespace thistle {
+namespace thistlefront {
 
 using ErrorCode = boost::system::error_code;
 
@@ -124,4 +124,4 @@
   Late* late_ = nullptr;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/threads.cpp
+++ b/src/transport/threads.cpp
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <thread>
 
-namespace thistle {
+namespace thistlefront {
 
 void configure_process_memory() {
   mallopt(M_ARENA_MAX, 1);
@@ -51,4 +51,4 @@
   left->none.wait(lock, [&] { return left->count == 0; });
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/transport/threads.hpp
+++ b/src/transport/threads.hpp
@@ -7,7 +7,7 @@
 #include <stop_token>
 #include <vector>
 
-namespace thistle {
+namespace thistlefront {
 
 // Small default stacks and one malloc arena: a connection costs a thread, so its memory is kept low.
 void configure_process_memory();
@@ -25,4 +25,4 @@
 // here. The work is waited for, and not the threads: see Acceptor::Connection.
 void run_at_once(const std::vector<std::function<void()>>& work);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/fleet/due_workers.cpp
+++ b/src/worker_control/command_queue.cpp
@@ -1,15 +1,15 @@
-#include "fleet/due_workers.hpp"
+#include "worker_control/command_queue.hpp"
 
 #include <utility>
 
-namespace thistle {
+namespace thistlefront {
 
-void DueWorkers::queue(HostIdx h, Worker& w) {
+void CommandQueue::queue(NodeIndex h, Worker& w) {
   w.queued = true;
   (w.slow ? slow_ : prompt_).push_back(h);
 }
 
-void DueWorkers::enqueue(HostIdx h, bool greet, double now) {
+void CommandQueue::enqueue(NodeIndex h, bool greet, double now) {
   Worker& w = workers_[h];
   w.announce = w.announce || greet;
   if (w.being_served) {
@@ -19,10 +19,10 @@
   }
 }
 
-std::optional<DueWorkers::Item> DueWorkers::dequeue() {
+std::optional<CommandQueue::Item> CommandQueue::dequeue() {
   if (!has_ready()) return std::nullopt;
   auto& from = prompt_.empty() ? slow_ : prompt_;
-  const HostIdx h = from.front();
+  const NodeIndex h = from.front();
   from.pop_front();
   Worker& w = workers_[h];
   w.queued = false;
@@ -32,20 +32,20 @@
   return Item{h, std::exchange(w.announce, false)};
 }
 
-void DueWorkers::end(HostIdx h, Worker& w) {
+void CommandQueue::end(NodeIndex h, Worker& w) {
   slow_now_ -= std::exchange(w.counted_as_slow, false);
   w.being_served = false;
   if (std::exchange(w.again, false) && !w.slow) queue(h, w);
 }
 
-void DueWorkers::complete(HostIdx h) {
+void CommandQueue::complete(NodeIndex h) {
   const auto it = workers_.find(h);
   if (it == workers_.end()) return;
   it->second.slow = false;
   end(h, it->second);
 }
 
-void DueWorkers::back_off(HostIdx h, double until) {
+void CommandQueue::back_off(NodeIndex h, double until) {
   const auto it = workers_.find(h);
   if (it == workers_.end()) return;
   it->second.slow = true;
@@ -53,11 +53,11 @@
   end(h, it->second);
 }
 
-void DueWorkers::clear() {
+void CommandQueue::clear() {
   prompt_.clear();
   slow_.clear();
   workers_.clear();
   slow_now_ = 0;
 }
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/src/fleet/silence.hpp
+++ b/src/worker_control/failure_detector.hpp
@@ -2,13 +2,13 @@
 #pragma once
 #include <vector>
 
-#include "protocol/types.hpp"
+#include "model/identifiers.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-struct HeardOf {
-  HostIdx host;
-  ZoneIdx zone;
+struct NodeSilence {
+  NodeIndex node;
+  ZoneIndex zone;
   double silence_s = 0;        // since it was last heard of, by whatever way
   bool runs_services = false;  // replicas are placed there
   bool runs_tasks = false;     // any task is
@@ -17,6 +17,6 @@
 // Those worth asking whether they are alive. A cut silences a whole zone within a report period, a loss of
 // machines leaves the others of the zone as they were: so each zone is judged by those of its machines that
 // report still.
-std::vector<HostIdx> doubtful(const std::vector<HeardOf>& machines, double report_s);
+std::vector<NodeIndex> suspect_nodes(const std::vector<NodeSilence>& machines, double heartbeat_interval_s);
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/rig/checker.cpp
+++ b/testbed/checker.cpp
@@ -1,8 +1,8 @@
-#include "rig/checker.hpp"
+#include "testbed/checker.hpp"
 
 #include <algorithm>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 namespace {
 constexpr double kForgottenAfter = 75.0;  // every poll for it fails, while others are answered or all troubles are over
@@ -18,7 +18,7 @@
   limits_[team] = cores;
 }
 
-void Checker::submitted(const JobSpec& job, double now) {
+void Checker::submitted(const SubmittedJob& job, double now) {
   std::lock_guard lock(mutex_);
   if (began_ == 0) began_ = now;
   jobs_[job.uid].spec = job;
@@ -66,7 +66,7 @@
     if (above > 0 && sent > above + cancel_s_) broke("orphaned", uid + " is " + status, now);
   }
   if (status == "aborted" && !withdrawal_wanted_above(uid)) broke("went_back", uid + " is aborted, and nobody asked for it", now);
-  if (status == "done" && job.done.size() < job.spec.pieces) broke("not_done", uid, now);
+  if (status == "done" && job.done.size() < job.spec.task_count) broke("not_done", uid, now);
   if (status == "aborted" && (job.cancelled_at == 0 || now < job.cancelled_at)) job.cancelled_at = now;
 }
 
@@ -88,9 +88,9 @@
   const auto name = uid + "/" + std::to_string(task);
   if (std::any_of(on.begin(), on.end(), [&](const auto& m) { return m != machine; }))
     broke("ran_twice", name + " on " + machine + " and on " + *on.begin(), now);
-  for (const auto& need : job.spec.waits_on)
-    if (const auto& of = jobs_.at(need); of.done.size() < of.spec.pieces) broke("too_early", name + " before " + need, now);
-  if (!job.spec.yard.empty() && job.spec.yard != zone) broke("wrong_place", name + " in " + zone, now);
+  for (const auto& need : job.spec.depends_on)
+    if (const auto& of = jobs_.at(need); of.done.size() < of.spec.task_count) broke("too_early", name + " before " + need, now);
+  if (!job.spec.zone.empty() && job.spec.zone != zone) broke("wrong_place", name + " in " + zone, now);
   if (job.cancelled_at > 0 && now > job.cancelled_at + cancel_s_) broke("ran_cancelled", name + " starts", now);
   on.insert(machine);
   auto& used = used_[job.spec.owner];
@@ -129,7 +129,7 @@
   const auto it = jobs_.find(uid);
   if (it == jobs_.end()) return 0;
   double first = it->second.withdrawal_wanted ? it->second.cancelled_at : 0;
-  for (const auto& need : it->second.spec.waits_on) {
+  for (const auto& need : it->second.spec.depends_on) {
     const double above = cancelled_above(need);
     if (above > 0 && (first == 0 || above < first)) first = above;
   }
@@ -139,17 +139,17 @@
 bool Checker::withdrawal_wanted_above(const std::string& uid) const {
   const auto it = jobs_.find(uid);
   if (it == jobs_.end()) return false;
-  const auto& needs = it->second.spec.waits_on;
+  const auto& needs = it->second.spec.depends_on;
   return it->second.withdrawal_wanted || std::any_of(needs.begin(), needs.end(), [&](const auto& n) { return withdrawal_wanted_above(n); });
 }
 
-Checker::Pipelines Checker::pipelines() const {
+Checker::DependentJobs Checker::dependent_jobs() const {
   std::lock_guard lock(mutex_);
-  Pipelines out;
+  DependentJobs out;
   for (const auto& [uid, job] : jobs_) {
-    if (job.spec.waits_on.empty() || !job.accepted) continue;
+    if (job.spec.depends_on.empty() || !job.accepted) continue;
     ++out.accepted;
-    out.mark_done += job.done.size() == job.spec.pieces;
+    out.mark_done += job.done.size() == job.spec.task_count;
     out.mark_cancelled += job.last == "aborted";
     if (out.first_accepted == 0 || job.accepted_at < out.first_accepted) out.first_accepted = job.accepted_at;
   }
@@ -160,7 +160,7 @@
   std::lock_guard lock(mutex_);
   std::vector<std::string> of;
   for (const auto& [uid, job] : jobs_)
-    if (job.accepted && job.spec.shape != "service" && (job.last != "aborted" || random % 16 == 0)) of.push_back(uid);
+    if (job.accepted && job.spec.job_type != "service" && (job.last != "aborted" || random % 16 == 0)) of.push_back(uid);
   std::vector<std::string> out;
   for (std::size_t k = 0; k < most && !of.empty(); ++k) {
     random = random * 6364136223846793005ull + 1442695040888963407ull;
@@ -205,10 +205,10 @@
   return it == jobs_.end() ? 0 : it->second.done.size();
 }
 
-std::optional<JobSpec> Checker::spec_of(const std::string& uid) const {
+std::optional<SubmittedJob> Checker::spec_of(const std::string& uid) const {
   std::lock_guard lock(mutex_);
   const auto it = jobs_.find(uid);
   return it == jobs_.end() ? std::nullopt : std::optional(it->second.spec);
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/checker.hpp
+++ b/testbed/checker.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
-struct JobSpec {
-  std::string uid, owner, shape, yard;  // yard: empty: any
-  std::uint32_t pieces = 1;
+struct SubmittedJob {
+  std::string uid, owner, job_type, zone;  // yard: empty: any
+  std::uint32_t task_count = 1;
   double cores = 1, run_s = 1;
-  std::vector<std::string> waits_on = {};
+  std::vector<std::string> depends_on = {};
 };
 
 class Checker {
@@ -24,7 +24,7 @@
 
   // What a team may use from now on; while controllers' settings differ, the highest of them.
   void limit(const std::string& team, double cores);
-  void submitted(const JobSpec& job, double now);
+  void submitted(const SubmittedJob& job, double now);
   // What a user was told of a job: status as in the protocol, or "unknown" for 404, "refused" for 400 and
   // 422. It was asked at `sent`, and the answer came at `now`: one that was asked after any answer had come is no older than
   // that, whichever controllers were asked and in whatever order these calls are made.
@@ -47,18 +47,18 @@
   [[nodiscard]] double longest_without_acceptance(double from, double until) const;
   [[nodiscard]] std::size_t tasks_done() const;
   [[nodiscard]] std::size_t ended_tasks(const std::string& uid) const;  // that were done, known to its users or not
-  struct Pipelines {
+  struct DependentJobs {
     double first_accepted = 0;                                    // steady seconds; 0: none
     std::size_t accepted = 0, mark_done = 0, mark_cancelled = 0;  // jobs that wait for others
   };
-  [[nodiscard]] Pipelines pipelines() const;
+  [[nodiscard]] DependentJobs dependent_jobs() const;
   // Some jobs that may be waited for: accepted, and no services. `random` chooses.
   [[nodiscard]] std::vector<std::string> some_accepted(std::size_t most, std::uint64_t random) const;
-  [[nodiscard]] std::optional<JobSpec> spec_of(const std::string& uid) const;
+  [[nodiscard]] std::optional<SubmittedJob> spec_of(const std::string& uid) const;
 
  private:
   struct Job {
-    JobSpec spec;
+    SubmittedJob spec;
     bool accepted = false, withdrawal_wanted = false;
     std::string last;                                                           // "done" or "aborted", once told
     double accepted_at = 0, ended_at = 0, cancelled_at = 0, failing_since = 0;  // earliest answers
@@ -80,4 +80,4 @@
   std::size_t tasks_done_ = 0;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/cluster.cpp
+++ b/testbed/cluster.cpp
@@ -1,4 +1,4 @@
-#include "rig/cluster.hpp"
+#include "testbed/cluster.hpp"
 
 #include <unistd.h>
 
@@ -9,7 +9,7 @@
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 using nlohmann::json;
 
@@ -22,14 +22,14 @@
     : checker(kLimits, Times{}.cancel),
       state(options.controllers, options.seed),
       options_(options),
-      directory_((std::filesystem::temp_directory_path() / ("thistlefront-rig-" + std::to_string(::getpid()))).string()),
-      cloud_address_(testing_::free_address()) {
+      directory_((std::filesystem::temp_directory_path() / ("thistlefront-fault-test-" + std::to_string(::getpid()))).string()),
+      cloud_address_(test_support::free_address()) {
   std::filesystem::create_directories(directory_);
   cloud_ = std::make_unique<HttpServer>(cloud_address_, 20, [this](const HttpCall& c) { return cloud(c); });
   const auto n = options.controllers;
   for (std::size_t i = 0; i < n; ++i) {
-    addresses_.push_back(testing_::free_address());
-    peers_.push_back(testing_::free_address());
+    addresses_.push_back(test_support::free_address());
+    peers_.push_back(test_support::free_address());
     configs_.push_back(directory_ + "/host-" + std::to_string(i) + ".toml");
   }
   for (std::size_t i = 0; i < n; ++i)
@@ -56,11 +56,11 @@
     if (k != i)
       out << "[[peers]]\nlabel = \"host-" << k << "\"\nsite = \"" << kZones[k % 2] << "\"\naddr = \"" << relays_.at({i, k})->address()
           << "\"\n";
-  out << "[endpoints]\ncloud = \"" << cloud_address_ << "\"\nstate = \"" << state.door(i).address << "\"\n"
+  out << "[endpoints]\ncloud = \"" << cloud_address_ << "\"\nstate = \"" << state.endpoint(i).address << "\"\n"
       << "[deployment]\ncount = " << n << "\nzones = [\"x\", \"y\"]\nskew_ms = 5\n";
   for (const auto& [team, limit] : limits)
     out << "[[deployment.teams]]\nname = \"" << team << "\"\ncpus = " << limit / 2 << "\ncpus_max = " << limit << "\n";
-  out << "[deployment.workers]\nreport_s = " << times_.report << "\nlease_s = " << times_.lease
+  out << "[deployment.workers]\nreport_s = " << times_.heartbeat << "\nlease_s = " << times_.lease
       << "\ngang_wait_s = 10\ngang_peer_s = 2\ncancel_s = " << times_.cancel
       << "\n[deployment.state]\nrps = 1000\nwrite_rps = 200\nvalue_kb = 8\ntxn_ops = 16\n"
       << "[deployment.state.next]\nvalue_kb = 2\ntxn_ops = 4\n"
@@ -94,7 +94,7 @@
 void Cluster::part(std::size_t i, bool parted, bool state_too) {
   for (auto& [way, relay] : relays_)
     if (way.first == i || way.second == i) relay->cut(parted);
-  if (state_too || !parted) state.door(i).refuses = parted;
+  if (state_too || !parted) state.endpoint(i).refuses = parted;
 }
 
 std::size_t Cluster::leader() {
@@ -119,17 +119,17 @@
                          {"yards", {"x", "y"}}}}}}
                      .dump()};
   if (call.method == "GET") {
-    json hosts = json::array();
+    json nodes = json::array();
     if (call.target.find("from=") == std::string_view::npos)
       for (const auto& w : workers)
-        hosts.push_back({{"uid", w->name()},
+        nodes.push_back({{"uid", w->name()},
                          {"address", w->address()},
                          {"hostKind", "big"},
                          {"yard", w->zone()},
                          {"loaners", false},
                          {"status", "running"},
                          {"heldS", 100}});
-    return {200, json{{"hosts", hosts}, {"truncated", false}}.dump()};
+    return {200, json{{"hosts", nodes}, {"truncated", false}}.dump()};
   }
   // Machines are neither rented nor given back: a trouble that the service has to live with.
   return {503, R"({"error":"no capacity"})"};
@@ -183,22 +183,22 @@
   while (pause_for(stop, 0.15)) {
     const auto what = random() % 10;
     if (mine.empty() || what < 3) {
-      JobSpec job;
+      SubmittedJob job;
       job.uid = "j-" + std::to_string(seed * 100000ull + ++n);
       job.owner = random() % 3 == 0 ? "blue" : "red";
-      job.shape = random() % 12 == 0 ? "service" : "batch";
-      job.pieces = 1 + random() % (job.shape == "service" ? 3 : 6);
+      job.job_type = random() % 12 == 0 ? "service" : "batch";
+      job.task_count = 1 + random() % (job.job_type == "service" ? 3 : 6);
       job.run_s = 0.5 + random() % 3;
-      if (random() % 4 == 0) job.yard = kZones[random() % 2];
+      if (random() % 4 == 0) job.zone = kZones[random() % 2];
       // Shared forerunners, of any user and team, in any state; now and then several.
-      if (pipelines && random() % 3 != 0) job.waits_on = checker.some_accepted(1 + random() % 3, random());
+      if (dependent_jobs && random() % 3 != 0) job.depends_on = checker.some_accepted(1 + random() % 3, random());
       checker.submitted(job, steady_now());
       json body{{"uid", job.uid},
-                {"jobClass", job.shape},
+                {"jobClass", job.job_type},
                 {"owner", job.owner},
-                {"shape", job.shape},
-                {"rank", job.shape == "service" ? "prod" : "standard"},
-                {"pieces", job.pieces},
+                {"shape", job.job_type},
+                {"rank", job.job_type == "service" ? "prod" : "standard"},
+                {"pieces", job.task_count},
                 {"cores", job.cores},
                 {"accelerators", 0},
                 {"ramGb", 1},
@@ -209,12 +209,12 @@
                 {"oneZone", false},
                 {"spread", false},
                 {"loaners", false},
-                {"expectedS", job.shape == "service" ? 0 : job.run_s},
+                {"expectedS", job.job_type == "service" ? 0 : job.run_s},
                 {"snapshotEveryS", 0},
                 {"snapshotS", 0},
                 {"dueS", nullptr}};
-      if (!job.yard.empty()) body["yard"] = job.yard;
-      if (!job.waits_on.empty()) body["waitsOn"] = job.waits_on;
+      if (!job.zone.empty()) body["yard"] = job.zone;
+      if (!job.depends_on.empty()) body["waitsOn"] = job.depends_on;
       HttpResult answer;
       for (int tries = 0; tries < 20 && !stop.stop_requested(); ++tries) {
         answer = ask("POST", "/v1/jobs", body.dump(), dice);
@@ -227,7 +227,7 @@
     } else if ((what == 3 && random() % 3 == 0) || mine.size() > 40) {
       const auto at = random() % mine.size();
       // Work that ends by itself is let go; services go on until they are withdrawn.
-      if (const auto spec = checker.spec_of(mine[at]); mine.size() > 40 && spec && spec->shape != "service") {
+      if (const auto spec = checker.spec_of(mine[at]); mine.size() > 40 && spec && spec->job_type != "service") {
         mine.erase(mine.begin() + static_cast<long>(at));
         continue;
       }
@@ -250,4 +250,4 @@
   }
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/cluster.hpp
+++ b/testbed/cluster.hpp
@@ -10,14 +10,14 @@
 #include <thread>
 #include <vector>
 
-#include "rig/checker.hpp"
-#include "rig/controller_process.hpp"
-#include "rig/relay.hpp"
-#include "rig/state_service.hpp"
-#include "rig/worker.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/controller_process.hpp"
+#include "testbed/fake_state_store.hpp"
+#include "testbed/network_relay.hpp"
+#include "testbed/worker.hpp"
 #include "transport/http.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 // Cores that each team may use at first.
 inline const std::map<std::string, double> kLimits{{"red", 60}, {"blue", 25}};
@@ -47,8 +47,8 @@
   void stop_users() { users_.clear(); }
 
   Checker checker;
-  testing_::StateService state;
-  std::atomic<bool> pipelines{false};  // users submit jobs that wait for others
+  test_support::FakeStateStore state;
+  std::atomic<bool> dependent_jobs{false};  // users submit jobs that wait for others
   std::list<std::unique_ptr<Worker>> workers;
 
  private:
@@ -70,4 +70,4 @@
   std::vector<std::jthread> users_;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/controller_process.cpp
+++ b/testbed/controller_process.cpp
@@ -1,4 +1,4 @@
-#include "rig/controller_process.hpp"
+#include "testbed/controller_process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -8,7 +8,7 @@
 
 #include <utility>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 ControllerProcess::ControllerProcess(ControllerProcess&& other) noexcept : pid_(std::exchange(other.pid_, 0)) {}
 
@@ -48,4 +48,4 @@
   if (pid_ > 0) ::kill(pid_, frozen ? SIGSTOP : SIGCONT);
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/controller_process.hpp
+++ b/testbed/controller_process.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 class ControllerProcess {
  public:
@@ -28,4 +28,4 @@
   pid_t pid_ = 0;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
