--- a/rig/state_service.hpp
+++ b/testbed/fake_state_store.hpp
@@ -21,7 +21,7 @@
 #include "transport/clock.hpp"
 #include "transport/http.hpp"
 
-namespace thistle::testing_ {
+namespace thistlefront::test_support {
 
 // An address on this machine that nothing listens on, on a loopback address of this process's own, below the ports that outgoing
 // connections take. On one that processes shared, another one took the address of a controller that had ended for a moment, and
@@ -42,10 +42,10 @@
   }
 }
 
-class StateService {
+class FakeStateStore {
  public:
   using json = nlohmann::json;
-  struct Door {
+  struct Endpoint {
     std::string address = free_address();
     std::atomic<bool> refuses{false};
     std::atomic<bool> frozen{false};     // requests are executed, and the answers wait until this is over
@@ -68,10 +68,11 @@
     std::unique_ptr<HttpServer> server;
   };
 
-  explicit StateService(std::size_t doors, unsigned seed) : random_(seed) {
-    for (std::size_t i = 0; i < doors; ++i) {
-      auto& door = doors_.emplace_back();
-      door.server = std::make_unique<HttpServer>(door.address, 50, [this, &door](const HttpCall& c) { return on(door, c); });
+  explicit FakeStateStore(std::size_t endpoints, unsigned seed) : random_(seed) {
+    for (std::size_t i = 0; i < endpoints; ++i) {
+      auto& endpoint = endpoints_.emplace_back();
+      endpoint.server =
+          std::make_unique<HttpServer>(endpoint.address, 50, [this, &endpoint](const HttpCall& c) { return on(endpoint, c); });
     }
     clock_ = std::jthread([this](std::stop_token stop) {
       while (!stop.stop_requested()) {
@@ -81,16 +82,16 @@
       }
     });
   }
-  ~StateService() {
+  ~FakeStateStore() {
     {
       std::lock_guard lock(mutex_);
       ending_ = true;
       changed_.notify_all();
     }
-    for (auto& d : doors_) d.server->stop();
+    for (auto& d : endpoints_) d.server->stop();
   }
 
-  Door& door(std::size_t i) { return *std::next(doors_.begin(), static_cast<long>(i)); }
+  Endpoint& endpoint(std::size_t i) { return *std::next(endpoints_.begin(), static_cast<long>(i)); }
   // Its limits from now on: a larger value, or a transaction of more changes, gets 400.
   void limit(std::size_t value_bytes, std::size_t changes) {
     std::lock_guard lock(mutex_);
@@ -100,9 +101,9 @@
   // Transactions that it refused for their size.
   std::size_t too_large() const { return too_large_; }
   // Ends a hold before its time, as an outage that swallowed its renewals would.
-  void end_holds() {
+  void expire_session_leases() {
     std::lock_guard lock(mutex_);
-    for (auto& [id, h] : holds_) h.ends = 0;
+    for (auto& [id, h] : session_leases_) h.ends = 0;
     tick();
   }
   std::string leader() {
@@ -110,10 +111,10 @@
     auto it = keys_.find(lead());
     return it == keys_.end() ? "" : it->second.value.at("label").get<std::string>();
   }
-  std::uint64_t epoch() {
+  std::uint64_t fencing_token() {
     std::lock_guard lock(mutex_);
     auto it = keys_.find(lead());
-    return it == keys_.end() ? 0 : it->second.stamp;
+    return it == keys_.end() ? 0 : it->second.mod_revision;
   }
   std::map<std::string, std::string> entries() {
     std::lock_guard lock(mutex_);
@@ -128,21 +129,21 @@
     return it == keys_.end() ? "" : it->second.value.dump();
   }
   // 0: there is no such key.
-  std::uint64_t stamp(const std::string& key) {
+  std::uint64_t mod_revision(const std::string& key) {
     std::lock_guard lock(mutex_);
     const auto it = keys_.find(key);
-    return it == keys_.end() ? 0 : it->second.stamp;
+    return it == keys_.end() ? 0 : it->second.mod_revision;
   }
   void put(const std::string& key, const std::string& value) {
     std::lock_guard lock(mutex_);
-    keys_[key] = {json::parse(value), ++rev_, 0};
-    changes_[key] = rev_;
+    keys_[key] = {json::parse(value), ++revision_, 0};
+    changes_[key] = revision_;
     changed_.notify_all();
   }
   void remove(const std::string& key) {
     std::lock_guard lock(mutex_);
     keys_.erase(key);
-    changes_[key] = ++rev_;
+    changes_[key] = ++revision_;
     changed_.notify_all();
   }
   // The key that the leader holds: another one from state level 2 on.
@@ -166,9 +167,9 @@
  private:
   struct Key {
     json value;
-    std::uint64_t stamp = 0, hold = 0;
+    std::uint64_t mod_revision = 0, session_lease = 0;
   };
-  struct Hold {
+  struct SessionLease {
     double life = 0, ends = 0;
   };
   struct Late {
@@ -178,23 +179,23 @@
 
   void set_outage(bool is) {
     if (outage_ && !is)
-      for (auto& [id, h] : holds_) h.ends = steady_now() + h.life;
+      for (auto& [id, h] : session_leases_) h.ends = steady_now() + h.life;
     outage_ = is;
-    for (auto& d : doors_) d.refuses = is;
+    for (auto& d : endpoints_) d.refuses = is;
   }
   void tick() {
     const double now = steady_now();
-    for (auto it = holds_.begin(); it != holds_.end();) {
+    for (auto it = session_leases_.begin(); it != session_leases_.end();) {
       if (outage_ || now < it->second.ends) {
         ++it;
         continue;
       }
       for (auto k = keys_.begin(); k != keys_.end();) {
-        const bool goes = k->second.hold == it->first;
-        if (goes) changes_[k->first] = ++rev_;
+        const bool goes = k->second.session_lease == it->first;
+        if (goes) changes_[k->first] = ++revision_;
         k = goes ? keys_.erase(k) : std::next(k);
       }
-      it = holds_.erase(it);
+      it = session_leases_.erase(it);
       changed_.notify_all();
     }
     for (auto it = late_.begin(); it != late_.end();) {
@@ -221,31 +222,31 @@
     for (const auto& c : txn.value("if", json::array())) {
       const auto path = c.at("path").get<std::string>();
       const auto it = keys_.find(path);
-      const auto stamp = c.at("stamp").get<std::uint64_t>();
-      if (path == lead()) conditioned = stamp;
-      if ((it == keys_.end() ? 0 : it->second.stamp) != stamp) failed.push_back(path);
+      const auto mod_revision = c.at("stamp").get<std::uint64_t>();
+      if (path == lead()) conditioned = mod_revision;
+      if ((it == keys_.end() ? 0 : it->second.mod_revision) != mod_revision) failed.push_back(path);
     }
-    if (!failed.empty()) return {409, json{{"failed", failed}, {"ledgerRev", rev_}}.dump()};
+    if (!failed.empty()) return {409, json{{"failed", failed}, {"ledgerRev", revision_}}.dump()};
     for (const auto& a : txn.value("apply", json::array()))
-      if (a.contains("hold") && !holds_.contains(a.at("hold").get<std::uint64_t>())) return {400, R"({"error":"no such lease"})"};
-    ++rev_;
+      if (a.contains("hold") && !session_leases_.contains(a.at("hold").get<std::uint64_t>())) return {400, R"({"error":"no such lease"})"};
+    ++revision_;
     for (const auto& a : txn.value("apply", json::array())) {
       if (a.contains("remove")) {
-        changes_[a.at("remove").get<std::string>()] = rev_;
+        changes_[a.at("remove").get<std::string>()] = revision_;
         keys_.erase(a.at("remove").get<std::string>());
         continue;
       }
       const auto path = a.at("set").get<std::string>();
       if (path.starts_with("ledger/")) {
         const auto it = keys_.find(lead());
-        if (it == keys_.end() || it->second.stamp != conditioned) ++unfenced_;
+        if (it == keys_.end() || it->second.mod_revision != conditioned) ++unfenced_;
       }
-      changes_[path] = rev_;
+      changes_[path] = revision_;
       if (path == lead() && !keys_.contains(path) && outage_at_takeover.exchange(false)) set_outage(true);
-      keys_[path] = {a.at("value"), rev_, a.value("hold", std::uint64_t{0})};
+      keys_[path] = {a.at("value"), revision_, a.value("hold", std::uint64_t{0})};
     }
     changed_.notify_all();
-    return {200, json{{"ledgerRev", rev_}}.dump()};
+    return {200, json{{"ledgerRev", revision_}}.dump()};
   }
 
   bool takes_lead(const json& txn) const {
@@ -267,25 +268,25 @@
     return target.substr(from, target.find('&', from) - from);
   }
 
-  HttpReply on(Door& door, const HttpCall& call) {
+  HttpReply on(Endpoint& endpoint, const HttpCall& call) {
     const std::string target(call.target);
-    if (door.slow > 0 && target == "/txn") std::this_thread::sleep_for(std::chrono::duration<double>(door.slow.load()));
+    if (endpoint.slow > 0 && target == "/txn") std::this_thread::sleep_for(std::chrono::duration<double>(endpoint.slow.load()));
     std::unique_lock lock(mutex_);
     const bool counts = !target.starts_with("/follow") && !target.ends_with("/renew");
-    if (counts && door.fuse >= 0 && --door.fuse < 0) {
-      if (door.executes) dispatch(door, lock, std::string(call.method), target, std::string(call.body));
-      door.blown = true;
-      while (door.blown && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(2));
+    if (counts && endpoint.fuse >= 0 && --endpoint.fuse < 0) {
+      if (endpoint.executes) dispatch(endpoint, lock, std::string(call.method), target, std::string(call.body));
+      endpoint.blown = true;
+      while (endpoint.blown && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(2));
       HttpReply none{503, "{}"};
       none.close = true;
       return none;
     }
-    HttpReply reply = dispatch(door, lock, std::string(call.method), target, std::string(call.body));
-    while (door.frozen && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(20));
+    HttpReply reply = dispatch(endpoint, lock, std::string(call.method), target, std::string(call.body));
+    while (endpoint.frozen && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(20));
     return reply;
   }
 
-  HttpReply dispatch(Door& door, std::unique_lock<std::mutex>& lock, const std::string& method, const std::string& target,
+  HttpReply dispatch(Endpoint& endpoint, std::unique_lock<std::mutex>& lock, const std::string& method, const std::string& target,
                      const std::string& body) {
     if (target.starts_with("/follow")) {
       const auto prefix = query(target, "prefix");
@@ -294,54 +295,55 @@
       const auto changed = [&] {
         return std::any_of(changes_.begin(), changes_.end(), [&](const auto& c) { return c.second > from && c.first.starts_with(prefix); });
       };
-      if (door.refuses && until <= steady_now()) return {503, R"({"error":"trouble"})"};
-      while (!ending_ && steady_now() < until && (door.refuses || !changed())) changed_.wait_for(lock, std::chrono::milliseconds(20));
+      if (endpoint.refuses && until <= steady_now()) return {503, R"({"error":"trouble"})"};
+      while (!ending_ && steady_now() < until && (endpoint.refuses || !changed())) changed_.wait_for(lock, std::chrono::milliseconds(20));
       json events = json::array();
-      for (const auto& [key, rev] : changes_) {
-        if (rev <= from || !key.starts_with(prefix)) continue;
+      for (const auto& [key, revision] : changes_) {
+        if (revision <= from || !key.starts_with(prefix)) continue;
         const auto at = keys_.find(key);
-        events.push_back(at == keys_.end() ? json{{"remove", key}, {"stamp", rev}}
-                                           : json{{"set", key}, {"value", at->second.value}, {"stamp", rev}});
+        events.push_back(at == keys_.end() ? json{{"remove", key}, {"stamp", revision}}
+                                           : json{{"set", key}, {"value", at->second.value}, {"stamp", revision}});
       }
-      return {200, json{{"ledgerRev", rev_}, {"events", events}}.dump()};
+      return {200, json{{"ledgerRev", revision_}, {"events", events}}.dump()};
     }
     if (target.starts_with("/store?prefix=ledger/") && outage_at_reading.exchange(false)) set_outage(true);
-    if (door.refuses) return {503, R"({"error":"trouble"})"};
+    if (endpoint.refuses) return {503, R"({"error":"trouble"})"};
     tick();
     if (target == "/txn") {
       const json txn = json::parse(body);
-      if (door.lead_overtaken && takes_lead(txn)) {
+      if (endpoint.lead_overtaken && takes_lead(txn)) {
         if (overtaken_.is_null()) {
           overtaken_ = txn;
           return lost(lock);
         }
         for (const auto& a : overtaken_.at("apply"))
-          if (const auto h = a.value("hold", std::uint64_t{0})) holds_[h] = {1.3, steady_now() + 1.3};
+          if (const auto h = a.value("hold", std::uint64_t{0})) session_leases_[h] = {1.3, steady_now() + 1.3};
         execute(std::exchange(overtaken_, json()));
-        door.lead_overtaken = false;
+        endpoint.lead_overtaken = false;
       }
-      if (chance(door.repeats)) late_.push_back({steady_now() + 1.0, txn});
-      if (chance(door.late)) {
-        late_.push_back({steady_now() + std::uniform_real_distribution<double>(1.8, std::max(1.81, door.late_most.load()))(random_), txn});
+      if (chance(endpoint.repeats)) late_.push_back({steady_now() + 1.0, txn});
+      if (chance(endpoint.late)) {
+        late_.push_back(
+            {steady_now() + std::uniform_real_distribution<double>(1.8, std::max(1.81, endpoint.late_most.load()))(random_), txn});
         return lost(lock);
       }
       auto reply = execute(txn);
-      if (const char* prefix = door.loses_next; prefix && reply.status == 200 && sets(txn, prefix)) {
-        door.loses_next = nullptr;
-        ++door.lost;
+      if (const char* prefix = endpoint.loses_next; prefix && reply.status == 200 && sets(txn, prefix)) {
+        endpoint.loses_next = nullptr;
+        ++endpoint.lost;
         return lost(lock);
       }
-      return chance(door.loses) ? lost(lock) : reply;
+      return chance(endpoint.loses) ? lost(lock) : reply;
     }
     if (target == "/holds") {
       const double life = json::parse(body).at("lifeMs").get<double>() / 1000;
-      holds_[++hold_ids_] = {life, steady_now() + life};
-      return {200, json{{"hold", hold_ids_}}.dump()};
+      session_leases_[++session_lease_ids_] = {life, steady_now() + life};
+      return {200, json{{"hold", session_lease_ids_}}.dump()};
     }
     if (target.starts_with("/holds/")) {
-      const auto it = holds_.find(std::stoull(target.substr(7)));
-      if (it == holds_.end()) return {404, "{}"};
-      if (method == "DELETE" && door.lead_overtaken) return {503, R"({"error":"trouble"})"};
+      const auto it = session_leases_.find(std::stoull(target.substr(7)));
+      if (it == session_leases_.end()) return {404, "{}"};
+      if (method == "DELETE" && endpoint.lead_overtaken) return {503, R"({"error":"trouble"})"};
       it->second.ends = method == "DELETE" ? 0 : steady_now() + it->second.life;
       tick();
       return {200, "{}"};
@@ -350,13 +352,13 @@
       json rows = json::array();
       const auto prefix = query(target, "prefix"), from = query(target, "from");
       for (const auto& [k, v] : keys_)
-        if (k.starts_with(prefix) && k > from) rows.push_back({{"path", k}, {"value", v.value}, {"stamp", v.stamp}});
-      return {200, json{{"rows", rows}, {"truncated", false}, {"ledgerRev", rev_}}.dump()};
+        if (k.starts_with(prefix) && k > from) rows.push_back({{"path", k}, {"value", v.value}, {"stamp", v.mod_revision}});
+      return {200, json{{"rows", rows}, {"truncated", false}, {"ledgerRev", revision_}}.dump()};
     }
     const auto it = keys_.find(target.substr(7));
-    if (it == keys_.end()) return {404, json{{"ledgerRev", rev_}}.dump()};
-    json row{{"path", it->first}, {"value", it->second.value}, {"stamp", it->second.stamp}};
-    if (it->second.hold) row["hold"] = it->second.hold;
+    if (it == keys_.end()) return {404, json{{"ledgerRev", revision_}}.dump()};
+    json row{{"path", it->first}, {"value", it->second.value}, {"stamp", it->second.mod_revision}};
+    if (it->second.session_lease) row["hold"] = it->second.session_lease;
     return {200, row.dump()};
   }
 
@@ -373,16 +375,16 @@
   std::condition_variable changed_;
   std::map<std::string, Key> keys_;
   std::map<std::string, std::uint64_t> changes_;  // the latest of each key, removals included
-  std::map<std::uint64_t, Hold> holds_;
+  std::map<std::uint64_t, SessionLease> session_leases_;
   std::list<Late> late_;
   json overtaken_;
-  std::uint64_t rev_ = 0, hold_ids_ = 0;
+  std::uint64_t revision_ = 0, session_lease_ids_ = 0;
   std::atomic<std::size_t> unfenced_{0}, late_ones_{0}, too_large_{0};
   std::size_t value_bytes_ = SIZE_MAX, most_changes_ = SIZE_MAX;
   bool ending_ = false, outage_ = false;
   std::mt19937 random_;
-  std::list<Door> doors_;
+  std::list<Endpoint> endpoints_;
   std::jthread clock_;
 };
 
-}  // namespace thistle::testing_
+}  // namespace thistlefront::test_support
--- a/rig/scale/hollow_fleet.cpp
+++ b/testbed/load_test/hollow_fleet.cpp
@@ -1,4 +1,4 @@
-#include "rig/scale/hollow_fleet.hpp"
+#include "testbed/load_test/hollow_fleet.hpp"
 
 #include <algorithm>
 #include <boost/asio/awaitable.hpp>
@@ -16,12 +16,12 @@
 #include <random>
 #include <utility>
 
-#include "rig/checker.hpp"
-#include "rig/state_service.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/clock.hpp"
 #include "transport/socket.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -30,10 +30,10 @@
 using nlohmann::json;
 
 namespace {
-constexpr double kShortestBetweenReports = 0.5;  // seconds: at most two a second, also on change
-constexpr double kAnswerTimeout = 4;             // seconds
-constexpr double kAfterFailure = 1;              // seconds
-constexpr double kRunSpread = 0.5;               // a task runs its job's time, give or take this share
+constexpr double kMinHeartbeatInterval = 0.5;  // seconds: at most two a second, also on change
+constexpr double kAnswerTimeout = 4;           // seconds
+constexpr double kAfterFailure = 1;            // seconds
+constexpr double kRunSpread = 0.5;             // a task runs its job's time, give or take this share
 
 auto ignoring(boost::system::error_code& ec) {
   return asio::redirect_error(asio::use_awaitable, ec);
@@ -71,13 +71,13 @@
 };
 
 struct HollowFleet::Worker {
-  struct Piece {
+  struct HeldTask {
     std::string uid;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     double on_at = 0, off_at = 0, submitted_at = 0;  // steady seconds
     bool on = false, exited = false;
-    const char* cause = "";
+    const char* exit_reason = "";
   };
 
   Worker(HollowFleet& fleet, asio::io_context& context, const Description& description, unsigned seed)
@@ -88,7 +88,7 @@
         stream(context),
         random(seed) {
     // Workers of a running fleet do not report in step.
-    next_report = steady_now() + std::uniform_real_distribution<double>(0, times().report)(random);
+    next_heartbeat = steady_now() + std::uniform_real_distribution<double>(0, times().heartbeat)(random);
     lease_until = steady_now() + times().lease;
   }
 
@@ -99,19 +99,19 @@
 
   double next_event() const {
     double next = lease_until;
-    for (const auto& [name, p] : pieces)
+    for (const auto& [name, p] : tasks)
       if (!p.exited) next = std::min(next, p.on ? p.off_at : p.on_at);
     return next;
   }
   void progress(double now) {
     if (now > lease_until) end_session(now);
-    for (auto& [name, p] : pieces) {
+    for (auto& [name, p] : tasks) {
       if (p.exited) continue;
       if (!p.on && now >= p.on_at) begin(p, now);
       if (p.on && now >= p.off_at) finish(p, "done", now);
     }
   }
-  void begin(Piece& p, double now) {
+  void begin(HeldTask& p, double now) {
     p.on = changed = true;
     ++fleet.counters_.starts;
     ++fleet.counters_.running;
@@ -119,38 +119,38 @@
     std::lock_guard lock(fleet.waits_mutex_);
     fleet.waits_.push_back(now - p.submitted_at);
   }
-  void finish(Piece& p, const char* cause, double now) {
-    const bool done = cause == std::string_view("done");
+  void finish(HeldTask& p, const char* exit_reason, double now) {
+    const bool done = exit_reason == std::string_view("done");
     if (p.on) {
       --fleet.counters_.running;
       fleet.checker_.off(p.uid, p.task, machine.name, done, now);
     }
     p.on = false;
     p.exited = changed = true;
-    p.cause = cause;
+    p.exit_reason = exit_reason;
     if (done) ++fleet.counters_.ends;
   }
   void end_session(double now) {
     ++fleet.counters_.leases_over;
-    for (auto& [name, p] : pieces)
+    for (auto& [name, p] : tasks)
       if (p.on) finish(p, "halted", now);
-    pieces.clear();
-    ++tenure;
+    tasks.clear();
+    ++agent_incarnation;
     lease_until = now + times().lease;
     changed = true;
   }
-  void execute(const json& orders) {
+  void execute(const json& commands) {
     const double now = steady_now();
-    for (const auto& order : orders) {
-      const auto name = order.at("piece").get<std::string>();
-      const auto attempt = order.at("try").get<std::uint64_t>();
-      const auto verb = order.at("verb").get<std::string>();
-      const auto it = pieces.find(name);
+    for (const auto& command : commands) {
+      const auto name = command.at("piece").get<std::string>();
+      const auto attempt = command.at("try").get<std::uint64_t>();
+      const auto verb = command.at("verb").get<std::string>();
+      const auto it = tasks.find(name);
       if (verb == "run") {
-        if (it == pieces.end()) run(name, attempt, now);
-      } else if (it != pieces.end() && it->second.attempt == attempt) {
+        if (it == tasks.end()) run(name, attempt, now);
+      } else if (it != tasks.end() && it->second.attempt == attempt) {
         if (verb == "reap" && it->second.exited)
-          pieces.erase(it);
+          tasks.erase(it);
         else if (verb == "kill" && !it->second.exited)
           finish(it->second, "halted", now);
       }
@@ -158,13 +158,13 @@
   }
   void run(const std::string& name, std::uint64_t attempt, double now) {
     const auto slash = name.find('/');
-    Piece p;
+    HeldTask p;
     p.uid = name.substr(0, slash);
     p.task = static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)));
     p.attempt = attempt;
     HollowJob job;
     double used = 0;
-    for (const auto& [other_name, other] : pieces) {
+    for (const auto& [other_name, other] : tasks) {
       HollowJob of_other;
       if (!other.exited && fleet.jobs_.find(other.uid, of_other)) used += of_other.cores;
     }
@@ -174,27 +174,28 @@
     p.off_at = p.on_at + job.run_s * std::uniform_real_distribution<double>(1 - kRunSpread, 1 + kRunSpread)(random);
     if (!known || used + job.cores > fleet.options_.cores) {
       p.exited = true;
-      p.cause = known ? "no_room" : "unknown";
+      p.exit_reason = known ? "no_room" : "unknown";
     }
     changed = true;
-    pieces.emplace(name, std::move(p));
+    tasks.emplace(name, std::move(p));
   }
 
   // ---- what it says
 
-  std::string report() {
+  std::string heartbeat() {
     std::string out = R"({"host":")" + machine.name + R"(","address":")" + machine.address + R"(","hostKind":"big","yard":")" +
-                      machine.zone + R"(","loaners":false,"tenure":)" + std::to_string(tenure) + ",\"serial\":" + std::to_string(++serial) +
-                      ",\"epoch\":" + std::to_string(epoch) + R"(,"recallS":null,"pieces":[)";
+                      machine.zone + R"(","loaners":false,"tenure":)" + std::to_string(agent_incarnation) +
+                      ",\"serial\":" + std::to_string(++serial) + ",\"epoch\":" + std::to_string(fencing_token) +
+                      R"(,"recallS":null,"pieces":[)";
     const char* separator = "";
-    for (const auto& [name, p] : pieces) {
+    for (const auto& [name, p] : tasks) {
       out += separator;
       out += "{\"piece\":\"" + name + "\",\"try\":" + std::to_string(p.attempt) + ",\"status\":\"" +
              (p.exited ? "exited"
               : p.on   ? "running"
                        : "pulling") +
              "\"";
-      if (p.exited) out += std::string(",\"cause\":\"") + p.cause + "\"";
+      if (p.exited) out += std::string(",\"cause\":\"") + p.exit_reason + "\"";
       out += "}";
       separator = ",";
     }
@@ -207,7 +208,7 @@
     for (;;) {
       const double now = steady_now();
       progress(now);
-      const double due = changed ? std::min(next_report, last + kShortestBetweenReports) : next_report;
+      const double due = changed ? std::min(next_heartbeat, last + kMinHeartbeatInterval) : next_heartbeat;
       if (silent() || now < due) {
         boost::system::error_code ec;
         const double until = silent() ? std::min(silent_until, lease_until) : std::min(due, next_event());
@@ -217,25 +218,25 @@
       }
       changed = false;
       last = now;
-      next_report = now + times().report * std::uniform_real_distribution<double>(0.75, 1.25)(random);
-      co_await send_report(now);
+      next_heartbeat = now + times().heartbeat * std::uniform_real_distribution<double>(0.75, 1.25)(random);
+      co_await send_heartbeat(now);
     }
   }
 
-  asio::awaitable<void> send_report(double sent_at) {
-    const auto of_session = tenure;
+  asio::awaitable<void> send_heartbeat(double sent_at) {
+    const auto of_session = agent_incarnation;
     http::request<http::string_body> request(http::verb::post, "/v1/report", 11);
-    request.set(http::field::host, "worker");
-    request.body() = report();
+    request.set(http::field::node, "worker");
+    request.body() = heartbeat();
     request.prepare_payload();
-    fleet.counters_.report_bytes += request.body().size();
-    ++fleet.counters_.reports;
+    fleet.counters_.heartbeat_bytes += request.body().size();
+    ++fleet.counters_.heartbeats;
     http::response<http::string_body> response;
     const bool answered = co_await exchange(request, response);
     if (!answered) {
-      ++fleet.counters_.failed_reports;
+      ++fleet.counters_.failed_heartbeats;
       controller = (controller + 1) % fleet.options_.controllers.size();
-      next_report = steady_now() + kAfterFailure;
+      next_heartbeat = steady_now() + kAfterFailure;
       co_return;
     }
     ++fleet.counters_.answers;
@@ -247,12 +248,12 @@
       follow(response.result_int(), body);
   }
   void take_answer(const json& body, std::uint64_t of_session, double sent_at) {
-    const auto answer_epoch = body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
+    const auto answer_token = body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
     progress(steady_now());
     // One of an earlier session, one with a lower token, and one that came too late are dropped.
-    if (answer_epoch < epoch || of_session != tenure || steady_now() > sent_at + kAnswerTimeout || silent()) return;
-    changed |= answer_epoch > epoch;
-    epoch = answer_epoch;
+    if (answer_token < fencing_token || of_session != agent_incarnation || steady_now() > sent_at + kAnswerTimeout || silent()) return;
+    changed |= answer_token > fencing_token;
+    fencing_token = answer_token;
     lease_until = std::max(lease_until, sent_at + times().lease);
     execute(body.at("orders"));
   }
@@ -260,12 +261,12 @@
     ++fleet.counters_.redirects;
     stream.close();
     controller = (controller + 1) % fleet.options_.controllers.size();
-    next_report = steady_now() + kAfterFailure;
-    const auto steward = body.is_object() ? body.value("steward", std::string()) : std::string();
+    next_heartbeat = steady_now() + kAfterFailure;
+    const auto redirect_target = body.is_object() ? body.value("steward", std::string()) : std::string();
     constexpr std::string_view prefix = "host-";
-    if (status != 421 || !steward.starts_with(prefix)) return;
-    controller = std::stoul(steward.substr(prefix.size())) % fleet.options_.controllers.size();
-    next_report = steady_now();
+    if (status != 421 || !redirect_target.starts_with(prefix)) return;
+    controller = std::stoul(redirect_target.substr(prefix.size())) % fleet.options_.controllers.size();
+    next_heartbeat = steady_now();
   }
   asio::awaitable<bool> exchange(const http::request<http::string_body>& request, http::response<http::string_body>& response) {
     boost::system::error_code ec;
@@ -305,7 +306,7 @@
       fleet.counters_.command_bytes += request.body().size();
       progress(steady_now());
       http::response<http::string_body> response(take_command(request), 11);
-      response.body() = report();
+      response.body() = heartbeat();
       response.prepare_payload();
       co_await http::async_write(caller, response, ignoring(ec));
       if (ec) co_return;
@@ -316,10 +317,10 @@
     if (request.target() != "/commands") return http::status::ok;
     const auto body = json::parse(request.body(), nullptr, false);
     if (!body.is_object() || !body.contains("epoch") || !body.contains("tenure")) return http::status::bad_request;
-    const auto command_epoch = body.at("epoch").get<std::uint64_t>();
-    if (command_epoch < epoch || body.at("tenure") != tenure) return http::status::conflict;
-    changed |= command_epoch > epoch;
-    epoch = command_epoch;
+    const auto command_token = body.at("epoch").get<std::uint64_t>();
+    if (command_token < fencing_token || body.at("tenure") != agent_incarnation) return http::status::conflict;
+    changed |= command_token > fencing_token;
+    fencing_token = command_token;
     execute(body.at("orders"));
     return http::status::ok;
   }
@@ -330,9 +331,9 @@
   asio::steady_timer wake;
   beast::tcp_stream stream;
   std::mt19937 random;
-  std::map<std::string, Piece> pieces;
-  std::uint64_t tenure = 1, serial = 0, epoch = 0;
-  double lease_until = 0, next_report = 0, silent_until = 0;  // steady seconds
+  std::map<std::string, HeldTask> tasks;
+  std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = 0;
+  double lease_until = 0, next_heartbeat = 0, silent_until = 0;  // steady seconds
   std::size_t controller = 0;
   bool changed = false;
 };
@@ -342,7 +343,7 @@
   for (std::size_t i = 0; i < std::max<std::size_t>(options.threads, 1); ++i) shards_.push_back(std::make_unique<Shard>());
   constexpr std::size_t kFirstName = 100000;
   for (std::size_t i = 0; i < options.workers; ++i) {
-    machines_.push_back({"m-" + std::to_string(kFirstName + i), testing_::free_address(), options.zones[i % options.zones.size()]});
+    machines_.push_back({"m-" + std::to_string(kFirstName + i), test_support::free_address(), options.zones[i % options.zones.size()]});
     Shard& shard = *shards_[i % shards_.size()];
     shard.workers.push_back(std::make_unique<Worker>(*this, shard.context, machines_.back(), options.seed + static_cast<unsigned>(i)));
     Worker& worker = *shard.workers.back();
@@ -378,10 +379,10 @@
     asio::post(shard->context, [&workers = shard->workers] {
       for (auto& worker : workers) {
         worker->stream.close();
-        worker->next_report = 0;
+        worker->next_heartbeat = 0;
         worker->wake.cancel();
       }
     });
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/scale/hollow_fleet.hpp
+++ b/testbed/load_test/hollow_fleet.hpp
@@ -11,13 +11,13 @@
 #include <utility>  // before Boost.Asio's awaitable, which uses std::exchange without it
 #include <vector>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 class Checker;
 
 // Seconds of the protocol, as the controllers' settings have them.
 struct FleetTimes {
-  double report = 3, lease = 22, cancel = 42, pull = 0.2;
+  double heartbeat = 3, lease = 22, cancel = 42, pull = 0.2;
 };
 
 // What workers and load tell each other of a job.
@@ -40,8 +40,8 @@
 
 // Counted since the start, over all workers.
 struct FleetCounters {
-  std::atomic<std::uint64_t> reports{0}, report_bytes{0}, answers{0}, answer_bytes{0}, redirects{0}, failed_reports{0}, commands{0},
-      command_bytes{0}, starts{0}, ends{0}, leases_over{0}, connects{0};
+  std::atomic<std::uint64_t> heartbeats{0}, heartbeat_bytes{0}, answers{0}, answer_bytes{0}, redirects{0}, failed_heartbeats{0},
+      commands{0}, command_bytes{0}, starts{0}, ends{0}, leases_over{0}, connects{0};
   std::atomic<std::int64_t> running{0};
 };
 
@@ -82,4 +82,4 @@
   std::vector<double> waits_;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/scale/scale_run.cpp
+++ b/testbed/load_test/load_test_run.cpp
@@ -1,4 +1,4 @@
-#include "rig/scale/scale_run.hpp"
+#include "testbed/load_test/load_test_run.hpp"
 
 #include <unistd.h>
 
@@ -11,15 +11,15 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "rig/checker.hpp"
-#include "rig/controller_process.hpp"
-#include "rig/scale/hollow_fleet.hpp"
-#include "rig/scale/process_usage.hpp"
-#include "rig/state_service.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/controller_process.hpp"
+#include "testbed/fake_state_store.hpp"
+#include "testbed/load_test/hollow_fleet.hpp"
+#include "testbed/load_test/process_usage.hpp"
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 using nlohmann::json;
 
@@ -72,19 +72,19 @@
       : options_(options),
         checker_(team_limits(options.teams), options.cancel_s),
         state_(options.controllers, options.seed),
-        directory_((std::filesystem::temp_directory_path() / ("thistlefront-scale-" + std::to_string(::getpid()))).string()),
-        cloud_address_(testing_::free_address()) {
+        directory_((std::filesystem::temp_directory_path() / ("thistlefront-load-test-" + std::to_string(::getpid()))).string()),
+        cloud_address_(test_support::free_address()) {
     state_.limit(static_cast<std::size_t>(options.state_value_kb * 1024), options.state_txn_ops);
     std::filesystem::create_directories(directory_);
     for (std::size_t i = 0; i < options.controllers; ++i) {
-      addresses_.push_back(testing_::free_address());
-      peers_.push_back(testing_::free_address());
+      addresses_.push_back(test_support::free_address());
+      peers_.push_back(test_support::free_address());
     }
     HollowFleet::Options fleet;
     fleet.workers = options.workers;
     fleet.threads = options.threads;
     fleet.cores = kMachineCores;
-    fleet.times = {options.report_s, options.lease_s, options.cancel_s};
+    fleet.times = {options.heartbeat_interval_s, options.lease_s, options.cancel_s};
     fleet.zones = kZones;
     fleet.controllers = addresses_;
     fleet.seed = options.seed;
@@ -125,8 +125,8 @@
 
   // Submits the tasks that are to run at once, then as many a second as end.
   void begin_load() {
-    const std::size_t jobs = tasks_wanted() / options_.pieces;
-    const double period = static_cast<double>(options_.pieces * kSubmitters) / starts_wanted();
+    const std::size_t jobs = tasks_wanted() / options_.tasks;
+    const double period = static_cast<double>(options_.tasks * kSubmitters) / starts_wanted();
     for (std::size_t k = 0; k < kSubmitters; ++k)
       submitters_.emplace_back([this, k, jobs, period](std::stop_token stop) {
         HttpClient client(addresses_[k % addresses_.size()]);
@@ -167,12 +167,12 @@
     for (std::size_t k = 0; k < addresses_.size(); ++k)
       if (k != i)
         out << "[[peers]]\nlabel = \"host-" << k << "\"\nsite = \"" << kZones[k % kZones.size()] << "\"\naddr = \"" << peers_[k] << "\"\n";
-    out << "[endpoints]\ncloud = \"" << cloud_address_ << "\"\nstate = \"" << const_cast<testing_::StateService&>(state_).door(i).address
-        << "\"\n[deployment]\ncount = " << addresses_.size() << "\nzones = [\"" << kZones[0] << "\", \"" << kZones[1]
-        << "\"]\nskew_ms = 5\n";
+    out << "[endpoints]\ncloud = \"" << cloud_address_ << "\"\nstate = \""
+        << const_cast<test_support::FakeStateStore&>(state_).endpoint(i).address << "\"\n[deployment]\ncount = " << addresses_.size()
+        << "\nzones = [\"" << kZones[0] << "\", \"" << kZones[1] << "\"]\nskew_ms = 5\n";
     for (std::size_t t = 0; t < options_.teams; ++t)
       out << "[[deployment.teams]]\nname = \"" << team_name(t) << "\"\ncpus = 1\ncpus_max = 1000000\n";
-    out << "[deployment.workers]\nreport_s = " << options_.report_s << "\nlease_s = " << options_.lease_s
+    out << "[deployment.workers]\nreport_s = " << options_.heartbeat_interval_s << "\nlease_s = " << options_.lease_s
         << "\ngang_wait_s = 30\ngang_peer_s = 4\ncancel_s = " << options_.cancel_s << "\n[deployment.state]\nrps = " << options_.state_rps
         << "\nwrite_rps = " << options_.state_write_rps << "\nvalue_kb = " << options_.state_value_kb
         << "\ntxn_ops = " << options_.state_txn_ops
@@ -198,39 +198,41 @@
     constexpr std::string_view parameter = "from=";
     const auto found = call.target.find(parameter);
     const std::string from(found == std::string_view::npos ? "" : call.target.substr(found + parameter.size()));
-    json hosts = json::array();
+    json nodes = json::array();
     const auto& machines = fleet_->machines();
     auto it =
         std::upper_bound(machines.begin(), machines.end(), from, [](const std::string& name, const auto& m) { return name < m.name; });
-    for (; it != machines.end() && hosts.size() < kPage; ++it)
-      hosts.push_back({{"uid", it->name},
+    for (; it != machines.end() && nodes.size() < kPage; ++it)
+      nodes.push_back({{"uid", it->name},
                        {"address", it->address},
                        {"hostKind", "big"},
                        {"yard", it->zone},
                        {"loaners", false},
                        {"status", "running"},
                        {"heldS", 100}});
-    return {200, json{{"hosts", hosts}, {"truncated", it != machines.end()}}.dump()};
+    return {200, json{{"hosts", nodes}, {"truncated", it != machines.end()}}.dump()};
   }
   // `ramp`: of the load that is there at the start; its tasks have run for some of their time already.
   void submit(HttpClient& client, std::stop_token stop, std::size_t number, bool ramp) {
     // Running tasks = starts a second x mean run time.
     const double run_s = static_cast<double>(tasks_wanted()) / starts_wanted();
     const double share_left = ramp ? static_cast<double>(number % 97 + 3) / 100 : 1;
-    JobSpec spec;
+    SubmittedJob spec;
     spec.uid = "j-" + std::to_string(kFirstJob + number);
     spec.owner = team_name(number % options_.teams);
-    spec.shape = "batch";
-    spec.pieces = static_cast<std::uint32_t>(options_.pieces);
+    spec.job_type = "batch";
+    spec.task_count = static_cast<std::uint32_t>(options_.tasks);
     spec.run_s = run_s * share_left;
     jobs_.add(spec.uid, {spec.run_s, steady_now(), spec.cores});
     checker_.submitted(spec, steady_now());
-    const auto body =
-        json{{"uid", spec.uid},       {"jobClass", "array"},  {"owner", spec.owner}, {"shape", spec.shape}, {"rank", "standard"},
-             {"pieces", spec.pieces}, {"cores", spec.cores},  {"accelerators", 0},   {"ramGb", 1},          {"bundle", "i"},
-             {"pullGb", 1},           {"hostKinds", nullptr}, {"yard", nullptr},     {"oneZone", false},    {"spread", false},
-             {"loaners", false},      {"expectedS", run_s},   {"snapshotEveryS", 0}, {"snapshotS", 0},      {"dueS", nullptr}}
-            .dump();
+    const auto body = json{{"uid", spec.uid},        {"jobClass", "array"}, {"owner", spec.owner},
+                           {"shape", spec.job_type}, {"rank", "standard"},  {"pieces", spec.task_count},
+                           {"cores", spec.cores},    {"accelerators", 0},   {"ramGb", 1},
+                           {"bundle", "i"},          {"pullGb", 1},         {"hostKinds", nullptr},
+                           {"yard", nullptr},        {"oneZone", false},    {"spread", false},
+                           {"loaners", false},       {"expectedS", run_s},  {"snapshotEveryS", 0},
+                           {"snapshotS", 0},         {"dueS", nullptr}}
+                          .dump();
     const double asked = steady_now();
     while (!stop.stop_requested()) {
       const auto answer = client.post("/v1/jobs", body, 5);
@@ -248,7 +250,7 @@
   const ScaleOptions& options_;
   Checker checker_;
   HollowJobs jobs_;
-  testing_::StateService state_;
+  test_support::FakeStateStore state_;
   std::string directory_, cloud_address_;
   std::vector<std::string> addresses_, peers_;
   std::unique_ptr<HollowFleet> fleet_;
@@ -277,9 +279,9 @@
     out.metrics.push_back(cluster.metrics(i));
   }
   const FleetCounters& c = cluster.fleet().counters();
-  out.fleet = {{"reports", c.reports},         {"report_bytes", c.report_bytes},
+  out.fleet = {{"reports", c.heartbeats},      {"report_bytes", c.heartbeat_bytes},
                {"answers", c.answers},         {"answer_bytes", c.answer_bytes},
-               {"redirects", c.redirects},     {"failed_reports", c.failed_reports},
+               {"redirects", c.redirects},     {"failed_reports", c.failed_heartbeats},
                {"commands", c.commands},       {"command_bytes", c.command_bytes},
                {"starts", c.starts},           {"ends", c.ends},
                {"leases_over", c.leases_over}, {"connects", c.connects}};
@@ -325,7 +327,7 @@
   while (cluster.leader() == options.controllers && steady_now() < began + options.ramp_s) wait(kTick);
   if (cluster.leader() == options.controllers) throw std::runtime_error("no controller leads");
   tell("host-" + std::to_string(cluster.leader()) + " leads");
-  wait(2 * options.report_s);
+  wait(2 * options.heartbeat_interval_s);
   cluster.begin_load();
   const auto wanted = static_cast<std::int64_t>(kEnoughRunning * static_cast<double>(cluster.tasks_wanted()));
   const auto running = [&] { return cluster.fleet().counters().running.load(); };
@@ -353,7 +355,7 @@
            {"teams", options.teams},
            {"seed", options.seed},
            {"trouble", options.trouble},
-           {"report_s", options.report_s},
+           {"report_s", options.heartbeat_interval_s},
            {"flags", options.flags},
            {"tasks_wanted", cluster.tasks_wanted()},
            {"starts_wanted", cluster.starts_wanted()},
@@ -378,4 +380,4 @@
   return out;
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/scale/scale_run.hpp
+++ b/testbed/load_test/load_test_run.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 struct ScaleOptions {
   std::string program;             // the controllers' program
@@ -16,10 +16,10 @@
   std::size_t controllers = 3, workers = 500, threads = 2, teams = 20;
   std::size_t running = 0;  // tasks; 0: twenty for each worker
   double starts = 0;        // a second; 0: 0.28 for each worker
-  std::size_t pieces = 40;  // tasks of a job
+  std::size_t tasks = 40;   // tasks of a job
   double ramp_s = 60;       // at most, until the tasks run
   double settle_s = 5, measure_s = 20;
-  double report_s = 3, lease_s = 22, cancel_s = 42;
+  double heartbeat_interval_s = 3, lease_s = 22, cancel_s = 42;
   double state_rps = 2000, state_write_rps = 200, state_value_kb = 64;
   std::uint64_t state_txn_ops = 16;
   double max_memory_mb = 4000;
@@ -31,4 +31,4 @@
 // The point as one JSON object. Throws std::runtime_error where it could not be played at all.
 nlohmann::json play_scale(const ScaleOptions& options);
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/scale/main.cpp
+++ b/testbed/load_test/main.cpp
@@ -1,13 +1,13 @@
-// thistlefront-scale: what one cell costs its controllers, by size. One line of JSON for each point.
+// thistlefront-load-test: what one cell costs its controllers, by size. One line of JSON for each point.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
 
-#include "rig/scale/scale_run.hpp"
+#include "testbed/load_test/load_test_run.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app{"thistlefront-scale: real controllers with hollow workers; one line of JSON a point"};
-  thistle::rig::ScaleOptions options;
+  CLI::App app{"thistlefront-load-test: real controllers with hollow workers; one line of JSON a point"};
+  thistlefront::testbed::ScaleOptions options;
   app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
   app.add_option("--program", options.program, "the controllers' program")->required()->check(CLI::ExistingFile);
   app.add_option("--flag", options.flags, "a flag for each controller; may be given several times");
@@ -19,8 +19,8 @@
   app.add_option("--threads", options.threads, "of the hollow workers")->check(CLI::Range(1, 64))->capture_default_str();
   app.add_option("--tasks", options.running, "that run at a time; 0: 20 a worker")->check(CLI::Range(0, 1000000))->capture_default_str();
   app.add_option("--starts", options.starts, "a second; 0: 0.28 a worker")->check(CLI::Range(0.0, 100000.0))->capture_default_str();
-  app.add_option("--pieces", options.pieces, "tasks of a job")->check(CLI::Range(1, 1000))->capture_default_str();
-  app.add_option("--report", options.report_s, "seconds between reports")->check(CLI::Range(0.5, 60.0))->capture_default_str();
+  app.add_option("--pieces", options.tasks, "tasks of a job")->check(CLI::Range(1, 1000))->capture_default_str();
+  app.add_option("--report", options.heartbeat_interval_s, "seconds between reports")->check(CLI::Range(0.5, 60.0))->capture_default_str();
   app.add_option("--ramp", options.ramp_s, "seconds at most until the tasks run")->check(CLI::Range(1.0, 600.0))->capture_default_str();
   app.add_option("--seconds", options.measure_s, "that are measured")->check(CLI::Range(1.0, 600.0))->capture_default_str();
   app.add_option("--write-rps", options.state_write_rps, "changes a second that the state service takes")
@@ -33,7 +33,7 @@
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    const auto point = thistle::rig::play_scale(options);
+    const auto point = thistlefront::testbed::play_scale(options);
     std::cout << point.dump() << std::endl;
     return point.at("rules_broken").empty() ? 0 : 1;
   } catch (const std::exception& e) {
--- a/rig/scale/process_usage.cpp
+++ b/testbed/load_test/process_usage.cpp
@@ -1,4 +1,4 @@
-#include "rig/scale/process_usage.hpp"
+#include "testbed/load_test/process_usage.hpp"
 
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 namespace {
 constexpr int kFieldsBeforeTimes = 11;  // of /proc/PID/stat, behind the command's name
@@ -47,4 +47,4 @@
   return out;
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/scale/process_usage.hpp
+++ b/testbed/load_test/process_usage.hpp
@@ -4,7 +4,7 @@
 
 #include <cstddef>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 struct ProcessUsage {
   double processor_s = 0;  // user and system
@@ -15,4 +15,4 @@
 // All zero where there is no such process.
 ProcessUsage usage_of(pid_t pid);
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/main.cpp
+++ b/testbed/main.cpp
@@ -1,4 +1,4 @@
-// thistlefront-rig: plays troubles on a stand-in cluster with real controllers, and checks the protocol's
+// thistlefront-fault-test: plays troubles on a stand-in cluster with real controllers, and checks the protocol's
 // rules.
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -9,23 +9,23 @@
 #include <optional>
 #include <utility>
 
-#include "protocol/rollout_messages.hpp"
-#include "rig/cluster.hpp"
+#include "protocol/version_messages.hpp"
+#include "testbed/cluster.hpp"
 #include "transport/clock.hpp"
 
 namespace {
 
-using thistle::steady_now;
-using thistle::rig::Cluster;
+using thistlefront::steady_now;
+using thistlefront::testbed::Cluster;
 
 struct Plan {
   Cluster::Options cluster;
   std::string older, newer;
   double seconds = 40, settle = 60;
-  unsigned level = 4;          // that the newer build has
-  double restart_after = 1;    // seconds at most
-  double soak = 0;             // seconds; 0: the build's own
-  std::string intake = "off";  // report intake: on, off, or drawn by each start of a controller
+  unsigned format_version = 4;  // that the newer build has
+  double restart_after = 1;     // seconds at most
+  double soak = 0;              // seconds; 0: the build's own
+  std::string relay = "off";    // report intake: on, off, or drawn by each start of a controller
   bool back = false, verbose = false;
 };
 
@@ -38,7 +38,7 @@
  public:
   explicit Play(const Plan& plan)
       : plan(plan), cluster(plan.cluster), random(plan.cluster.seed), is_new(plan.cluster.controllers, false), began_(steady_now()) {
-    for (auto& w : cluster.workers) w->copy_reports(true);
+    for (auto& w : cluster.workers) w->copy_heartbeats(true);
   }
 
   void say(const std::string& what) const {
@@ -48,7 +48,7 @@
     is_new[i] = newer;
     std::vector<std::string> flags;
     if (newer && plan.soak > 0) flags = {"--state-level-soak", std::to_string(plan.soak)};
-    if (newer && (plan.intake == "on" || (plan.intake == "drawn" && random() % 2))) flags.insert(flags.end(), {"--intake", "on"});
+    if (newer && (plan.relay == "on" || (plan.relay == "drawn" && random() % 2))) flags.insert(flags.end(), {"--intake", "on"});
     flags.insert(flags.end(), more.begin(), more.end());
     cluster.start(i, newer ? plan.newer : plan.older, flags);
   }
@@ -89,16 +89,16 @@
     cluster.state.outage(false);
     for (std::size_t i = 0; i < is_new.size(); ++i) {
       cluster.part(i, false, false);
-      auto& door = cluster.state.door(i);
-      door.refuses = false;
-      door.loses = door.late = door.repeats = 0;
+      auto& endpoint = cluster.state.endpoint(i);
+      endpoint.refuses = false;
+      endpoint.loses = endpoint.late = endpoint.repeats = 0;
     }
     healed_ = steady_now();
     cluster.checker.healed(healed_);
   }
-  bool level_comes_on(std::uint32_t level, double within_s) {
+  bool level_comes_on(std::uint32_t format_version, double within_s) {
     for (const double until = steady_now() + within_s; steady_now() < until; wait(0.1))
-      if (cluster.state.value(thistle::kLevelKey) == thistle::level_value({level, 0})) return true;
+      if (cluster.state.value(thistlefront::kActiveVersionKey) == thistlefront::active_version_value({format_version, 0})) return true;
     return false;
   }
   // Asks for each accepted job once more, and tells what was found.
@@ -124,7 +124,7 @@
               << cluster.checker.longest_without_acceptance(healed_, healed_ + 8) << " s when all was well), " << more << unanswered
               << " unanswered, " << cluster.state.unfenced() << " unfenced, " << cluster.state.too_large() << " too large, "
               << broken.size() << " rules broken" << std::endl;
-    const auto p = cluster.checker.pipelines();
+    const auto p = cluster.checker.dependent_jobs();
     if (p.accepted > 0)
       std::cout << "  " << p.accepted << " jobs waited for others, " << p.mark_done << " of them done, " << p.mark_cancelled
                 << " told cancelled; the first was accepted " << p.first_accepted - all_new << " s after all were new" << std::endl;
@@ -157,7 +157,7 @@
   }
   void play(Kind what) {
     const auto n = is_new.size(), i = random() % n, leader = std::min(cluster.leader(), n - 1);
-    auto& door = cluster.state.door(i);
+    auto& endpoint = cluster.state.endpoint(i);
     const auto toggle = [&](const char* said, std::atomic<double>& share, double to) {
       say(std::string(said) + ", or no longer");
       share = share > 0 ? 0 : to;
@@ -185,14 +185,14 @@
         break;
       case Kind::door_refuses:
         say("a door refuses, or no longer");
-        door.refuses = !door.refuses;
+        endpoint.refuses = !endpoint.refuses;
         break;
-      case Kind::answers_lost: toggle("answers are lost", door.loses, 0.3); break;
+      case Kind::answers_lost: toggle("answers are lost", endpoint.loses, 0.3); break;
       case Kind::late_writes:
-        door.late_most = 12;
-        toggle("transactions are late", door.late, 0.2);
+        endpoint.late_most = 12;
+        toggle("transactions are late", endpoint.late, 0.2);
         break;
-      case Kind::repeats: toggle("transactions are repeated", door.repeats, 0.3); break;
+      case Kind::repeats: toggle("transactions are repeated", endpoint.repeats, 0.3); break;
       case Kind::outage:
         say("an outage");
         cluster.state.outage(true);
@@ -202,7 +202,7 @@
       case Kind::gap:
         // Its successor leads when all are refused, or is about to; now and then for longer than cancel_s.
         say("the state service refuses the leader alone, then all");
-        cluster.state.door(leader).refuses = true;
+        cluster.state.endpoint(leader).refuses = true;
         wait(1.3 + 0.1 * (random() % 12));
         cluster.state.outage(true);
         lasts(random() % 3 ? 8 : 26);
@@ -270,12 +270,12 @@
   for (std::size_t i = 0; i < n; ++i)
     if (!play.is_new[i]) play.start(i, true);
   play.all_new = steady_now();
-  play.cluster.pipelines = plan.level >= 4;
-  bool well = play.level_comes_on(plan.level, plan.settle);
+  play.cluster.dependent_jobs = plan.format_version >= 4;
+  bool well = play.level_comes_on(plan.format_version, plan.settle);
   std::string more = well ? "level on after " + std::to_string(play.since_healed()) + " s, " : "level NOT on, ";
   wait(5);
   // The state service takes less from some moment on; and trouble goes on, with jobs that wait for others.
-  if (plan.level >= 4) {
+  if (plan.format_version >= 4) {
     play.cluster.state.limit(2048, 4);
     for (const double until = steady_now() + plan.seconds / 2; steady_now() < until; wait(0.5 + 0.25 * (play.random() % 8))) play.trouble();
     play.heal();
@@ -283,7 +283,7 @@
     wait(10);
   }
   if (plan.back) {
-    play.cluster.pipelines = false;
+    play.cluster.dependent_jobs = false;
     wait(12);
     const double held = steady_now();
     for (std::size_t i = 0; i < n; ++i, wait(1)) play.start(i, true, {"--state-level-most", "1"});
@@ -310,27 +310,27 @@
     return false;
   };
   const auto end = [&](std::size_t i) {
-    auto& door = cluster.state.door(i);
+    auto& endpoint = cluster.state.endpoint(i);
     const auto fuse = static_cast<int>(play.random() % 12);
     if (play.random() % 3 != 0) {
-      door.executes = play.random() % 2 == 0;
-      door.fuse = fuse;
-      for (const double until = steady_now() + 2; !door.blown && steady_now() < until;) wait(0.002);
+      endpoint.executes = play.random() % 2 == 0;
+      endpoint.fuse = fuse;
+      for (const double until = steady_now() + 2; !endpoint.blown && steady_now() < until;) wait(0.002);
     }
     play.say("host-" + std::to_string(i) + " ends" +
-             (door.blown ? " at request " + std::to_string(fuse) + (door.executes ? ", executed" : "") : ""));
+             (endpoint.blown ? " at request " + std::to_string(fuse) + (endpoint.executes ? ", executed" : "") : ""));
     cluster.end(i);
-    door.fuse = -1;
-    door.blown = false;
+    endpoint.fuse = -1;
+    endpoint.blown = false;
     ++play.events;
   };
   std::vector<double> back;
   std::size_t never = 0;
   bool well = serves(10);
   play.all_new = steady_now();
-  if (plan.level >= 4) {
-    well = play.level_comes_on(plan.level, plan.settle) && well;
-    cluster.pipelines = true;
+  if (plan.format_version >= 4) {
+    well = play.level_comes_on(plan.format_version, plan.settle) && well;
+    cluster.dependent_jobs = true;
     cluster.state.limit(2048, 4);
   }
   while (!play.over()) {
@@ -378,11 +378,11 @@
 bool change_limits(const Plan& plan) {
   Play play(plan);
   const auto n = plan.cluster.controllers;
-  auto limits = thistle::rig::kLimits;
+  auto limits = thistlefront::testbed::kLimits;
   for (std::size_t i = 0; i < n; ++i) play.start(i, true);
-  bool well = play.level_comes_on(plan.level, plan.settle);
+  bool well = play.level_comes_on(plan.format_version, plan.settle);
   play.all_new = steady_now();
-  play.cluster.pipelines = plan.level >= 4;
+  play.cluster.dependent_jobs = plan.format_version >= 4;
   std::size_t changes = 0;
   while (!play.over()) {
     auto next = limits;
@@ -421,7 +421,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"thistlefront-rig: real controllers on a stand-in cluster, under trouble"};
+  CLI::App app{"thistlefront-fault-test: real controllers on a stand-in cluster, under trouble"};
   app.require_subcommand(1);
   app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
   Plan plan;
@@ -434,12 +434,12 @@
     sub->add_option("--users", plan.cluster.users)->check(CLI::Range(1, 200))->capture_default_str();
     sub->add_option("--first-seed", first)->capture_default_str();
     sub->add_option("--last-seed", last)->capture_default_str();
-    sub->add_option("--level", plan.level, "state level that the newer build has")->capture_default_str();
+    sub->add_option("--level", plan.format_version, "state level that the newer build has")->capture_default_str();
     sub->add_option("--seconds", plan.seconds, "of trouble")->capture_default_str();
     sub->add_option("--settle", plan.settle, "seconds within which the level must come on")->capture_default_str();
     sub->add_option("--logs", plan.cluster.logs, "directory for what the controllers write")->check(CLI::ExistingDirectory);
     sub->add_option("--soak", plan.soak, "seconds that a level is waited with; 0: as the build does")->capture_default_str();
-    sub->add_option("--intake", plan.intake, "report intake on the newer build")
+    sub->add_option("--intake", plan.relay, "report intake on the newer build")
         ->check(CLI::IsMember({"on", "off", "drawn"}))
         ->capture_default_str();
     sub->add_flag("--verbose", plan.verbose, "tells each event");
--- a/rig/relay.hpp
+++ b/testbed/network_relay.hpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <thread>
 
-#include "rig/state_service.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/socket.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 class Relay {
  public:
@@ -79,7 +79,7 @@
     std::jthread thread;
   };
 
-  const std::string address_ = testing_::free_address(), to_;
+  const std::string address_ = test_support::free_address(), to_;
   Socket listener_;
   std::atomic<bool> cut_{false}, answers_held_{false}, ending_{false};
   std::mutex mutex_;
@@ -87,4 +87,4 @@
   std::jthread accepting_;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/worker.cpp
+++ b/testbed/worker.cpp
@@ -1,11 +1,11 @@
-#include "rig/worker.hpp"
+#include "testbed/worker.hpp"
 
 #include <algorithm>
 
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 using nlohmann::json;
 
@@ -60,46 +60,46 @@
   if (call.target == "/commands") {
     const auto body = json::parse(call.body, nullptr, false);
     if (!body.is_object() || !body.contains("epoch") || !body.contains("tenure")) return {400, "{}"};
-    const auto epoch = body.at("epoch").get<std::uint64_t>();
-    if (dead_ || epoch < epoch_ || body.at("tenure") != tenure_) return {409, report()};
-    changed_ |= epoch > epoch_;
-    epoch_ = epoch;
+    const auto fencing_token = body.at("epoch").get<std::uint64_t>();
+    if (dead_ || fencing_token < fencing_token_ || body.at("tenure") != agent_incarnation_) return {409, heartbeat()};
+    changed_ |= fencing_token > fencing_token_;
+    fencing_token_ = fencing_token;
     execute(body.at("orders"));
   }
-  return {200, report()};
+  return {200, heartbeat()};
 }
 
-void Worker::execute(const json& orders) {
+void Worker::execute(const json& commands) {
   const double now = steady_now();
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     const auto name = o.at("piece").get<std::string>();
     const auto attempt = o.at("try").get<std::uint64_t>();
     const auto verb = o.at("verb").get<std::string>();
-    const auto it = pieces_.find(name);
+    const auto it = tasks_.find(name);
     if (verb == "run") {
-      if (it != pieces_.end()) continue;
+      if (it != tasks_.end()) continue;
       const auto slash = name.find('/');
       const auto uid = name.substr(0, slash);
       const auto spec = checker_.spec_of(uid);
-      Piece piece{uid, static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1))), attempt, now, 0, false, false, false, ""};
+      HeldTask task{uid, static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1))), attempt, now, 0, false, false, false, ""};
       double used = 0;
-      for (const auto& [n, p] : pieces_)
+      for (const auto& [n, p] : tasks_)
         if (const auto other = checker_.spec_of(p.uid); other && !p.exited) used += other->cores;
       if (spec) {
-        piece.run_s = spec->run_s;
-        piece.service = spec->shape == "service";
+        task.run_s = spec->run_s;
+        task.service = spec->job_type == "service";
       }
-      if (!spec || used + spec->cores > kMachineCores) piece.exited = true, piece.cause = spec ? "no_room" : "unknown";
-      pieces_.emplace(name, piece);
+      if (!spec || used + spec->cores > kMachineCores) task.exited = true, task.exit_reason = spec ? "no_room" : "unknown";
+      tasks_.emplace(name, task);
       changed_ = true;
-    } else if (it != pieces_.end() && it->second.attempt == attempt) {
+    } else if (it != tasks_.end() && it->second.attempt == attempt) {
       if (verb == "reap" && it->second.exited) {
-        pieces_.erase(it);
+        tasks_.erase(it);
       } else if (verb == "kill" && !it->second.exited) {
         if (it->second.on) checker_.off(it->second.uid, it->second.task, name_, false, now);
         it->second.exited = true;
         it->second.on = false;
-        it->second.cause = "halted";
+        it->second.exit_reason = "halted";
       }
       changed_ = true;
     }
@@ -110,10 +110,10 @@
   if (dead_) return;
   if (now > lease_until_) {
     clear(now);
-    ++tenure_;
+    ++agent_incarnation_;
     lease_until_ = now + times_.lease;
   }
-  for (auto& [name, p] : pieces_) {
+  for (auto& [name, p] : tasks_) {
     if (p.exited) continue;
     if (!p.on && now >= p.at + times_.pull) {
       p.on = changed_ = true;
@@ -122,16 +122,16 @@
     if (p.on && !p.service && now >= p.at + times_.pull + p.run_s) {
       p.on = false;
       p.exited = changed_ = true;
-      p.cause = "done";
+      p.exit_reason = "done";
       checker_.off(p.uid, p.task, name_, true, now);
     }
   }
 }
 
 void Worker::clear(double now) {
-  for (const auto& [name, p] : pieces_)
+  for (const auto& [name, p] : tasks_)
     if (p.on) checker_.off(p.uid, p.task, name_, false, now);
-  pieces_.clear();
+  tasks_.clear();
   changed_ = true;
 }
 
@@ -141,15 +141,16 @@
   dead_ = true;
 }
 
-std::string Worker::report() {
-  json pieces = json::array();
-  for (const auto& [name, p] : pieces_) {
+std::string Worker::heartbeat() {
+  json tasks = json::array();
+  for (const auto& [name, p] : tasks_) {
     json j{{"piece", name}, {"try", p.attempt}, {"status", p.exited ? "exited" : p.on ? "running" : "pulling"}};
-    if (p.exited) j["cause"] = p.cause;
-    pieces.push_back(std::move(j));
+    if (p.exited) j["cause"] = p.exit_reason;
+    tasks.push_back(std::move(j));
   }
-  return json{{"host", name_},     {"address", address_}, {"hostKind", "big"}, {"yard", zone_},      {"loaners", false},
-              {"tenure", tenure_}, {"serial", ++serial_}, {"epoch", epoch_},   {"recallS", nullptr}, {"pieces", std::move(pieces)}}
+  return json{{"host", name_},      {"address", address_},          {"hostKind", "big"},   {"yard", zone_},
+              {"loaners", false},   {"tenure", agent_incarnation_}, {"serial", ++serial_}, {"epoch", fencing_token_},
+              {"recallS", nullptr}, {"pieces", std::move(tasks)}}
       .dump();
 }
 
@@ -166,18 +167,18 @@
       continue;
     }
     std::string body;
-    std::uint64_t tenure = 0;
+    std::uint64_t agent_incarnation = 0;
     {
       std::lock_guard lock(mutex_);
       if (dead_) return;
       progress(now);
       if (now < next && (!changed_ || now < last + 0.5)) continue;
       changed_ = false;
-      body = report();
-      tenure = tenure_;
+      body = heartbeat();
+      agent_incarnation = agent_incarnation_;
     }
     last = now;
-    next = now + times_.report * std::uniform_real_distribution<double>(0.75, 1.25)(random_);
+    next = now + times_.heartbeat * std::uniform_real_distribution<double>(0.75, 1.25)(random_);
     if (copies_ && random_() % 8 == 0) {
       std::lock_guard lock(mutex_);
       copies_due_.push_back({now + std::uniform_real_distribution<double>(1, 3 * times_.lease)(random_), body});
@@ -192,11 +193,11 @@
     progress(steady_now());
     if (answer.is(200)) {
       const auto j = json::parse(answer.body, nullptr, false);
-      const auto epoch = j.is_object() ? j.value("epoch", std::uint64_t{0}) : 0;
+      const auto fencing_token = j.is_object() ? j.value("epoch", std::uint64_t{0}) : 0;
       // One answered while it stood still, of an earlier session, or with a lower token is dropped.
-      if (epoch < epoch_ || tenure != tenure_ || steady_now() > now + 4 || dead_) continue;
-      changed_ |= epoch > epoch_;
-      epoch_ = epoch;
+      if (fencing_token < fencing_token_ || agent_incarnation != agent_incarnation_ || steady_now() > now + 4 || dead_) continue;
+      changed_ |= fencing_token > fencing_token_;
+      fencing_token_ = fencing_token;
       lease_until_ = std::max(lease_until_, now + times_.lease);
       execute(j.at("orders"));
       continue;
@@ -205,9 +206,9 @@
     next = now + 1;
     if (answer.is(421)) {
       const auto j = json::parse(answer.body, nullptr, false);
-      const auto steward = j.is_object() ? j.value("steward", std::string()) : "";
-      if (steward.starts_with("host-") && std::stoul(steward.substr(5)) < controllers_.size()) {
-        at = std::stoul(steward.substr(5));
+      const auto redirect_target = j.is_object() ? j.value("steward", std::string()) : "";
+      if (redirect_target.starts_with("host-") && std::stoul(redirect_target.substr(5)) < controllers_.size()) {
+        at = std::stoul(redirect_target.substr(5));
         next = now;
       }
     }
@@ -215,4 +216,4 @@
   }
 }
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/rig/worker.hpp
+++ b/testbed/worker.hpp
@@ -12,15 +12,15 @@
 #include <thread>
 #include <vector>
 
-#include "rig/checker.hpp"
-#include "rig/state_service.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/http.hpp"
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 
 // The protocol's times, shortened so that a run shows many leases; seconds.
 struct Times {
-  double report = 1.0, lease = 6.0, cancel = 20.0, pull = 0.2;
+  double heartbeat = 1.0, lease = 6.0, cancel = 20.0, pull = 0.2;
 };
 
 inline constexpr double kMachineCores = 8;
@@ -38,44 +38,44 @@
   // Direct commands do not reach it; answers to its reports do.
   void cut_commands(bool is) { commands_cut_ = is; }
   // Now and then a report comes once more, up to a few leases late, at any controller.
-  void copy_reports(bool on) { copies_ = on; }
+  void copy_heartbeats(bool on) { copies_ = on; }
   // Grows by one with each lease that lapsed.
-  [[nodiscard]] std::uint64_t tenure() {
+  [[nodiscard]] std::uint64_t agent_incarnation() {
     std::lock_guard lock(mutex_);
-    return tenure_;
+    return agent_incarnation_;
   }
   // Tasks on it that have not ended.
   [[nodiscard]] std::size_t holds() {
     std::lock_guard lock(mutex_);
-    return static_cast<std::size_t>(std::count_if(pieces_.begin(), pieces_.end(), [](const auto& p) { return !p.second.exited; }));
+    return static_cast<std::size_t>(std::count_if(tasks_.begin(), tasks_.end(), [](const auto& p) { return !p.second.exited; }));
   }
   // It goes, with all that is on it.
   void die();
 
  private:
-  struct Piece {
+  struct HeldTask {
     std::string uid;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     double at = 0, run_s = 0;  // steady seconds of the command
     bool service = false, on = false, exited = false;
-    std::string cause;
+    std::string exit_reason;
   };
   HttpReply on_call(const HttpCall& call);
-  void execute(const nlohmann::json& orders);
-  std::string report();
+  void execute(const nlohmann::json& commands);
+  std::string heartbeat();
   void progress(double now);
   void clear(double now);
   void live(std::stop_token stop);
 
-  std::string name_, zone_, address_ = testing_::free_address();
+  std::string name_, zone_, address_ = test_support::free_address();
   const std::vector<std::string>& controllers_;  // users' addresses
   Checker& checker_;
   Times times_;
   std::mt19937 random_;
   std::mutex mutex_;
-  std::map<std::string, Piece> pieces_;
-  std::uint64_t tenure_ = 1, serial_ = 0, epoch_ = 0;
+  std::map<std::string, HeldTask> tasks_;
+  std::uint64_t agent_incarnation_ = 1, serial_ = 0, fencing_token_ = 0;
   double lease_until_ = 0;
   std::atomic<double> hangs_until_{0}, deaf_until_{0};
   std::atomic<bool> copies_{false}, commands_cut_{false};
@@ -89,4 +89,4 @@
   std::jthread thread_, expiry_, copier_;
 };
 
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/tests/gap_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -3,21 +3,21 @@
 // longer than cancel_s after its user was told. docs/design.md, "Who may renew a lease in doubt".
 #include <gtest/gtest.h>
 
-#include "town.hpp"
+#include "cluster_fixture.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::wait;
+using test_support::wait;
 
-constexpr rig::Times kTimes{0.5, 4, 8, 0.1};  // report, lease, cancel, pull
-constexpr double kOutage = 13;                // longer than cancel_s and what an answer takes
+constexpr testbed::Times kTimes{0.5, 4, 8, 0.1};  // report, lease, cancel, pull
+constexpr double kOutage = 13;                    // longer than cancel_s and what an answer takes
 
-class Gap : public testing_::Town {
+class Gap : public test_support::ClusterFixture {
  protected:
-  Gap() : Town(kTimes) {}
+  Gap() : ClusterFixture(kTimes) {}
   void begin(std::size_t n, const std::string& site = "") {
-    Town::begin(n, 2, site);
+    ClusterFixture::begin(n, 2, site);
     for (const auto* uid : {"j-1", "j-2"}) {
       checker.submitted({uid, "red", "batch", "", 2, 1, 1000}, steady_now());
       ASSERT_TRUE(cluster->submit_until(uid, 20));
@@ -27,9 +27,9 @@
     first = cluster->leader();
   }
   // One try by way of this controller; whether its user is told that the job is cancelled.
-  bool withdraw(std::size_t node, const std::string& uid) {
+  bool withdraw(std::size_t replica, const std::string& uid) {
     checker.wants_withdrawn(uid);
-    const auto r = cluster->ask(node, "POST", "/v1/jobs/" + uid + "/withdraw");
+    const auto r = cluster->ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
     EXPECT_TRUE(r.is(200) || r.is(503)) << r.status << " " << r.body;
     if (r.is(200)) checker.told(uid, "aborted", steady_now());
     return r.is(200);
@@ -49,7 +49,7 @@
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k)
       if (theirs(i) != theirs(k)) part(i, k, true);
-  for (std::size_t i = 0; i < n; ++i) cluster->state.door(i).refuses = i != next;
+  for (std::size_t i = 0; i < n; ++i) cluster->state.endpoint(i).refuses = i != next;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() == next; }));
   bool told = false;
   for (const double until = steady_now() + 2; steady_now() < until; wait(0.1)) told = withdraw(next, "j-1") || told;
@@ -81,7 +81,7 @@
     ASSERT_TRUE(cluster->eventually(10, [&] { return running(uid) == 0; }));
     if (uid == std::string("j-1")) {
       EXPECT_TRUE(cluster->eventually(10, [&] { return running("j-2") == 2; }));
-      EXPECT_EQ(workers[0]->tenure() + workers[1]->tenure(), 2u) << "no lease lapsed in the outage";
+      EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease lapsed in the outage";
     }
   }
 }
@@ -112,19 +112,19 @@
   hang(1.5);
   ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(first, "j-1"); }));
   cluster->state.outage_at_reading = true;
-  cluster->state.door(first).refuses = true;
+  cluster->state.endpoint(first).refuses = true;
   wait(1.5 + kOutage);
   EXPECT_FALSE(cluster->state.outage_at_reading) << "it was read";
   cluster->state.outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return running("j-2") == 2; }));
-  EXPECT_EQ(workers[0]->tenure() + workers[1]->tenure(), 2u) << "no lease lapsed in the outage";
+  EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease lapsed in the outage";
 }
 
 // The successor has told, and ends inside the outage; it is back at once and leads nothing. Workers report to whom they can.
 TEST_F(Gap, TheSuccessorEndsInsideTheOutage) {
   begin(3, "x");
   for (auto& w : workers) w->cut_commands(true);
-  cluster->state.door(first).refuses = true;
+  cluster->state.endpoint(first).refuses = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return !cluster->state.leader().empty() && cluster->leader() != first; }));
   const auto next = cluster->leader();
   hang(2);
@@ -133,11 +133,11 @@
   wait(1.5);
   cluster->stop(next);
   wait(0.2);
-  cluster->start(next, testing_::one_level());
+  cluster->start(next, test_support::one_level());
   wait(kOutage);
   cluster->state.outage(false);
   EXPECT_TRUE(cluster->eventually(20, [&] { return running("j-2") == 2; }));
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,9 +1,9 @@
 // The rig's checker finds each rule broken, and nothing where none is.
-#include "rig/checker.hpp"
+#include "testbed/checker.hpp"
 
 #include <gtest/gtest.h>
 
-namespace thistle::rig {
+namespace thistlefront::testbed {
 namespace {
 
 class RigChecker : public testing::Test {
@@ -147,4 +147,4 @@
 }
 
 }  // namespace
-}  // namespace thistle::rig
+}  // namespace thistlefront::testbed
--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -3,17 +3,17 @@
 // after another leader could have given a newer one. docs/design.md, "What a freeze just there does".
 #include <gtest/gtest.h>
 
-#include "town.hpp"
+#include "cluster_fixture.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::status_in;
-using testing_::wait;
+using test_support::status_in;
+using test_support::wait;
 
-constexpr rig::Times kTimes{0.5, 4, 8, 0.05};  // report, lease, cancel, pull
-constexpr std::size_t kEnoughQuestions = 10;   // asked of a deposed leader in one trouble: more than this
-constexpr double kLongestTrouble = 20;         // seconds
+constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // report, lease, cancel, pull
+constexpr std::size_t kEnoughQuestions = 10;       // asked of a deposed leader in one trouble: more than this
+constexpr double kLongestTrouble = 20;             // seconds
 
 // What a leader answers while it leads is held up on its way through a follower, until the next leader has told a user something
 // newer. Neither the follower nor the first leader's connection to it gives the older one to its user then.
@@ -23,15 +23,15 @@
   const char *method, *path, *body;  // null: the submission of the job
   friend std::ostream& operator<<(std::ostream& out, const Held& h) { return out << h.name; }
 };
-class HeldAnswer : public testing_::Town, public testing::WithParamInterface<Held> {
+class HeldAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<Held> {
  protected:
-  HeldAnswer() : Town(kTimes) {}
+  HeldAnswer() : ClusterFixture(kTimes) {}
 };
 TEST_P(HeldAnswer, IsNotGivenAfterANewerOne) {
   const Held& held = GetParam();
-  Tuning tuning = testing_::one_level();
-  tuning.hold_ms = 500;  // another one leads well within the time for which a follower waits
-  begin(3, 0, "", tuning);
+  Options options = test_support::one_level();
+  options.leader_lease_ms = 500;  // another one leads well within the time for which a follower waits
+  begin(3, 0, "", options);
   bool met = false;
   for (int round = 1; round <= 4 && !met; ++round) {
     const std::string uid = "j-" + std::to_string(round);
@@ -49,11 +49,11 @@
     std::jthread user([&] {
       answer = held.method
                    ? cluster->ask(follower, held.method, "/v1/jobs/" + uid + held.path, "")
-                   : cluster->ask(follower, "POST", "/v1/jobs", held.body ? R"({"uid":")" + uid + held.body : testing_::job_body(uid));
+                   : cluster->ask(follower, "POST", "/v1/jobs", held.body ? R"({"uid":")" + uid + held.body : test_support::job_body(uid));
       answered = steady_now();
     });
     wait(0.1);
-    cluster->state.door(leader).refuses = cluster->state.door(follower).refuses = true;
+    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = true;
     std::string newer;
     cluster->eventually(1.4, [&] {
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
@@ -71,7 +71,7 @@
     if (met) {
       EXPECT_TRUE(answer.is(503)) << held.name << ": " << answer.status << " " << answer.body << " after " << newer;
     }
-    cluster->state.door(leader).refuses = cluster->state.door(follower).refuses = false;
+    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = false;
     relays.at({next, follower})->cut(false);
   }
   EXPECT_TRUE(met) << "the answer was held while another one led";
@@ -83,13 +83,13 @@
                                          Held{"malformed", false, nullptr, nullptr, "\",\"pieces\":-1}"}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-class CloseLooks : public testing_::Town, public testing::WithParamInterface<std::size_t> {
+class CloseLooks : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
  protected:
-  CloseLooks() : Town(kTimes) {}
-  void look(const std::string& uid, std::size_t node, bool submission) {
-    const bool at_deposed = deposed == node && newer_told.load();
-    const auto status = submission ? submit(node, uid) : poll(node, uid);
-    if (at_deposed && deposed == node) ++asked_deposed;
+  CloseLooks() : ClusterFixture(kTimes) {}
+  void look(const std::string& uid, std::size_t replica, bool submission) {
+    const bool at_deposed = deposed == replica && newer_told.load();
+    const auto status = submission ? submit(replica, uid) : poll(replica, uid);
+    if (at_deposed && deposed == replica) ++asked_deposed;
     if (status == "done" || status == "aborted") ++told_ended;
   }
   // At all nodes at once, again and again, submissions repeated among them.
@@ -117,8 +117,8 @@
       newer_told = true;
       if (!cancels || random() % 2) look_everywhere(uid);
       for (const double until = steady_now() + 6; steady_now() < until && !over; wait(0.02)) {
-        const auto node = random() % cluster->users.size();
-        const auto status = cancels ? withdraw(node, uid) : poll(node, uid);
+        const auto replica = random() % cluster->users.size();
+        const auto status = cancels ? withdraw(replica, uid) : poll(replica, uid);
         if (status != "done" && status != "aborted") continue;
         look_everywhere(uid);
         break;
@@ -157,26 +157,26 @@
     wait(1);
   };
   auto leader = cluster->leader();
-  away(leader, 1, 0, [&](bool is) { cluster->state.door(leader).refuses = is; });
+  away(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).refuses = is; });
   leader = cluster->leader();
   // It reaches nobody but its workers and users.
   away(leader, 3, kEnoughQuestions + 1, [&](bool is) {
     part(leader, is);
-    cluster->state.door(leader).refuses = is;
+    cluster->state.endpoint(leader).refuses = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "asked while it is parted and another one leads";
   leader = cluster->leader();
   // What it sends is carried out, and no answer comes: it stands still towards the state service, and is parted.
   away(leader, 2, kEnoughQuestions + 1, [&](bool is) {
     part(leader, is);
-    cluster->state.door(leader).frozen = is;
+    cluster->state.endpoint(leader).frozen = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "asked while nothing answers it and another one leads";
   for (const double pause : {0.05, 0.0}) {
     leader = cluster->leader();
     cluster->stop(leader);
     wait(pause);
-    cluster->start(leader, testing_::one_level());
+    cluster->start(leader, test_support::one_level());
     wait(1);
   }
   over = true;
@@ -206,7 +206,7 @@
           cluster->eventually(6, [&] { return checker.ended_tasks(uid) == 2; });
           wait(0.001 * (random() % 60));
         }
-        std::jthread asks([&, node = random() % GetParam()] { look(uid, node, false), look(uid, node, true); });
+        std::jthread asks([&, replica = random() % GetParam()] { look(uid, replica, false), look(uid, replica, true); });
         std::string status;
         while (status.empty()) status = withdraw(random() % GetParam(), uid);
         asks.join();
@@ -223,4 +223,4 @@
 INSTANTIATE_TEST_SUITE_P(Controllers, CloseLooks, testing::Values(3, 5));
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -5,14 +5,16 @@
 
 #include <cstdlib>
 
-#include "coordination/controller.hpp"
+#include "controller/controller.hpp"
+#include "model/ledger_records.hpp"
 #include "protocol/messages.hpp"
-#include "rig/state_service.hpp"
+#include "testbed/fake_state_store.hpp"
 
-namespace thistle::testing_ {
+namespace thistlefront::test_support {
 
-inline constexpr const char* kFlavors = R"({"hostKinds":[{"sku":"big","cores":8,"accelerators":0,"ramGb":32,"cacheGb":50,"fetchGbPerS":1,)"
-                                        R"("price":1,"marketPrice":0.5,"bootS":30,"yards":["x"]}]})";
+inline constexpr const char* kMachineTypes =
+    R"({"hostKinds":[{"sku":"big","cores":8,"accelerators":0,"ramGb":32,"cacheGb":50,"fetchGbPerS":1,)"
+    R"("price":1,"marketPrice":0.5,"bootS":30,"yards":["x"]}]})";
 
 inline std::string job_body(const std::string& uid) {
   return R"({"uid":")" + uid +
@@ -22,9 +24,10 @@
 }
 
 // Of an ordinary machine without tasks, in zone x.
-inline std::string report_body(const std::string& machine, const std::string& address, std::uint64_t serial, std::uint64_t epoch) {
+inline std::string heartbeat_body(const std::string& machine, const std::string& address, std::uint64_t serial,
+                                  std::uint64_t fencing_token) {
   return R"({"host":")" + machine + R"(","address":")" + address + R"(","hostKind":"big","yard":"x","loaners":false,"tenure":1,"serial":)" +
-         std::to_string(serial) + R"(,"epoch":)" + std::to_string(epoch) + R"(,"recallS":null,"pieces":[]})";
+         std::to_string(serial) + R"(,"epoch":)" + std::to_string(fencing_token) + R"(,"recallS":null,"pieces":[]})";
 }
 
 // What a user is told by an answer, as the rig's checker takes it; empty: nothing.
@@ -36,21 +39,21 @@
 }
 
 // Tests that are not of state levels keep to one. All of them are run twice: with report intake and without (CMakeLists.txt).
-inline Tuning one_level() {
-  Tuning t;
-  t.state_level_soak_s = 600;
-  t.relay_mode = std::getenv("THISTLEFRONT_TEST_INTAKE") != nullptr ? IntakeMode::on : IntakeMode::off;
+inline Options one_level() {
+  Options t;
+  t.format_version_soak_s = 600;
+  t.relay_mode = std::getenv("THISTLEFRONT_TEST_HEARTBEAT_RELAY") != nullptr ? RelayMode::on : RelayMode::off;
   return t;
 }
 
 class Cluster {
  public:
   // `tunings`: one for each controller, or one for all. `change`: is given the settings before any controller starts.
-  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Tuning>& tunings = {one_level()},
+  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& tunings = {one_level()},
                    const std::function<void(std::vector<Settings>&)>& change = {}, const HttpServer::Handler& cloud = {})
       : state(n, seed), cloud_address_(free_address()), cloud_(cloud_address_, 20, [cloud](const HttpCall& c) -> HttpReply {
           if (cloud) return cloud(c);
-          if (c.target == kFlavorsPath) return {200, kFlavors};
+          if (c.target == kMachineTypesPath) return {200, kMachineTypes};
           if (c.method == "GET") return {200, R"({"hosts":[],"truncated":false})"};
           return {503, R"({"error":"no capacity"})"};
         }) {
@@ -62,10 +65,10 @@
       s.label = "host-" + std::to_string(i);
       s.client_listen = free_address();
       s.peer_listen = free_address();
-      s.store_address = state.door(i).address;
+      s.store_address = state.endpoint(i).address;
       s.cloud_address = cloud_address_;
       s.teams = {{"red", {}, {}}};
-      s.report_s = 1, s.lease_s = 5, s.gang_wait_s = 20, s.gang_peer_s = 3, s.cancel_s = 20;
+      s.heartbeat_interval_s = 1, s.lease_s = 5, s.gang_wait_s = 20, s.gang_peer_s = 3, s.cancel_s = 20;
       s.state_rps = 1000, s.state_write_rps = 200, s.value_kb = 8, s.txn_ops = 16;
       s.cloud_rps = 10, s.list_lag_s = 1, s.max_sockets = 400;
     }
@@ -75,42 +78,42 @@
       users.push_back(all[i].client_listen);
     }
     if (change) change(all);
-    nodes_.resize(n);
+    replicas_.resize(n);
     for (std::size_t i = 0; i < n; ++i) start(i, tunings[std::min(i, tunings.size() - 1)]);
   }
   ~Cluster() {
     for (std::size_t i = 0; i < users.size(); ++i) {
-      auto& d = state.door(i);
+      auto& d = state.endpoint(i);
       d.refuses = d.frozen = false;
       d.loses = d.late = d.repeats = 0;
     }
-    for (auto& node : nodes_) node.thread.request_stop();
+    for (auto& replica : replicas_) replica.thread.request_stop();
   }
   // A controller begins anew, with other flags or as another build.
-  void start(std::size_t i, const Tuning& tuning) {
+  void start(std::size_t i, const Options& options) {
     stop(i);
-    nodes_[i].controller = std::make_unique<Controller>(settings_[i], tuning);
-    nodes_[i].thread = std::jthread([c = nodes_[i].controller.get()](std::stop_token st) { c->run(st); });
+    replicas_[i].controller = std::make_unique<Controller>(settings_[i], options);
+    replicas_[i].thread = std::jthread([c = replicas_[i].controller.get()](std::stop_token st) { c->run(st); });
   }
   void stop(std::size_t i) {
-    nodes_[i].thread = {};
-    nodes_[i].controller.reset();
+    replicas_[i].thread = {};
+    replicas_[i].controller.reset();
   }
   // A line of a controller's metrics; empty when it is not there.
-  std::string metric(std::size_t node, const std::string& name) const {
-    const auto text = "\n" + ask(node, "GET", "/metrics").body;
+  std::string metric(std::size_t replica, const std::string& name) const {
+    const auto text = "\n" + ask(replica, "GET", "/metrics").body;
     const auto at = text.find("\nthistlefront_" + name);
     return at == std::string::npos ? "" : text.substr(at + 1, text.find('\n', at + 1) - at - 1);
   }
   // Of a controller, from its next start on.
   Settings& settings(std::size_t i) { return settings_[i]; }
-  std::string level() { return state.value(kLevelKey); }
+  std::string format_version() { return state.value(kActiveVersionKey); }
 
-  HttpResult ask(std::size_t node, const std::string& method, const std::string& path, const std::string& body = "") const {
-    HttpClient client(users[node]);
+  HttpResult ask(std::size_t replica, const std::string& method, const std::string& path, const std::string& body = "") const {
+    HttpClient client(users[replica]);
     return client.call(method, path, body, 5);
   }
-  HttpResult submit(std::size_t node, const std::string& uid) const { return ask(node, "POST", "/v1/jobs", job_body(uid)); }
+  HttpResult submit(std::size_t replica, const std::string& uid) const { return ask(replica, "POST", "/v1/jobs", job_body(uid)); }
   // Until some controller accepts it; false when none did in time.
   bool submit_until(const std::string& uid, double within_s) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
@@ -144,22 +147,22 @@
     std::map<std::string, int> out;
     for (const auto& [key, value] : state.entries())
       for (const auto& r : parse_entry(value).records)
-        if (const auto* a = std::get_if<AcceptRecord>(&r)) ++out[a->job.uid];
+        if (const auto* a = std::get_if<JobAcceptedRecord>(&r)) ++out[a->job.uid];
     return out;
   }
 
-  StateService state;
+  FakeStateStore state;
   std::vector<std::string> users;
 
  private:
   std::string cloud_address_;
   HttpServer cloud_;
-  struct Node {
+  struct Replica {
     std::unique_ptr<Controller> controller;
     std::jthread thread;
   };
   std::vector<Settings> settings_;
-  std::vector<Node> nodes_;
+  std::vector<Replica> replicas_;
 };
 
-}  // namespace thistle::testing_
+}  // namespace thistlefront::test_support
--- a/tests/town.hpp
+++ b/tests/cluster_fixture.hpp
@@ -1,40 +1,40 @@
 // Real controllers on loopback with the network between them, machines that keep to the protocol, and the rig's checker.
 #pragma once
 #include "cluster.hpp"
-#include "rig/checker.hpp"
-#include "rig/relay.hpp"
-#include "rig/worker.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/network_relay.hpp"
+#include "testbed/worker.hpp"
 #include "transport/threads.hpp"
 
-namespace thistle::testing_ {
+namespace thistlefront::test_support {
 
 inline void wait(double seconds) {
   std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
 }
 
-class Town : public testing::Test {
+class ClusterFixture : public testing::Test {
  protected:
-  explicit Town(rig::Times t) : times(t), checker({{"red", 1000}}, t.cancel) {}
+  explicit ClusterFixture(testbed::Times t) : times(t), checker({{"red", 1000}}, t.cancel) {}
   // `site`: of all controllers; the machines are in zone x.
-  void begin(std::size_t n, std::size_t machines, const std::string& site = "", const Tuning& tuning = one_level()) {
+  void begin(std::size_t n, std::size_t machines, const std::string& site = "", const Options& options = one_level()) {
     cluster = std::make_unique<Cluster>(
-        n, 1, std::vector<Tuning>{tuning},
+        n, 1, std::vector<Options>{options},
         [&](auto& settings) {
           for (std::size_t i = 0; i < n; ++i) {
             Settings& s = settings[i];
             s.site = site;
-            s.report_s = times.report, s.lease_s = times.lease, s.cancel_s = times.cancel;
+            s.heartbeat_interval_s = times.heartbeat, s.lease_s = times.lease, s.cancel_s = times.cancel;
             for (auto& peer : s.peers) {
               const std::size_t k = std::stoul(peer.label.substr(5));
               peer.site = site;
-              relays[{i, k}] = std::make_unique<rig::Relay>(peer.address);
+              relays[{i, k}] = std::make_unique<testbed::Relay>(peer.address);
               peer.address = relays[{i, k}]->address();
             }
           }
         },
         cloud);
     for (std::size_t i = 0; i < machines; ++i)
-      workers.push_back(std::make_unique<rig::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, 7 + i));
+      workers.push_back(std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, 7 + i));
     ticker = std::jthread([this](std::stop_token stop) {
       while (pause_for(stop, 0.02)) checker.tick(steady_now());
     });
@@ -55,14 +55,14 @@
     if (!status.empty()) checker.told(uid, status, sent, steady_now());
     return status;
   }
-  std::string poll(std::size_t node, const std::string& uid) {
-    return told(uid, [&] { return cluster->ask(node, "GET", "/v1/jobs/" + uid); });
+  std::string poll(std::size_t replica, const std::string& uid) {
+    return told(uid, [&] { return cluster->ask(replica, "GET", "/v1/jobs/" + uid); });
   }
-  std::string submit(std::size_t node, const std::string& uid) {
-    return told(uid, [&] { return cluster->submit(node, uid); });
+  std::string submit(std::size_t replica, const std::string& uid) {
+    return told(uid, [&] { return cluster->submit(replica, uid); });
   }
-  std::string withdraw(std::size_t node, const std::string& uid) {
-    return told(uid, [&] { return cluster->ask(node, "POST", "/v1/jobs/" + uid + "/withdraw"); });
+  std::string withdraw(std::size_t replica, const std::string& uid) {
+    return told(uid, [&] { return cluster->ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw"); });
   }
   std::size_t running(const std::string& uid) {
     const auto r = cluster->ask(cluster->leader(), "GET", "/v1/jobs/" + uid);
@@ -83,12 +83,12 @@
   }
 
   HttpServer::Handler cloud;  // in place of one that has no machines
-  const rig::Times times;
-  rig::Checker checker;
-  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<rig::Relay>> relays;
+  const testbed::Times times;
+  testbed::Checker checker;
+  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::Relay>> relays;
   std::unique_ptr<Cluster> cluster;
-  std::vector<std::unique_ptr<rig::Worker>> workers;
+  std::vector<std::unique_ptr<testbed::Worker>> workers;
   std::jthread ticker;
 };
 
-}  // namespace thistle::testing_
+}  // namespace thistlefront::test_support
--- a/tests/levels_test.cpp
+++ b/tests/format_versions_test.cpp
@@ -2,7 +2,7 @@
 // service, and every interleaving (up to a number of events) of looks, transactions that are late or lost or
 // whose answers are, ends of holds, ends and beginnings of processes, roll-outs forward and back. The steps
 // are the very ones that the service sends.
-#include "rollout/levels.hpp"
+#include "rollout/format_versions.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,12 +12,12 @@
 #include <set>
 #include <unordered_set>
 
-namespace thistle::rollout {
+namespace thistlefront::rollout {
 namespace {
 
 enum class Build : std::uint8_t { before_levels, reads_one, held_at_one, reads_two, reads_three, reads_four };
 
-Able able_of(Build build, std::uint64_t incarnation) {
+SupportedVersions supported_versions_of(Build build, std::uint64_t incarnation) {
   switch (build) {
     case Build::before_levels: return {};
     case Build::reads_one: return {1, 1, 1, incarnation, "a"};
@@ -30,11 +30,11 @@
 
 struct Key {
   std::string value;
-  std::uint64_t stamp = 0, hold = 0;
+  std::uint64_t mod_revision = 0, session_lease = 0;
 };
 struct Term {
-  std::uint64_t epoch = 0, hold = 0;
-  LevelOn level;
+  std::uint64_t fencing_token = 0, session_lease = 0;
+  ActiveVersion format_version;
 };
 struct Sent {  // a transaction on its way
   std::size_t from = 0;
@@ -55,39 +55,41 @@
 
 struct World {
   std::map<std::string, Key> keys;
-  std::uint64_t rev = 0, holds = 0;
+  std::uint64_t revision = 0, holds = 0;
   std::set<std::uint64_t> alive;  // holds
-  std::vector<Process> nodes{kControllers};
+  std::vector<Process> replicas{kControllers};
   std::vector<Sent> sent;
 
   // Equal but for the revisions' and holds' numbers.
   [[nodiscard]] std::string text() const {
-    std::map<std::uint64_t, std::size_t> stamps, hold_names;
+    std::map<std::uint64_t, std::size_t> mod_revisions, hold_names;
     const auto note = [](auto& names, std::uint64_t n) { names.emplace(n, 0); };
-    note(stamps, 0), note(hold_names, 0);
-    for (const auto& [k, v] : keys) note(stamps, v.stamp), note(hold_names, v.hold);
-    for (const auto& n : nodes)
-      if (n.term) note(stamps, n.term->epoch), note(hold_names, n.term->hold);
+    note(mod_revisions, 0), note(hold_names, 0);
+    for (const auto& [k, v] : keys) note(mod_revisions, v.mod_revision), note(hold_names, v.session_lease);
+    for (const auto& n : replicas)
+      if (n.term) note(mod_revisions, n.term->fencing_token), note(hold_names, n.term->session_lease);
     for (const auto& s : sent) {
-      for (const auto& c : s.step.conditions) note(stamps, c.stamp);
-      for (const auto& p : s.step.puts) note(hold_names, p.hold);
+      for (const auto& c : s.step.conditions) note(mod_revisions, c.mod_revision);
+      for (const auto& p : s.step.puts) note(hold_names, p.session_lease);
     }
     std::size_t i = 0;
-    for (auto& [n, name] : stamps) name = i++;
+    for (auto& [n, name] : mod_revisions) name = i++;
     i = 0;
     for (auto& [n, name] : hold_names) name = i++;
     std::string out;
     const auto add = [&](auto n) { out += std::to_string(n) + ","; };
-    for (const auto& [k, v] : keys) out += k + v.value, add(stamps.at(v.stamp)), add(hold_names.at(v.hold));
+    for (const auto& [k, v] : keys) out += k + v.value, add(mod_revisions.at(v.mod_revision)), add(hold_names.at(v.session_lease));
     for (const auto& [n, name] : hold_names) add(alive.contains(n));
-    for (const auto& n : nodes) {
+    for (const auto& n : replicas) {
       out += "|", add(n.up), add(static_cast<int>(n.build)), add(n.incarnation);
-      if (n.term) add(stamps.at(n.term->epoch)), add(hold_names.at(n.term->hold)), out += level_value(n.term->level);
+      if (n.term)
+        add(mod_revisions.at(n.term->fencing_token)), add(hold_names.at(n.term->session_lease)),
+            out += active_version_value(n.term->format_version);
     }
     for (const auto& s : sent) {
       out += "/", add(s.from), add(s.incarnation);
-      for (const auto& c : s.step.conditions) out += c.key, add(stamps.at(c.stamp));
-      for (const auto& p : s.step.puts) out += p.key + p.value, add(hold_names.at(p.hold));
+      for (const auto& c : s.step.conditions) out += c.key, add(mod_revisions.at(c.mod_revision));
+      for (const auto& p : s.step.puts) out += p.key + p.value, add(hold_names.at(p.session_lease));
       for (const auto& r : s.step.removes) out += "-" + r;
     }
     return out;
@@ -95,32 +97,32 @@
   [[nodiscard]] std::vector<Row> rows(const std::string& prefix) const {
     std::vector<Row> out;
     for (const auto& [k, v] : keys)
-      if (k.starts_with(prefix)) out.push_back({k, v.value, v.stamp});
+      if (k.starts_with(prefix)) out.push_back({k, v.value, v.mod_revision});
     return out;
   }
-  [[nodiscard]] bool entries_of(std::uint32_t level) const { return keys.contains(kEntriesOf[level]); }
+  [[nodiscard]] bool entries_of(std::uint32_t format_version) const { return keys.contains(kEntriesOf[format_version]); }
   // Of another level than this one, and above it.
-  [[nodiscard]] std::vector<std::string> entries_beside(std::uint32_t level, std::uint32_t from = 1) const {
+  [[nodiscard]] std::vector<std::string> entries_beside(std::uint32_t format_version, std::uint32_t from = 1) const {
     std::vector<std::string> out;
-    for (std::uint32_t l = from; l <= kMostLevel; ++l)
-      if (l != level && entries_of(l)) out.push_back(kEntriesOf[l]);
+    for (std::uint32_t l = from; l <= kMaxFormatVersion; ++l)
+      if (l != format_version && entries_of(l)) out.push_back(kEntriesOf[l]);
     return out;
   }
-  [[nodiscard]] Look look() const { return rollout::look(rows(kLeadPrefix)); }
-  void end_hold(std::uint64_t hold) {
-    alive.erase(hold);
-    std::erase_if(keys, [&](const auto& k) { return k.second.hold == hold; });
+  [[nodiscard]] LeadershipSnapshot snapshot() const { return rollout::parse_leadership_keys(rows(kLeadershipPrefix)); }
+  void end_hold(std::uint64_t session_lease) {
+    alive.erase(session_lease);
+    std::erase_if(keys, [&](const auto& k) { return k.second.session_lease == session_lease; });
   }
   // Applied or refused, as the state service does.
   bool execute(const Step& step) {
     for (const auto& c : step.conditions) {
       const auto it = keys.find(c.key);
-      if ((it == keys.end() ? 0 : it->second.stamp) != c.stamp) return false;
+      if ((it == keys.end() ? 0 : it->second.mod_revision) != c.mod_revision) return false;
     }
     for (const auto& p : step.puts)
-      if (p.hold != 0 && !alive.contains(p.hold)) return false;
-    ++rev;
-    for (const auto& p : step.puts) keys[p.key] = {p.value, rev, p.hold};
+      if (p.session_lease != 0 && !alive.contains(p.session_lease)) return false;
+    ++revision;
+    for (const auto& p : step.puts) keys[p.key] = {p.value, revision, p.session_lease};
     for (const auto& r : step.removes) keys.erase(r);
     return true;
   }
@@ -167,7 +169,7 @@
  private:
   using Found = std::function<void(World, const std::string&, const std::string&)>;
 
-  static std::uint64_t new_hold(World& w) {
+  static std::uint64_t new_session_lease(World& w) {
     w.alive.insert(++w.holds);
     return w.holds;
   }
@@ -176,29 +178,31 @@
   std::string judge(const World& before, const World& after, const Sent& s) {
     const auto held = [&](const char* key) {
       const auto it = after.keys.find(key);
-      return it != after.keys.end() && it->second.hold != 0;
+      return it != after.keys.end() && it->second.session_lease != 0;
     };
-    if (held(kLeaderKey) && held(kLeadKey)) return "two keys of the lead are held";
-    const Able able = able_of(s.build, 0);
-    for (std::uint32_t level = 1; level <= kMostLevel; ++level)
-      if (s.takes_lead && before.entries_of(level) && level > able.most) return "a build leads that can't read the ledger";
+    if (held(kLeaderKeyV1) && held(kLeaderKeyV2)) return "two keys of the lead are held";
+    const SupportedVersions supported_versions = supported_versions_of(s.build, 0);
+    for (std::uint32_t format_version = 1; format_version <= kMaxFormatVersion; ++format_version)
+      if (s.takes_lead && before.entries_of(format_version) && format_version > supported_versions.most)
+        return "a build leads that can't read the ledger";
     // Its own record in the roster it may write.
-    if (s.step.kind != Step::Kind::note && before.look().on.level > able.most)
+    if (s.step.kind != Step::Kind::note && before.snapshot().on.format_version > supported_versions.most)
       return "an older build wrote under a level that it does not have";
     if (s.step.kind == Step::Kind::raise)
       for (const auto& label : kLabels) {
-        const auto roster = roster_of(before.rows(kRosterPrefix));
-        if (!roster.contains(label) || roster.at(label).able.most < s.step.after.level) return "switched on though " + label + " lacks it";
+        const auto registry = parse_registry(before.rows(kRegistryPrefix));
+        if (!registry.contains(label) || registry.at(label).supported_versions.most < s.step.after.format_version)
+          return "switched on though " + label + " lacks it";
       }
-    if (s.step.kind == Step::Kind::lowered && !before.entries_beside(0, s.step.after.level + 1).empty())
+    if (s.step.kind == Step::Kind::lowered && !before.entries_beside(0, s.step.after.format_version + 1).empty())
       return "lowered over entries of the higher level";
     return "";
   }
 
   void send(World w, std::size_t from, Step step, const std::string& event, const Found& found, bool takes_lead = false) {
     if (w.sent.size() >= most_sent) return;
-    const auto& node = w.nodes[from];
-    w.sent.push_back({from, node.incarnation, takes_lead, node.build, std::move(step)});
+    const auto& replica = w.replicas[from];
+    w.sent.push_back({from, replica.incarnation, takes_lead, replica.build, std::move(step)});
     found(std::move(w), event, "");
   }
 
@@ -211,106 +215,108 @@
         const bool done = w.execute(s.step);
         if (done) applied.insert(s.step.kind);
         const auto wrong = done ? judge(world, w, s) : "";
-        auto& node = w.nodes[s.from];
-        if (answered && node.up && node.incarnation == s.incarnation) take_in(w, node, s, done);
+        auto& replica = w.replicas[s.from];
+        if (answered && replica.up && replica.incarnation == s.incarnation) take_in(w, replica, s, done);
         found(std::move(w), std::string(done ? "applied" : "refused") + (answered ? "" : " unheard") + " of " + kLabels[s.from], wrong);
       }
       World lost = world;
       lost.sent.erase(lost.sent.begin() + static_cast<long>(t));
       found(std::move(lost), "lost of " + kLabels[s.from], "");
     }
-    for (const auto hold : world.alive) {
+    for (const auto session_lease : world.alive) {
       World w = world;
-      w.end_hold(hold);
+      w.end_hold(session_lease);
       found(std::move(w), "a hold ends", "");
     }
     for (std::size_t i = 0; i < kControllers; ++i) of_node(world, i, found);
   }
 
-  static void take_in(World& w, Process& node, const Sent& s, bool done) {
+  static void take_in(World& w, Process& replica, const Sent& s, bool done) {
     if (s.takes_lead) {
-      if (done) node.term = Term{w.rev, s.step.puts.front().hold, s.step.after};
+      if (done) replica.term = Term{w.revision, s.step.puts.front().session_lease, s.step.after};
       return;
     }
-    if (!node.term) return;
+    if (!replica.term) return;
     if (done) {
-      if (s.step.raises_epoch()) node.term->epoch = w.rev;
-      if (s.step.sets_level()) node.term->level = s.step.after;
+      if (s.step.raises_token()) replica.term->fencing_token = w.revision;
+      if (s.step.sets_version()) replica.term->format_version = s.step.after;
       return;
     }
     // As Controller::take_step does.
-    const Look look = w.look();
-    if (!look.leader || look.leader->incarnation != s.incarnation || look.leader_stamp < node.term->epoch) {
-      node.term.reset();
+    const LeadershipSnapshot snapshot = w.snapshot();
+    if (!snapshot.leader || snapshot.leader->incarnation != s.incarnation || snapshot.leader_mod_revision < replica.term->fencing_token) {
+      replica.term.reset();
     } else {
-      node.term->epoch = look.leader_stamp;
-      node.term->level = look.on;
+      replica.term->fencing_token = snapshot.leader_mod_revision;
+      replica.term->format_version = snapshot.on;
     }
   }
 
   void of_node(const World& world, std::size_t i, const Found& found) {
-    const auto& node = world.nodes[i];
-    if (node.up) {
+    const auto& replica = world.replicas[i];
+    if (replica.up) {
       World w = world;
-      w.nodes[i].up = false;
-      w.nodes[i].term.reset();
+      w.replicas[i].up = false;
+      w.replicas[i].term.reset();
       found(std::move(w), kLabels[i] + " ends", "");
     } else {
       for (const Build build : builds) {
         World w = world;
-        auto& n = w.nodes[i];
+        auto& n = w.replicas[i];
         n = {true, build, n.incarnation + 1, {}};
         found(std::move(w), kLabels[i] + " begins as build " + std::to_string(static_cast<int>(build)), "");
       }
       return;
     }
-    const Able able = able_of(node.build, node.incarnation);
-    const auto roster = roster_of(world.rows(kRosterPrefix));
-    if (node.build != Build::before_levels) {
-      const auto it = roster.find(kLabels[i]);
-      const auto step = enlist(kLabels[i], able, it == roster.end() ? nullptr : &it->second);
+    const SupportedVersions supported_versions = supported_versions_of(replica.build, replica.incarnation);
+    const auto registry = parse_registry(world.rows(kRegistryPrefix));
+    if (replica.build != Build::before_levels) {
+      const auto it = registry.find(kLabels[i]);
+      const auto step = registration_step(kLabels[i], supported_versions, it == registry.end() ? nullptr : &it->second);
       if (step.kind != Step::Kind::none) send(world, i, step, kLabels[i] + " enlists", found);
     }
-    const Look look = world.look();
-    const LeaderValue value{kLabels[i], node.incarnation};
-    if (!node.term) {
+    const LeadershipSnapshot snapshot = world.snapshot();
+    const LeaderValue value{kLabels[i], replica.incarnation};
+    if (!replica.term) {
       World w = world;
-      const auto hold = new_hold(w);
-      if (node.build == Build::before_levels) {
+      const auto session_lease = new_session_lease(w);
+      if (replica.build == Build::before_levels) {
         Step step;
-        step.conditions = {{kLeaderKey, 0}};
-        step.puts = {{kLeaderKey, leader_value(value), hold}};
-        if (!world.keys.contains(kLeaderKey)) send(std::move(w), i, step, kLabels[i] + " wants the lead", found, true);
-      } else if (auto step = take_lead(look, able, value, hold); step && !look.leader) {
+        step.conditions = {{kLeaderKeyV1, 0}};
+        step.puts = {{kLeaderKeyV1, leader_value(value), session_lease}};
+        if (!world.keys.contains(kLeaderKeyV1)) send(std::move(w), i, step, kLabels[i] + " wants the lead", found, true);
+      } else if (auto step = acquire_leadership_step(snapshot, supported_versions, value, session_lease); step && !snapshot.leader) {
         if (faults_.in_take) faults_.in_take(*step);
         send(std::move(w), i, std::move(*step), kLabels[i] + " wants the lead", found, true);
       }
       return;
     }
-    const Term& term = *node.term;
+    const Term& term = *replica.term;
     // It writes an entry, or the last ones of another level anew.
     Step commit;
-    commit.after = term.level;
-    commit.conditions = {{lead_key(term.level.level), term.epoch}};
-    const auto writes = term.level.writes();
+    commit.after = term.format_version;
+    commit.conditions = {{leader_key_for(term.format_version.format_version), term.fencing_token}};
+    const auto writes = term.format_version.writes();
     if (!world.entries_of(writes)) {
       commit.puts = {{kEntriesOf[writes], "{}", 0}};
       send(world, i, commit, kLabels[i] + " writes", found);
     }
     const auto beside = world.entries_beside(writes);
-    const bool old_entries = !beside.empty();
-    if (old_entries && world.entries_of(writes)) {
+    const bool has_old_entries = !beside.empty();
+    if (has_old_entries && world.entries_of(writes)) {
       commit.puts.clear();
       commit.removes = beside;
       send(world, i, commit, kLabels[i] + " has written all anew", found);
     }
-    if (node.build == Build::before_levels) return;
-    std::map<std::string, Able> answers;
+    if (replica.build == Build::before_levels) return;
+    std::map<std::string, SupportedVersions> answers;
     for (std::size_t p = 0; p < kControllers; ++p)
-      if (p != i && world.nodes[p].up) answers[kLabels[p]] = able_of(world.nodes[p].build, world.nodes[p].incarnation);
-    if (look.leader_stamp != term.epoch) return;
-    Step step = next_step(look, roster, kLabels, answers,
-                          {value, term.epoch, term.hold, term.level, old_entries && !faults_.forgets_old_entries, {}}, 0, 0);
+      if (p != i && world.replicas[p].up)
+        answers[kLabels[p]] = supported_versions_of(world.replicas[p].build, world.replicas[p].incarnation);
+    if (snapshot.leader_mod_revision != term.fencing_token) return;
+    Step step = next_step(
+        snapshot, registry, kLabels, answers,
+        {value, term.fencing_token, term.session_lease, term.format_version, has_old_entries && !faults_.forgets_old_entries, {}}, 0, 0);
     if (step.kind == Step::Kind::none) return;
     if (step.kind == Step::Kind::raise && faults_.in_raise) faults_.in_raise(step);
     if (step.kind == Step::Kind::lowered && faults_.in_lowered) faults_.in_lowered(step);
@@ -322,21 +328,22 @@
 };
 
 // All are of a build, listed, and one leads at this level, with an entry written.
-World led(std::uint32_t level, Build build, bool ready) {
+World led(std::uint32_t format_version, Build build, bool ready) {
   World w;
   for (std::size_t i = 0; i < kControllers; ++i) {
-    w.nodes[i] = {true, build, 100 * i + 1, {}};
-    w.keys[kRosterPrefix + kLabels[i]] = {able_value(able_of(build, w.nodes[i].incarnation)), ++w.rev, 0};
+    w.replicas[i] = {true, build, 100 * i + 1, {}};
+    w.keys[kRegistryPrefix + kLabels[i]] = {supported_versions_value(supported_versions_of(build, w.replicas[i].incarnation)), ++w.revision,
+                                            0};
   }
   w.alive.insert(++w.holds);
-  if (level > 1) {
-    w.keys[kLevelKey] = {level_value({level, 0}), ++w.rev, 0};
-    w.keys[kLeaderKey] = {parked_leader_value(level), ++w.rev, 0};
+  if (format_version > 1) {
+    w.keys[kActiveVersionKey] = {active_version_value({format_version, 0}), ++w.revision, 0};
+    w.keys[kLeaderKeyV1] = {parked_leader_value(format_version), ++w.revision, 0};
   }
-  w.keys[lead_key(level)] = {leader_value({"a", w.nodes[0].incarnation}), ++w.rev, 1};
-  w.nodes[0].term = Term{w.rev, 1, {level, 0}};
-  w.keys[kEntriesOf[level]] = {"{}", ++w.rev, 0};
-  if (ready) w.keys[kReadyKey] = {ready_value({level + 1, 0}), ++w.rev, 0};
+  w.keys[leader_key_for(format_version)] = {leader_value({"a", w.replicas[0].incarnation}), ++w.revision, 1};
+  w.replicas[0].term = Term{w.revision, 1, {format_version, 0}};
+  w.keys[kEntriesOf[format_version]] = {"{}", ++w.revision, 0};
+  if (ready) w.keys[kVersionReadinessKey] = {version_readiness_value({format_version + 1, 0}), ++w.revision, 0};
   return w;
 }
 
@@ -352,7 +359,7 @@
   EXPECT_TRUE(up.applied.contains(Step::Kind::not_ready));
   Explorer from_nothing({});
   World empty;
-  for (std::size_t i = 0; i < kControllers; ++i) empty.nodes[i].incarnation = 100 * i + 1;
+  for (std::size_t i = 0; i < kControllers; ++i) empty.replicas[i].incarnation = 100 * i + 1;
   EXPECT_EQ(from_nothing.run(empty, 7), "");
   Explorer down({});
   down.builds = {Build::before_levels, Build::held_at_one};
@@ -369,7 +376,7 @@
   EXPECT_TRUE(upgrade.applied.contains(Step::Kind::raise));
   several.builds = {Build::before_levels, Build::reads_three, Build::reads_four};
   World all = led(1, Build::reads_four, false);
-  all.keys[kReadyKey] = {ready_value({4, 0}), ++all.rev, 0};
+  all.keys[kVersionReadinessKey] = {version_readiness_value({4, 0}), ++all.revision, 0};
   EXPECT_EQ(several.run(all, 7), "");
   EXPECT_TRUE(several.applied.contains(Step::Kind::raise));
   std::printf("%zu + %zu worlds\n", upgrade.worlds(), several.worlds());
@@ -380,68 +387,69 @@
 
 TEST(Levels, EachGuardTakenOutIsFound) {
   Faults no_parking;
-  no_parking.in_raise = [](Step& s) { std::erase_if(s.puts, [](const Put& p) { return p.key == kLeaderKey; }); };
+  no_parking.in_raise = [](Step& s) { std::erase_if(s.puts, [](const Put& p) { return p.key == kLeaderKeyV1; }); };
   const auto parking = Explorer(no_parking).run(led(1, Build::reads_two, true), 7);
   EXPECT_NE(parking, "") << "the old key is kept by nobody";
   Faults no_roster;
-  no_roster.in_raise = [](Step& s) { without(s, kRosterPrefix); };
-  const auto roster = Explorer(no_roster).run(led(1, Build::reads_two, true), 7);
-  EXPECT_NE(roster, "") << "a switch is conditional on the roster";
+  no_roster.in_raise = [](Step& s) { without(s, kRegistryPrefix); };
+  const auto registry = Explorer(no_roster).run(led(1, Build::reads_two, true), 7);
+  EXPECT_NE(registry, "") << "a switch is conditional on the roster";
   Faults no_level;
-  no_level.in_take = [](Step& s) { without(s, kLevelKey); };
+  no_level.in_take = [](Step& s) { without(s, kActiveVersionKey); };
   Explorer levels(no_level);
   levels.builds = {Build::held_at_one};
   World late = led(2, Build::held_at_one, false);
-  late.keys[kLevelKey].value = level_value({2, 1});  // its ledger is written anew already
-  late.nodes[0].term->level = {2, 1};
+  late.keys[kActiveVersionKey].value = active_version_value({2, 1});  // its ledger is written anew already
+  late.replicas[0].term->format_version = {2, 1};
   late.keys.erase(kEntriesOf[2]);
-  late.keys[kEntriesOf[1]] = {"{}", ++late.rev, 0};
-  const auto level = levels.run(late, 8);
-  EXPECT_NE(level, "") << "the lead is taken at the level that was looked at";
+  late.keys[kEntriesOf[1]] = {"{}", ++late.revision, 0};
+  const auto format_version = levels.run(late, 8);
+  EXPECT_NE(format_version, "") << "the lead is taken at the level that was looked at";
   Faults no_entries;
   no_entries.forgets_old_entries = true;
   Explorer entries(no_entries);
   entries.builds = {Build::held_at_one};
   const auto lowered = entries.run(led(2, Build::held_at_one, false), 7);
   EXPECT_NE(lowered, "") << "no entry of the higher level is left";
-  for (const auto& found : {parking, roster, level, lowered}) std::printf("%s\n", found.c_str());
+  for (const auto& found : {parking, registry, format_version, lowered}) std::printf("%s\n", found.c_str());
 }
 
-Row row(const std::string& key, const std::string& value, std::uint64_t stamp) {
-  return {key, value, stamp};
+Row row(const std::string& key, const std::string& value, std::uint64_t mod_revision) {
+  return {key, value, mod_revision};
 }
 
 TEST(Levels, WhatHasNoOlderFormIsNotLost) {
-  const auto held = able_of(Build::held_at_one, 1);
-  Roster roster;
-  for (const auto& label : kLabels) roster[label] = {held, 5};
-  const Look look = rollout::look({row(kLevelKey, level_value({2, 0}), 7), row(kLeadKey, leader_value({"a", 1}), 9)});
+  const auto held = supported_versions_of(Build::held_at_one, 1);
+  ControllerRegistry registry;
+  for (const auto& label : kLabels) registry[label] = {held, 5};
+  const LeadershipSnapshot snapshot = rollout::parse_leadership_keys(
+      {row(kActiveVersionKey, active_version_value({2, 0}), 7), row(kLeaderKeyV2, leader_value({"a", 1}), 9)});
   Leading leading{{"a", 1}, 9, 1, {2, 0}, false, "generation 3"};
-  const auto step = next_step(look, roster, kLabels, {}, leading, 0, 0);
+  const auto step = next_step(snapshot, registry, kLabels, {}, leading, 0, 0);
   EXPECT_EQ(step.kind, Step::Kind::none);
-  EXPECT_EQ(step.waits_for, "level 1 has no form for generation 3");
-  leading.no_older_form.clear();
-  EXPECT_EQ(next_step(look, roster, kLabels, {}, leading, 0, 0).kind, Step::Kind::lower);
+  EXPECT_EQ(step.blocked_by, "level 1 has no form for generation 3");
+  leading.no_older_format.clear();
+  EXPECT_EQ(next_step(snapshot, registry, kLabels, {}, leading, 0, 0).kind, Step::Kind::lower);
 }
 
 // The while is kept in the state service, not by the leader: a leader's restart does not begin it anew.
 TEST(Levels, AllMustHaveHadItForAWhile) {
-  const auto has = able_of(Build::reads_two, 1);
-  Roster roster;
-  for (const auto& label : kLabels) roster[label] = {has, 5};
+  const auto has = supported_versions_of(Build::reads_two, 1);
+  ControllerRegistry registry;
+  for (const auto& label : kLabels) registry[label] = {has, 5};
   const Leading leading{{"a", 1}, 9, 1, {1, 0}, false, {}};
   const auto at = [&](std::optional<double> since, double now) {
-    std::vector<Row> rows{row(kLeaderKey, leader_value({"a", 1}), 9)};
-    if (since) rows.push_back(row(kReadyKey, ready_value({2, *since}), 11));
-    return next_step(rollout::look(rows), roster, kLabels, {}, leading, now, 30).kind;
+    std::vector<Row> rows{row(kLeaderKeyV1, leader_value({"a", 1}), 9)};
+    if (since) rows.push_back(row(kVersionReadinessKey, version_readiness_value({2, *since}), 11));
+    return next_step(rollout::parse_leadership_keys(rows), registry, kLabels, {}, leading, now, 30).kind;
   };
   EXPECT_EQ(at({}, 100), Step::Kind::ready);
   EXPECT_EQ(at(100, 129), Step::Kind::none);
   EXPECT_EQ(at(100, 131), Step::Kind::raise);
   EXPECT_EQ(at(1000, 100), Step::Kind::raise) << "a clock that was set back does not hold it up for ever";
-  roster["b"].able.wants = 1;
+  registry["b"].supported_versions.wants = 1;
   EXPECT_EQ(at(100, 131), Step::Kind::not_ready);
 }
 
 }  // namespace
-}  // namespace thistle::rollout
+}  // namespace thistlefront::rollout
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -4,13 +4,13 @@
 #include <thread>
 
 #include "protocol/peer_messages.hpp"
-#include "rig/state_service.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/clock.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::free_address;
+using test_support::free_address;
 
 class Calls : public testing::Test {
  protected:
@@ -65,4 +65,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -3,22 +3,22 @@
 // not asks again, and is told by the next one.
 #include <gtest/gtest.h>
 
-#include "town.hpp"
+#include "cluster_fixture.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::wait;
+using test_support::wait;
 
-constexpr rig::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
+constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
 constexpr int kUsers = 6, kJobsEach = 40, kMachines = 3, kReachedByPeers = 10;
 
-class HandOver : public testing_::Town, public testing::WithParamInterface<double> {
+class HandOver : public test_support::ClusterFixture, public testing::WithParamInterface<double> {
  protected:
-  HandOver() : Town(kTimes) {}
+  HandOver() : ClusterFixture(kTimes) {}
   struct Withdrawal {
     double asked = 0, answered = 0;
-    std::size_t node = 0;
+    std::size_t replica = 0;
     bool told = false;
   };
 };
@@ -37,13 +37,13 @@
   const auto first = cluster->leader(), other = (first + 1) % 3;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->metric(first, "placed_tasks") == "thistlefront_placed_tasks 24"; }));
   for (auto& w : workers) w->cut_commands(true);  // it asks some machines itself, and none answers
-  cluster->state.door(first).loses = GetParam();
+  cluster->state.endpoint(first).loses = GetParam();
   // Machines that reach it by way of another controller alone, so that it hands over.
   std::jthread reporters([&](std::stop_token stop) {
     for (std::uint64_t serial = 1; pause_for(stop, 0.2); ++serial) {
       for (int w = 0; w < kReachedByPeers && cluster->state.leader() == "host-" + std::to_string(first); ++w)
         cluster->ask(other, "POST", "/v1/report",
-                     testing_::report_body("p-" + std::to_string(w), "127.0.0.1:1", serial, cluster->state.epoch()));
+                     test_support::heartbeat_body("p-" + std::to_string(w), "127.0.0.1:1", serial, cluster->state.fencing_token()));
     }
   });
   std::atomic<double> handed_over{0}, over_at{1e18};
@@ -53,7 +53,7 @@
       handed_over = steady_now();
       return true;
     });
-    cluster->state.door(first).loses = 0;
+    cluster->state.endpoint(first).loses = 0;
     over_at = steady_now() + 2;
   });
   // Each job is called off once, a few each second, and then again until it is told.
@@ -70,7 +70,7 @@
         checker.wants_withdrawn(uid);
         for (bool told = false; !told;) {
           Withdrawal w{steady_now(), 0, random() % 3, false};
-          const auto r = cluster->ask(w.node, "POST", "/v1/jobs/" + uid + "/withdraw");
+          const auto r = cluster->ask(w.replica, "POST", "/v1/jobs/" + uid + "/withdraw");
           w.answered = steady_now();
           w.told = told = r.is(200);
           EXPECT_TRUE(r.is(200) || r.is(503) || !r.status) << r.status << " " << r.body;
@@ -114,4 +114,4 @@
 INSTANTIATE_TEST_SUITE_P(AnswersLost, HandOver, testing::Values(0.0, 0.3));
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/intake_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -6,35 +6,35 @@
 #include <atomic>
 #include <numeric>
 
-#include "protocol/intake_messages.hpp"
+#include "cluster_fixture.hpp"
 #include "protocol/peer_messages.hpp"
-#include "town.hpp"
+#include "protocol/relay_messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::wait;
+using test_support::wait;
 
-constexpr rig::Times kTimes{0.5, 5, 20, 0.1};  // report, lease, cancel, pull
+constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // report, lease, cancel, pull
 constexpr std::size_t kMachinesPerController = 8, kTasks = 2;
 
-class IntakeOf : public testing_::Town, public testing::WithParamInterface<std::size_t> {
+class IntakeOf : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
  protected:
-  IntakeOf() : Town(kTimes) {
+  IntakeOf() : ClusterFixture(kTimes) {
     cloud = [this](const HttpCall& call) -> HttpReply {
-      if (call.target == kFlavorsPath) return {200, testing_::kFlavors};
+      if (call.target == kMachineTypesPath) return {200, test_support::kMachineTypes};
       if (call.method == "GET") return {200, all_begun ? listed() : R"({"hosts":[],"truncated":false})"};
       if (call.target == "/rentals/release") ++releases;
       return {503, R"({"error":"no capacity"})"};
     };
   }
-  static Tuning tuning(bool intake) {
-    Tuning out = testing_::one_level();
-    out.relay_mode = intake ? IntakeMode::on : IntakeMode::off;
+  static Options options(bool relay) {
+    Options out = test_support::one_level();
+    out.relay_mode = relay ? RelayMode::on : RelayMode::off;
     return out;
   }
-  void begin_with_work(bool intake = true) {
-    begin(GetParam(), kMachinesPerController * GetParam(), "x", tuning(intake));
+  void begin_with_work(bool relay = true) {
+    begin(GetParam(), kMachinesPerController * GetParam(), "x", options(relay));
     all_begun = true;
     for (int i = 0; i < 6; ++i) {
       jobs.push_back("j-" + std::to_string(i + 1));
@@ -49,34 +49,34 @@
   }
   // No lease lapsed: each machine is in its first session.
   void expect_first_sessions(const char* when) {
-    for (auto& w : workers) EXPECT_EQ(w->tenure(), 1u) << w->name() << ", " << when;
+    for (auto& w : workers) EXPECT_EQ(w->agent_incarnation(), 1u) << w->name() << ", " << when;
     EXPECT_EQ(releases, 0) << "no machine is given back, " << when;
   }
-  double metric(std::size_t node, const std::string& name) const {
-    const auto text = cluster->metric(node, name + " ");
+  double metric(std::size_t replica, const std::string& name) const {
+    const auto text = cluster->metric(replica, name + " ");
     return text.empty() ? 0 : std::strtod(text.substr(text.find(' ')).c_str(), nullptr);
   }
   // Reports that followers passed on so far.
-  double passed_on() {
+  double relayed() {
     double out = 0;
     for (std::size_t i = 0; i < GetParam(); ++i) out += metric(i, "reports_passed_on_total");
     return out;
   }
   bool passes_on() {
-    const double before = passed_on();
-    return cluster->eventually(5, [&] { return passed_on() > before + 3; });
+    const double before = relayed();
+    return cluster->eventually(5, [&] { return relayed() > before + 3; });
   }
   std::string listed() {
-    nlohmann::json hosts = nlohmann::json::array();
+    nlohmann::json nodes = nlohmann::json::array();
     for (const auto& w : workers)
-      hosts.push_back({{"uid", w->name()},
+      nodes.push_back({{"uid", w->name()},
                        {"address", w->address()},
                        {"hostKind", "big"},
                        {"yard", "x"},
                        {"loaners", false},
                        {"status", "running"},
                        {"heldS", 100}});
-    return nlohmann::json{{"hosts", hosts}, {"truncated", false}}.dump();
+    return nlohmann::json{{"hosts", nodes}, {"truncated", false}}.dump();
   }
 
   std::vector<std::string> jobs;
@@ -107,7 +107,7 @@
     const auto first = cluster->leader();
     cluster->stop(first);
     ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
-    cluster->start(first, tuning(true));
+    cluster->start(first, options(true));
     wait(2 * kTimes.lease);
     expect_first_sessions("after a leader ended");
     EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
@@ -121,7 +121,7 @@
     const auto one = (cluster->leader() + 1) % GetParam();
     cluster->stop(one);
     wait(away);
-    cluster->start(one, tuning(true));
+    cluster->start(one, options(true));
     wait(2 * kTimes.lease);
     expect_first_sessions("after an intake ended");
     EXPECT_TRUE(all_run());
@@ -153,12 +153,12 @@
   const auto one = (cluster->leader() + 1) % GetParam();
   ASSERT_TRUE(cluster->eventually(20, [&] { return metric(one, "reports_passed_on_total") > 3; }));
   part(one, true);
-  cluster->state.door(one).refuses = true;
+  cluster->state.endpoint(one).refuses = true;
   EXPECT_TRUE(cluster->eventually(6, [&] { return metric(one, "kept_in_cuts_total") > 0; }));
   wait(2 * kTimes.lease);
   expect_first_sessions("in the cut");
   part(one, false);
-  cluster->state.door(one).refuses = false;
+  cluster->state.endpoint(one).refuses = false;
   wait(kTimes.lease);
   expect_first_sessions("after the cut");
   EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
@@ -169,13 +169,13 @@
   begin_with_work();
   const auto first = cluster->leader();
   part(first, true);
-  cluster->state.door(first).refuses = true;
+  cluster->state.endpoint(first).refuses = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
   checker.wants_withdrawn("j-1");
   const auto next = cluster->leader();
   wait(1);
   part(first, false);
-  cluster->state.door(first).refuses = false;
+  cluster->state.endpoint(first).refuses = false;
   ASSERT_TRUE(cluster->eventually(20, [&] { return withdraw(next, "j-1") == "aborted"; }));
   wait(kTimes.lease + 1);
   EXPECT_TRUE(cluster->eventually(
@@ -186,19 +186,19 @@
 // Operators switch it on and off by restarting one controller after the other; older builds are like ones with it off.
 TEST_P(IntakeOf, SwitchedOnAndOffOneControllerAfterTheOther) {
   begin_with_work(false);
-  EXPECT_EQ(passed_on(), 0) << "off: workers are with the leader";
+  EXPECT_EQ(relayed(), 0) << "off: workers are with the leader";
   for (const bool on : {true, false}) {
     for (std::size_t i = 0; i < GetParam(); ++i) {
-      cluster->start(i, tuning(on));
+      cluster->start(i, options(on));
       wait(1.5);
       EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); })) << i << (on ? " on" : " off");
     }
     if (!on) continue;
     EXPECT_TRUE(passes_on());
   }
-  const double before = passed_on();
+  const double before = relayed();
   wait(2);
-  EXPECT_EQ(passed_on(), before);
+  EXPECT_EQ(relayed(), before);
   expect_first_sessions("after both");
 }
 
@@ -207,18 +207,18 @@
   const auto leader = cluster->leader();
   FramePool peer(cluster->settings(leader).peer_listen, 2);
   for (const std::string& payload : {std::string(), std::string("\1\2\3"), std::string(5000, '\xff'), std::string(64, '\1')}) {
-    const auto answer = peer.ask({static_cast<std::uint8_t>(PeerKind::intake_batch), payload}, 2);
+    const auto answer = peer.ask({static_cast<std::uint8_t>(PeerKind::heartbeat_batch), payload}, 2);
     ASSERT_TRUE(answer) << payload.size();
     const auto reply = unpack_reply(*answer, steady_now());
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 400u);
   }
   // Well formed, and of another lead: not taken.
-  const auto answer = peer.ask(pack(IntakeBatch{"host-9", 1000000, 1, {}}), 2);
+  const auto answer = peer.ask(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
   ASSERT_TRUE(answer);
-  const auto other_lead = unpack_intake_answer(*answer);
+  const auto other_lead = unpack_heartbeat_batch_answer(*answer);
   ASSERT_TRUE(other_lead);
-  EXPECT_EQ(other_lead->takeover_epoch, 0u);
+  EXPECT_EQ(other_lead->takeover_token, 0u);
   wait(kTimes.lease);
   expect_first_sessions("after malformed batches");
   EXPECT_TRUE(all_run());
@@ -227,7 +227,7 @@
 // The worker's older connection at another intake: a copy of its report comes by that way when it has moved on.
 TEST_P(IntakeOf, AnOldReportByWayOfAnotherIntakeRenewsNothing) {
   begin_with_work();
-  for (auto& w : workers) w->copy_reports(true);
+  for (auto& w : workers) w->copy_heartbeats(true);
   wait(3 * kTimes.lease);
   expect_first_sessions("with copies of reports at any controller");
   EXPECT_TRUE(all_run());
@@ -236,4 +236,4 @@
 INSTANTIATE_TEST_SUITE_P(Controllers, IntakeOf, testing::Values(3, 5));
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/kept_ledger.hpp
+++ b/tests/in_memory_ledger.hpp
@@ -7,19 +7,21 @@
 #include <map>
 #include <string>
 
-#include "jobs.hpp"
-#include "ledger/reader.hpp"
+#include "job_builders.hpp"
+#include "ledger/ledger_reader.hpp"
+#include "model/identifiers.hpp"
+#include "model/ledger_records.hpp"
 
-namespace thistle {
+namespace thistlefront {
 
-inline Book fresh(std::size_t record_bytes = kRecordBytes) {
-  return Book({Team{"red", {}, {1e6, 0, 0}, {}}}, record_bytes);
+inline ClusterState fresh(std::size_t record_bytes = kRecordBytes) {
+  return ClusterState({Team{"red", {}, {1e6, 0, 0}, {}}}, record_bytes);
 }
 
-inline void expect_same(const Book& got, const Book& want, unsigned seed) {
+inline void expect_same(const ClusterState& got, const ClusterState& want, unsigned seed) {
   for (std::uint32_t i = 0; i < want.job_count(); ++i) {
-    const Job& w = want.job(JobIdx{i});
-    const JobIdx j = got.find(w.uid);
+    const Job& w = want.job(JobIndex{i});
+    const JobIndex j = got.find(w.uid);
     ASSERT_TRUE(j.valid()) << w.uid << " is forgotten, seed " << seed;
     const Job& g = got.job(j);
     ASSERT_EQ(g.status, w.status) << w.uid << ", seed " << seed;
@@ -40,51 +42,53 @@
 
 class Ledger {
  public:
-  explicit Ledger(Tail::Limits limits = {8000, 4, 8}) : limits_(limits) {}
+  explicit Ledger(LedgerWriter::Limits limits = {8000, 4, 8}) : limits_(limits) {}
   // One commit, as the ledger's writer makes it.
-  void commit(Book& book, const std::vector<Record>& records) {
-    std::deque<Pending> queue;
+  void commit(ClusterState& cluster_state, const std::vector<Record>& records) {
+    std::deque<QueuedRecord> queue;
     for (const auto& r : records) queue.push_back({r, 0});
     do {
-      const auto draft = tail.prepare_commit(book, queue, limits_);
-      sent_.emplace_back(draft, 0);
-      ASSERT_TRUE(draft.too_large.empty()) << draft.too_large.front();
-      ++stamp_;
-      for (const auto& c : draft.conditions) ASSERT_EQ(c.stamp, entries.contains(c.key) ? stamps_[c.key] : 0) << c.key;
-      for (const auto& p : draft.puts) {
+      const auto pending_commit = ledger_writer.prepare_commit(cluster_state, queue, limits_);
+      sent_.emplace_back(pending_commit, 0);
+      ASSERT_TRUE(pending_commit.too_large.empty()) << pending_commit.too_large.front();
+      ++mod_revision_;
+      for (const auto& c : pending_commit.conditions)
+        ASSERT_EQ(c.mod_revision, entries.contains(c.key) ? mod_revisions_[c.key] : 0) << c.key;
+      for (const auto& p : pending_commit.puts) {
         if (const auto it = entries.find(p.key); it != entries.end())
           reused += parse_entry(it->second).number != parse_entry(p.value).number;
         entries[p.key] = p.value;
-        stamps_[p.key] = stamp_;
+        mod_revisions_[p.key] = mod_revision_;
         ASSERT_LT(p.value.size(), limits_.value_bytes + 8) << p.key;
       }
-      for (const auto& k : draft.removes) ASSERT_EQ(entries.erase(k), 1u) << k;
-      removed += draft.removes.size();
-      tail.record_committed(draft, stamp_);
+      for (const auto& k : pending_commit.removes) ASSERT_EQ(entries.erase(k), 1u) << k;
+      removed += pending_commit.removes.size();
+      ledger_writer.record_committed(pending_commit, mod_revision_);
       expect_late_ones_change_nothing();
-      for (std::size_t i = 0; i < draft.batch.size(); ++i) {
-        const auto known = book.job_count();
-        book.apply(draft.batch[i].record);
-        if (book.job_count() > known) tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(known)});
+      for (std::size_t i = 0; i < pending_commit.batch.size(); ++i) {
+        const auto known = cluster_state.job_count();
+        cluster_state.apply(pending_commit.batch[i].record);
+        if (cluster_state.job_count() > known)
+          ledger_writer.record_first_entry(pending_commit.batch_entries[i], JobIndex{static_cast<std::uint32_t>(known)});
       }
     } while (!queue.empty());
   }
   // As a new leader reads it, which then writes at this level.
-  Book read(Tail& found, std::uint32_t level) const {
-    Book book = fresh(most_record_bytes(limits_.value_bytes));
-    Reader reader(book, 1, 4);
-    for (const auto& [key, value] : entries) EXPECT_TRUE(reader.add_entry(row(key, value, stamps_.at(key)))) << reader.error();
+  ClusterState read(LedgerWriter& found, std::uint32_t format_version) const {
+    ClusterState cluster_state = fresh(max_record_bytes(limits_.value_bytes));
+    LedgerReader reader(cluster_state, 1, 4);
+    for (const auto& [key, value] : entries) EXPECT_TRUE(reader.add_entry(row(key, value, mod_revisions_.at(key)))) << reader.error();
     EXPECT_TRUE(reader.finish()) << reader.error();
-    found = Tail(std::move(reader).contents(), level);
-    return book;
+    found = LedgerWriter(std::move(reader).contents(), format_version);
+    return cluster_state;
   }
-  static EntryPage::Row row(const std::string& key, const std::string& value, std::uint64_t stamp) {
+  static EntryPage::Row row(const std::string& key, const std::string& value, std::uint64_t mod_revision) {
     const auto page =
-        parse_entries(R"({"rows":[{"path":")" + key + R"(","stamp":)" + std::to_string(stamp) + R"(,"value":)" + value + "}]}");
+        parse_entries(R"({"rows":[{"path":")" + key + R"(","stamp":)" + std::to_string(mod_revision) + R"(,"value":)" + value + "}]}");
     return page.rows.at(0);
   }
 
-  Tail tail;
+  LedgerWriter ledger_writer;
   std::map<std::string, std::string> entries;
   std::size_t removed = 0, reused = 0;  // keys
 
@@ -95,36 +99,36 @@
     while (sent_.size() > kLateOnes) sent_.pop_front();
     for (auto& [late, looked] : sent_) {
       // The first entry of all has none before it: a doubt about that one is fenced by a raised epoch (coordination/ledger.cpp).
-      if (std::all_of(late.conditions.begin(), late.conditions.end(), [](const Condition& c) { return c.stamp == 0; })) continue;
+      if (std::all_of(late.conditions.begin(), late.conditions.end(), [](const Condition& c) { return c.mod_revision == 0; })) continue;
       const bool holds = std::all_of(late.conditions.begin(), late.conditions.end(), [&](const Condition& c) {
-        const auto it = stamps_.find(c.key);
-        return c.stamp == (entries.contains(c.key) && it != stamps_.end() ? it->second : 0);
+        const auto it = mod_revisions_.find(c.key);
+        return c.mod_revision == (entries.contains(c.key) && it != mod_revisions_.end() ? it->second : 0);
       });
       if (!holds) continue;
       // A removed entry that came back would fit directly before the oldest one alone; from level 4 on it is not needed.
-      if (!slots_at(tail.level())) {
+      if (!reuses_keys(ledger_writer.format_version())) {
         ASSERT_TRUE(late.puts.empty()) << late.puts.front().key << " would be written again";
       }
       if (++looked != 1 && looked != 8) continue;
       const auto was = entries;
-      const auto stamps_were = stamps_;
-      Tail found;
-      const Book want = read(found, tail.level());
-      for (const auto& p : late.puts) entries[p.key] = p.value, stamps_[p.key] = stamp_;
+      const auto stamps_were = mod_revisions_;
+      LedgerWriter found;
+      const ClusterState want = read(found, ledger_writer.format_version());
+      for (const auto& p : late.puts) entries[p.key] = p.value, mod_revisions_[p.key] = mod_revision_;
       for (const auto& k : late.removes) entries.erase(k);
-      const Book got = read(found, tail.level());
+      const ClusterState got = read(found, ledger_writer.format_version());
       expect_same(got, want, 0);
       entries = was;
-      stamps_ = stamps_were;
+      mod_revisions_ = stamps_were;
       if (testing::Test::HasFailure()) FAIL() << late.conditions.front().key << " was carried out late";
     }
   }
 
   static constexpr std::size_t kLateOnes = 200;
-  std::deque<std::pair<Tail::PendingCommit, int>> sent_;  // and how often its conditions held later
-  Tail::Limits limits_;
-  std::map<std::string, std::uint64_t> stamps_;
-  std::uint64_t stamp_ = 0;
+  std::deque<std::pair<LedgerWriter::PendingCommit, int>> sent_;  // and how often its conditions held later
+  LedgerWriter::Limits limits_;
+  std::map<std::string, std::uint64_t> mod_revisions_;
+  std::uint64_t mod_revision_ = 0;
 };
 
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -5,20 +5,20 @@
 #include <set>
 
 #include "cluster.hpp"
-#include "coordination/budget.hpp"
+#include "controller/resource_budget.hpp"
 #include "protocol/messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::Cluster;
-using testing_::free_address;
+using test_support::Cluster;
+using test_support::free_address;
 
 TEST(Leadership, OneThatTheStateServiceAloneRefusesHandsOverAndFollows) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.door(first).refuses = true;
+  c.state.endpoint(first).refuses = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   // The one refused takes requests still: it forwards them.
@@ -34,11 +34,11 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.door(first).late = 1;
+  c.state.endpoint(first).late = 1;
   std::jthread user([&] { c.submit(first, "j-2"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  c.state.door(first).refuses = true;
-  c.state.end_holds();
+  c.state.endpoint(first).refuses = true;
+  c.state.expire_session_leases();
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   ASSERT_TRUE(c.submit_until("j-3", 20));
   ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late one was to be executed";
@@ -52,11 +52,11 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
-  c.state.door(first).loses = 0.5;
-  c.state.door(first).repeats = 0.5;
+  c.state.endpoint(first).loses = 0.5;
+  c.state.endpoint(first).repeats = 0.5;
   for (int i = 1; i <= 6; ++i) EXPECT_TRUE(c.submit_until("j-" + std::to_string(i), 30)) << i;
-  c.state.door(first).loses = 0;
-  c.state.door(first).repeats = 0;
+  c.state.endpoint(first).loses = 0;
+  c.state.endpoint(first).repeats = 0;
   ASSERT_TRUE(c.submit_until("j-7", 20));
   const auto accepted = c.accepted_in_ledger();
   for (int i = 0; i <= 7; ++i) {
@@ -73,7 +73,7 @@
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.door(first).frozen = true;
+  c.state.endpoint(first).frozen = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   const auto next = c.leader();
   ASSERT_TRUE(c.eventually(20, [&] { return c.ask(next, "POST", "/v1/jobs/j-1/withdraw").is(200); }));
@@ -84,7 +84,7 @@
     }
     EXPECT_FALSE(r.is(404));
   }
-  c.state.door(first).frozen = false;
+  c.state.endpoint(first).frozen = false;
   EXPECT_TRUE(c.eventually(20, [&] {
     const auto r = c.ask(first, "GET", "/v1/jobs/j-1");
     return r.is(200) && r.body.find("aborted") != std::string::npos;
@@ -98,7 +98,7 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
-  const auto before = c.state.epoch();
+  const auto before = c.state.fencing_token();
   const auto address = free_address();
   std::atomic<bool> ending{false};
   std::atomic<int> commands{0};
@@ -108,12 +108,12 @@
     return {503, "{}"};
   });
   std::uint64_t serial = 0;
-  const auto report = [&] { c.ask(first, "POST", "/v1/report", testing_::report_body("m-1", address, ++serial, 0)); };
+  const auto heartbeat = [&] { c.ask(first, "POST", "/v1/report", test_support::heartbeat_body("m-1", address, ++serial, 0)); };
   int accepted = 0;
   EXPECT_TRUE(c.eventually(20, [&] {
-    report();
+    heartbeat();
     accepted += c.submit_until("j-1" + std::to_string(serial), 10);
-    return commands > 0 && c.state.epoch() > before;
+    return commands > 0 && c.state.fencing_token() > before;
   }));
   EXPECT_GT(accepted, 0);
   EXPECT_EQ(c.leader(), first) << "the same leader, under a higher epoch";
@@ -134,7 +134,8 @@
   EXPECT_TRUE(c.eventually(30, [&] {
     ++serial;
     for (int w = 0; w < 4; ++w) {
-      c.ask(other, "POST", "/v1/report", testing_::report_body("m-" + std::to_string(w), "127.0.0.1:1", serial, c.state.epoch()));
+      c.ask(other, "POST", "/v1/report",
+            test_support::heartbeat_body("m-" + std::to_string(w), "127.0.0.1:1", serial, c.state.fencing_token()));
     }
     return c.state.leader() == "host-" + std::to_string(other);
   }));
@@ -150,17 +151,17 @@
   const auto begin_anew_under = [&](const std::string& label) {
     for (std::size_t i = 0; i < 3; ++i) c.stop(i);
     c.state.put(c.state.lead(), R"({"label":")" + label + R"(","incarnation":7})");
-    const auto left = c.state.epoch();
+    const auto left = c.state.fencing_token();
     for (std::size_t i = 0; i < 3; ++i) c.start(i, {});
     return left;
   };
   const auto left = begin_anew_under("host-1");
-  EXPECT_TRUE(c.eventually(10, [&] { return c.state.epoch() > left && !c.state.leader().empty(); }));
+  EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > left && !c.state.leader().empty(); }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   EXPECT_EQ(c.state.unfenced(), 0u);
 
   const auto others = begin_anew_under("host-7");
-  EXPECT_FALSE(c.eventually(2, [&] { return c.state.epoch() != others; }));
+  EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != others; }));
   EXPECT_TRUE(c.submit(0, "j-3").is(503));
   c.state.remove(c.state.lead());
   EXPECT_TRUE(c.submit_until("j-3", 20));
@@ -172,9 +173,9 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader(), other = 1 - first;
-  c.state.door(other).lead_overtaken = true;
+  c.state.endpoint(other).lead_overtaken = true;
   c.stop(first);
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.door(other).lead_overtaken; }));
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.endpoint(other).lead_overtaken; }));
   for (const double until = steady_now() + 6; steady_now() < until;) {
     const bool held = c.state.leader() == "host-" + std::to_string(other);
     const auto r = c.ask(other, "GET", "/v1/jobs/j-999");
@@ -192,14 +193,14 @@
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
-  auto& door = c.state.door(other);
-  door.fuse = 1;  // the second request finds nobody who answers
+  auto& endpoint = c.state.endpoint(other);
+  endpoint.fuse = 1;  // the second request finds nobody who answers
   c.start(other, {});
-  EXPECT_TRUE(c.eventually(0.5, [&] { return door.fuse == 0; })) << "it looks who leads";
+  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it looks who leads";
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  EXPECT_FALSE(door.blown);
-  EXPECT_TRUE(c.eventually(5, [&] { return door.blown.load(); })) << "then it enlists";
-  door.blown = false;
+  EXPECT_FALSE(endpoint.blown);
+  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "then it enlists";
+  endpoint.blown = false;
 }
 
 // Users of three controllers, while the state service's doors refuse, lose, delay and repeat at random and holds end.
@@ -207,18 +208,18 @@
   Cluster c(3, 7);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
-  for (std::size_t i = 0; i < 3; ++i) c.state.door(i).late_most = 6;  // well after newer ones of the same controller
+  for (std::size_t i = 0; i < 3; ++i) c.state.endpoint(i).late_most = 6;  // well after newer ones of the same controller
   std::jthread trouble([&] {
     std::mt19937 random(11);
     while (!over) {
-      auto& d = c.state.door(random() % 3);
+      auto& d = c.state.endpoint(random() % 3);
       switch (random() % 5) {
         case 0: d.refuses = !d.refuses; break;
         case 1: d.loses = d.loses > 0 ? 0 : 0.3; break;
         case 2: d.late = d.late > 0 ? 0 : 0.2; break;
         case 3: d.repeats = d.repeats > 0 ? 0 : 0.3; break;
         default:
-          if (random() % 3 == 0) c.state.end_holds();
+          if (random() % 3 == 0) c.state.expire_session_leases();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(250));
     }
@@ -238,21 +239,21 @@
       std::set<std::string> gone, wanted;
       int n = 0;
       while (!over) {
-        const auto node = random() % 3;
+        const auto replica = random() % 3;
         if (mine.size() < 4 || random() % 3 == 0) {
           const std::string uid = "j-" + std::to_string(u * 1000 + ++n);
-          const auto r = c.submit(node, uid);
+          const auto r = c.submit(replica, uid);
           if (r.is(400) || r.is(422)) complain(uid + ": refused");
           if (r.is(201) || r.is(200)) mine.push_back(uid);
         } else if (random() % 4 == 0) {
           const auto& uid = mine[random() % mine.size()];
-          const auto r = c.ask(node, "POST", "/v1/jobs/" + uid + "/withdraw");
+          const auto r = c.ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
           wanted.insert(uid);
           if (r.is(404)) complain(uid + ": withdrawal not found");
           if (r.is(200)) gone.insert(uid);
         } else {
           const auto& uid = mine[random() % mine.size()];
-          const auto r = c.ask(node, "GET", "/v1/jobs/" + uid);
+          const auto r = c.ask(replica, "GET", "/v1/jobs/" + uid);
           if (r.is(404)) complain(uid + ": forgotten");
           if (r.is(200) && gone.contains(uid) && r.body.find("aborted") == std::string::npos) complain(uid + ": went back");
           if (r.is(200) && r.body.find("done") != std::string::npos && r.body.find("\"status\":\"done\"") != std::string::npos)
@@ -270,7 +271,7 @@
   users.clear();
   trouble.join();
   for (std::size_t i = 0; i < 3; ++i) {
-    auto& d = c.state.door(i);
+    auto& d = c.state.endpoint(i);
     d.refuses = false;
     d.loses = d.late = d.repeats = 0;
   }
@@ -295,11 +296,11 @@
 // Made before the process stood still, given after: the server looks once more just before it sends.
 // More connections than a process may have threads for: the ones that say nothing go, and nothing else is lost by it.
 TEST(Leadership, ConnectionsPastTheBudgetCostNeitherTheLeadNorTheUsers) {
-  Tuning few;
-  few.threads = Budget::kLeastThreads;
+  Options few;
+  few.threads = ResourceBudget::kLeastThreads;
   Cluster c(1, 1, {few});
   ASSERT_TRUE(c.submit_until("j-0", 20));
-  const auto epoch = std::to_string(c.state.epoch());
+  const auto fencing_token = std::to_string(c.state.fencing_token());
   std::vector<Socket> idle;
   for (int i = 1; i <= 150; ++i) {
     idle.push_back(connect_to(c.users[0], 2));
@@ -308,10 +309,10 @@
   }
   EXPECT_EQ(c.state.leader(), "host-0");
   const auto metrics = c.ask(0, "GET", "/metrics").body;
-  EXPECT_NE(metrics.find("thistlefront_epoch " + epoch + "\n"), std::string::npos) << "it never stopped leading";
+  EXPECT_NE(metrics.find("thistlefront_epoch " + fencing_token + "\n"), std::string::npos) << "it never stopped leading";
   const auto at = metrics.find("thistlefront_client_connections ");
   ASSERT_NE(at, std::string::npos);
-  EXPECT_LE(std::stoul(metrics.substr(at + 32)), split_budget(few.threads, 400, 0).clients + Budget::kOver);
+  EXPECT_LE(std::stoul(metrics.substr(at + 32)), split_resource_budget(few.threads, 400, 0).clients + ResourceBudget::kOver);
 }
 
 TEST(HttpServer, AnAnswerPastItsTimeIsNotGiven) {
@@ -327,4 +328,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/renewal_test.cpp
+++ b/tests/lease_renewal_policy_test.cpp
@@ -1,19 +1,19 @@
 // Who may renew a lease in doubt, explored exhaustively over a grid of troubles: three controllers, one machine with one task,
 // one cancellation, and no direct command that arrives, with the very rules that the service runs. Times are seconds.
-#include "fleet/renewal.hpp"
+#include "worker_control/lease_renewal_policy.hpp"
 
 #include <gtest/gtest.h>
 
 #include <array>
 #include <string>
 
-#include "duties/backing.hpp"
-#include "fleet/custody.hpp"
+#include "leadership/partition_lease.hpp"
+#include "leadership/quorum_tracker.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-constexpr double kStep = 0.5, kEnd = 34, kLease = 8, kCancel = 15, kHold = 1.5, kReading = 0.5, kHang = 5;
+constexpr double kStep = 0.5, kEnd = 34, kLease = 8, kCancel = 15, kSessionLease = 1.5, kReading = 0.5, kHang = 5;
 constexpr double kNever = 1e9;
 constexpr std::size_t kControllers = 3;
 
@@ -38,9 +38,9 @@
 class World {
  public:
   World(const Troubles& t, const Without& w) : t_(t), without_(w) {
-    for (auto& c : nodes_) c.custody = Custody(custody_span(kCancel, kLease), 0);
+    for (auto& c : replicas_) c.partition_lease = PartitionLease(max_partition_lease_s(kCancel, kLease), 0);
     take(0, 0);
-    nodes_[0].read_at = 0;
+    replicas_[0].read_at = 0;
   }
   // Whether the task was on the machine for longer than it may after its user was told.
   bool broken() {
@@ -48,7 +48,7 @@
       if (t_.ends >= 0 && now_ == t_.ends_at) begin_anew(static_cast<std::size_t>(t_.ends));
       state_service();
       for (std::size_t i = 0; i < kControllers; ++i)
-        if (nodes_[i].leads) beats(i);
+        if (replicas_[i].leads) beats(i);
       users();
       machine();
       if (told_at_ >= 0 && on_ && now_ > told_at_ + kCancel + kStep) return true;
@@ -60,14 +60,14 @@
   [[nodiscard]] bool killed_in_doubt() const { return killed_in_doubt_; }
 
  private:
-  struct Node {
+  struct Replica {
     bool leads = false, cancelled = false, off = false;  // the latter two: as its book has it
-    std::uint64_t epoch = 0, known_epoch = 0, process = 1;
+    std::uint64_t fencing_token = 0, known_token = 0, process = 1;
     std::size_t known_leader = kControllers;
     double valid_until = 0, read_at = kNever, cancelled_at = 0;  // cancelled_at 0: an earlier leader's
-    Backing backing;
-    Custody custody{0, 0};
-    std::array<std::uint64_t, kControllers> marked_by{};
+    QuorumTracker quorum;
+    PartitionLease partition_lease{0, 0};
+    std::array<std::uint64_t, kControllers> echoed_process{};
     std::array<double, kControllers> mark{};
   };
 
@@ -77,50 +77,50 @@
     const unsigned bit = a + b - 1;  // 0-1: 0, 0-2: 1, 1-2: 2
     return !((t_.cuts >> bit & 1) != 0 && now_ >= t_.cut_from && now_ < t_.cut_until);
   }
-  bool read(const Node& n) const { return now_ >= n.read_at; }
-  bool certain(const Node& n) const { return n.leads && now_ < n.valid_until; }
+  bool read(const Replica& n) const { return now_ >= n.read_at; }
+  bool certain(const Replica& n) const { return n.leads && now_ < n.valid_until; }
 
   void take(std::size_t i, double now) {
-    Node& n = nodes_[i];
+    Replica& n = replicas_[i];
     n.leads = true;
-    n.epoch = n.known_epoch = ++epochs_;
+    n.fencing_token = n.known_token = ++tokens_by_peer_;
     n.known_leader = i;
-    n.valid_until = now + kHold;
+    n.valid_until = now + kSessionLease;
     n.read_at = kNever;
-    n.backing = Backing(kControllers - 1, now, without_.grace_bound ? kCancel : backing_grace(kCancel, kLease));
-    n.marked_by = {};
+    n.quorum = QuorumTracker(kControllers - 1, now, without_.grace_bound ? kCancel : quorum_grace_s(kCancel, kLease));
+    n.echoed_process = {};
     holder_ = i;
-    hold_until_ = now + kHold;
+    lease_valid_until_ = now + kSessionLease;
     reading_since_ = -1;
   }
-  void step_down(Node& n) {
+  void step_down(Replica& n) {
     n.leads = false;
-    n.custody.revoke();
+    n.partition_lease.revoke();
   }
   void begin_anew(std::size_t i) {
-    const auto process = nodes_[i].process + 1;
-    nodes_[i] = Node{};
-    nodes_[i].process = process;
-    nodes_[i].custody = Custody(custody_span(kCancel, kLease), now_);
+    const auto process = replicas_[i].process + 1;
+    replicas_[i] = Replica{};
+    replicas_[i].process = process;
+    replicas_[i].partition_lease = PartitionLease(max_partition_lease_s(kCancel, kLease), now_);
   }
-  double owed(const Node& n, std::size_t zone) const {
+  double oldest_cancellation_s(const Replica& n, std::size_t zone) const {
     if (without_.owed_age || !n.cancelled || n.off || zone != t_.zone) return 0;
     return n.cancelled_at > 0 ? now_ - n.cancelled_at : kCancel;
   }
 
   void state_service() {
     if (outage()) {
-      hold_until_ = now_ + kHold;  // every hold has its full time again
+      lease_valid_until_ = now_ + kSessionLease;  // every hold has its full time again
       return;
     }
     for (std::size_t i = 0; i < kControllers; ++i) {
-      Node& n = nodes_[i];
+      Replica& n = replicas_[i];
       if (!n.leads || !served(i)) continue;
-      if (holder_ != i || now_ > hold_until_) {
+      if (holder_ != i || now_ > lease_valid_until_) {
         step_down(n);
         continue;
       }
-      hold_until_ = n.valid_until = now_ + kHold;
+      lease_valid_until_ = n.valid_until = now_ + kSessionLease;
       if (n.read_at == kNever) {
         if (reading_since_ < 0) reading_since_ = now_;
         if (now_ >= reading_since_ + kReading) {
@@ -128,67 +128,68 @@
           n.cancelled = ledger_cancelled_;
           n.off = ledger_off_;
           n.cancelled_at = 0;
-          n.custody.revoke();
+          n.partition_lease.revoke();
         }
       }
-      if (read(n)) n.custody.grant(n.epoch, now_, owed(n, i));
+      if (read(n)) n.partition_lease.grant(n.fencing_token, now_, oldest_cancellation_s(n, i));
     }
-    if (now_ <= hold_until_) return;
+    if (now_ <= lease_valid_until_) return;
     for (std::size_t i : {1, 2, 0}) {
-      if (!served(i) || nodes_[i].leads) continue;
+      if (!served(i) || replicas_[i].leads) continue;
       take(i, now_);
       break;
     }
   }
 
   void beats(std::size_t from) {
-    Node& l = nodes_[from];
+    Replica& l = replicas_[from];
     for (std::size_t to = 0, peer = 0; to < kControllers; ++to) {
       if (to == from) continue;
       const std::size_t index = peer++;
       if (!linked(from, to)) continue;
-      Node& f = nodes_[to];
-      if (l.epoch >= f.known_epoch) {
+      Replica& f = replicas_[to];
+      if (l.fencing_token >= f.known_token) {
         if (f.leads) step_down(f);
-        f.custody.observe_leader(l.epoch);
-        f.known_epoch = l.epoch;
+        f.partition_lease.observe_leader(l.fencing_token);
+        f.known_token = l.fencing_token;
         f.known_leader = from;
-        const double age = read(l) ? owed(l, to) : kCancel;
-        if (certain(l) && read(l) && l.marked_by[to] == f.process && age < kCancel) f.custody.grant(l.epoch, l.mark[to], age);
+        const double age = read(l) ? oldest_cancellation_s(l, to) : kCancel;
+        if (certain(l) && read(l) && l.echoed_process[to] == f.process && age < kCancel)
+          f.partition_lease.grant(l.fencing_token, l.mark[to], age);
       } else {
-        l.known_epoch = f.known_epoch;
+        l.known_token = f.known_token;
         l.known_leader = f.known_leader;
         step_down(l);
         return;
       }
-      l.backing.record_ack(index, f.process, now_, f.known_epoch, certain(l));
-      l.marked_by[to] = f.process;
+      l.quorum.record_ack(index, f.process, now_, f.known_token, certain(l));
+      l.echoed_process[to] = f.process;
       l.mark[to] = now_;
     }
   }
 
   void users() {
     if (now_ < t_.cancel_at) return;
-    for (auto& n : nodes_) {
+    for (auto& n : replicas_) {
       if (!n.leads || !read(n)) continue;
       if (certain(n) && !n.cancelled) {
         n.cancelled = ledger_cancelled_ = true;
         n.cancelled_at = now_;
       }
       // By the answer to a withdrawal, or to any later question, of a leader in doubt too.
-      if (n.cancelled && told_at_ < 0 && (without_.telling_waits || n.off || n.backing.is_takeover_known(n.epoch))) told_at_ = now_;
+      if (n.cancelled && told_at_ < 0 && (without_.telling_waits || n.off || n.quorum.is_takeover_known(n.fencing_token))) told_at_ = now_;
     }
   }
 
   void machine() {
     if (now_ > lease_until_) on_ = false;
     if (now_ >= t_.hangs_at && now_ < t_.hangs_at + kHang) return;
-    Node& n = nodes_[at_];
-    if (n.leads && epoch_ > n.epoch) step_down(n);
+    Replica& n = replicas_[at_];
+    if (n.leads && fencing_token_ > n.fencing_token) step_down(n);
     if (!n.leads) {
-      if (n.custody.is_active(now_) && at_ == t_.zone && epoch_ <= n.custody.epoch()) {
-        n.custody.record_renewal(now_);
-        answered(n.custody.epoch(), false);
+      if (n.partition_lease.is_active(now_) && at_ == t_.zone && fencing_token_ <= n.partition_lease.fencing_token()) {
+        n.partition_lease.record_renewal(now_);
+        answered(n.partition_lease.fencing_token(), false);
         kept_ = true;
       } else {
         at_ = n.known_leader < kControllers && n.known_leader != at_ ? n.known_leader : (at_ + 1) % kControllers;
@@ -197,40 +198,40 @@
     }
     const bool own = at_ == t_.zone;
     const bool knows = read(n) || without_.reading_waits;
-    const Standing s{knows, certain(n), n.backing.has_quorum(now_),
-                     own && (read(n) ? n.custody.is_active(now_) : n.custody.is_granted(now_))};
-    const Renewal may = renewal(s, on_);
-    if (may == Renewal::refuse) {
+    const LeadershipEvidence s{knows, certain(n), n.quorum.has_quorum(now_),
+                               own && (read(n) ? n.partition_lease.is_active(now_) : n.partition_lease.is_granted(now_))};
+    const LeaseRenewal may = decide_lease_renewal(s, on_);
+    if (may == LeaseRenewal::refuse) {
       at_ = (at_ + 1) % kControllers;
       return;
     }
-    if (!certain(n) && !s.has_quorum) n.custody.record_renewal(now_);
-    const bool kill = read(n) && n.cancelled && (may == Renewal::all_commands || !without_.kills_in_doubt);
-    killed_in_doubt_ = killed_in_doubt_ || (kill && on_ && may == Renewal::kills_only);
-    answered(n.epoch, kill);
+    if (!certain(n) && !s.has_quorum) n.partition_lease.record_renewal(now_);
+    const bool kill = read(n) && n.cancelled && (may == LeaseRenewal::all_commands || !without_.kills_in_doubt);
+    killed_in_doubt_ = killed_in_doubt_ || (kill && on_ && may == LeaseRenewal::kills_only);
+    answered(n.fencing_token, kill);
     if (read(n) && !on_) {
       n.off = true;
       if (certain(n)) ledger_off_ = true;
     }
   }
-  void answered(std::uint64_t epoch, bool kill) {
-    if (epoch < epoch_) return;
-    epoch_ = epoch;
+  void answered(std::uint64_t fencing_token, bool kill) {
+    if (fencing_token < fencing_token_) return;
+    fencing_token_ = fencing_token;
     lease_until_ = now_ + kLease;
     if (kill) on_ = false;
   }
 
   const Troubles t_;
   const Without without_;
-  std::array<Node, kControllers> nodes_;
-  double now_ = 0, hold_until_ = 0, reading_since_ = -1, told_at_ = -1;
+  std::array<Replica, kControllers> replicas_;
+  double now_ = 0, lease_valid_until_ = 0, reading_since_ = -1, told_at_ = -1;
   std::size_t holder_ = 0;
-  std::uint64_t epochs_ = 0;
+  std::uint64_t tokens_by_peer_ = 0;
   bool ledger_cancelled_ = false, ledger_off_ = false, kept_ = false, killed_in_doubt_ = false;
   // The machine.
   bool on_ = true;
   std::size_t at_ = 0;
-  std::uint64_t epoch_ = 0;
+  std::uint64_t fencing_token_ = 0;
   double lease_until_ = kLease;
 };
 
@@ -270,7 +271,7 @@
   return out;
 }
 
-TEST(Renewal, NoTaskOutlivesItsCancellationWhoeverRenewsItsLease) {
+TEST(LeaseRenewal, NoTaskOutlivesItsCancellationWhoeverRenewsItsLease) {
   const auto f = explore({});
   EXPECT_EQ(f.broken, 0u) << f.first;
   EXPECT_GT(f.worlds, 300000u);
@@ -280,7 +281,7 @@
   std::cout << f.worlds << " worlds, told in " << f.told << ", kept in " << f.kept << ", killed in doubt in " << f.killed_in_doubt << "\n";
 }
 
-TEST(Renewal, EachGuardTakenOutIsFound) {
+TEST(LeaseRenewal, EachGuardTakenOutIsFound) {
   const auto found = [](const char* what, Without w) {
     const auto f = explore(w, true);
     EXPECT_GT(f.broken, 0u) << what;
@@ -294,4 +295,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -5,11 +5,14 @@
 
 #include <nlohmann/json.hpp>
 
-#include "coordination/histograms.hpp"
-#include "jobs.hpp"
+#include "controller/histograms.hpp"
+#include "job_builders.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/task.hpp"
 #include "protocol/peer_messages.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 nlohmann::json good() {
@@ -22,22 +25,22 @@
   try {
     parse_submission(j.dump());
     return "taken";
-  } catch (const Malformed& e) {
+  } catch (const ProtocolError& e) {
     return e.what();
   }
 }
 
-TEST(Submission, UnknownFieldsAreIgnoredAndNullsAreOmissions) {
+TEST(JobSpec, UnknownFieldsAreIgnoredAndNullsAreOmissions) {
   auto j = good();
   j["later"] = {1, 2};
   j["dueS"] = nullptr;
   const auto s = parse_submission(j.dump());
   EXPECT_EQ(s.task_count, 16u);
-  EXPECT_FALSE(s.due_s.has_value());
-  EXPECT_TRUE(s.yard.empty());
+  EXPECT_FALSE(s.deadline_s.has_value());
+  EXPECT_TRUE(s.zone.empty());
 }
 
-TEST(Submission, RefusalNamesTheField) {
+TEST(JobSpec, RefusalNamesTheField) {
   const std::pair<const char*, nlohmann::json> cases[] = {
       {"uid", "k-1"},      {"uid", "j-"},  {"uid", 7},     {"pieces", 0},    {"pieces", -1},     {"pieces", 1.5},
       {"pieces", 100001},  {"cores", -1},  {"cores", "8"}, {"cores", 1e300}, {"shape", "x"},     {"rank", nullptr},
@@ -47,9 +50,9 @@
     j[field] = value;
     EXPECT_EQ(refusal(j).rfind(std::string(field) + ": ", 0), 0u) << field << "=" << value << ": " << refusal(j);
   }
-  EXPECT_THROW(parse_submission("{"), Malformed);
-  EXPECT_THROW(parse_submission("[]"), Malformed);
-  EXPECT_THROW(parse_submission("{\"cores\":1e999}"), Malformed);
+  EXPECT_THROW(parse_submission("{"), ProtocolError);
+  EXPECT_THROW(parse_submission("[]"), ProtocolError);
+  EXPECT_THROW(parse_submission("{\"cores\":1e999}"), ProtocolError);
 }
 
 TEST(Routes, PathsAndMethods) {
@@ -65,51 +68,52 @@
 
 TEST(Reports, MalformedOnesAreRefused) {
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":3,)";
-  const auto r = parse_report(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
+  const auto r = parse_heartbeat(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
   EXPECT_EQ(r.tasks.at(0).id.task, 3u);
-  for (const char* tail :
+  for (const char* ledger_writer :
        {R"("pieces":3})", R"("pieces":[{"piece":"j-1","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/99999999","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/1","try":-2,"status":"running"}]})", R"("pieces":[{"piece":"j-1/1","try":2,"status":"odd"}]})",
         R"("pieces":{"a":1}})", R"("pieces":[[]]})", R"("pieces":[3]})", R"("pieces":[{"piece":"j-1/1","status":"running"}]})",
         R"("pieces":null})", R"("pieces":[]},)", R"("loaners":1,"pieces":[]})", R"("recallS":"x","pieces":[]})"})
-    EXPECT_THROW(parse_report(head + tail), Malformed) << tail;
+    EXPECT_THROW(parse_heartbeat(head + ledger_writer), ProtocolError) << ledger_writer;
 }
 
 TEST(Reports, UnknownFieldsArePassedOverWhateverTheyHold) {
-  const auto r = parse_report(
+  const auto r = parse_heartbeat(
       R"({"x":{"host":"no","pieces":[{"piece":"j-9/9"}]},"host":"m","address":"a","hostKind":"k","yard":"z","y":[[{}],3],)"
       R"("loaners":true,"tenure":1,"serial":2.0,"epoch":3,"recallS":4.5,"pieces":[{"z":{"try":9,"s":[1]},"piece":"j-1/3","try":2,)"
       R"("status":"exited","cause":"halted","kept":true},{"piece":"j-2/0","try":1,"status":"exited","cause":"new one"}],"w":null})");
-  EXPECT_EQ(r.host, "m");
-  EXPECT_TRUE(r.loaner);
+  EXPECT_EQ(r.node, "m");
+  EXPECT_TRUE(r.spot);
   EXPECT_EQ(r.serial, 2u);
-  EXPECT_EQ(r.recall_s, 4.5);
+  EXPECT_EQ(r.interruption_in_s, 4.5);
   ASSERT_EQ(r.tasks.size(), 2u);
   EXPECT_EQ(r.tasks[0].attempt, 2u);
-  EXPECT_EQ(r.tasks[0].cause, Cause::halted);
+  EXPECT_EQ(r.tasks[0].exit_reason, ExitReason::stopped);
   EXPECT_TRUE(r.tasks[0].checkpointed);
   EXPECT_EQ(r.tasks[1].id.uid, "j-2");
-  EXPECT_EQ(r.tasks[1].cause, Cause::error);
+  EXPECT_EQ(r.tasks[1].exit_reason, ExitReason::failed);
   EXPECT_FALSE(r.tasks[1].checkpointed);
-  EXPECT_THROW(parse_report("[]"), Malformed);
-  EXPECT_THROW(parse_report("{"), Malformed);
+  EXPECT_THROW(parse_heartbeat("[]"), ProtocolError);
+  EXPECT_THROW(parse_heartbeat("{"), ProtocolError);
 }
 
 TEST(Ledger, RecordsComeBackAsTheyWere) {
   const auto s = parse_submission(good().dump());
-  const std::vector<Record> records{AcceptRecord{s, 0.25, 12.5}, StartRecord{"j-000412", 3, 9.5, {{"m-1", 2, {{0, 4}, {6, 7}}}}},
-                                    DoneRecord{"j-000412", {{0, 1}}}};
+  const std::vector<Record> records{JobAcceptedRecord{s, 0.25, 12.5},
+                                    TasksStartedRecord{"j-000412", 3, 9.5, {{"m-1", 2, {{0, 4}, {6, 7}}}}},
+                                    TasksCompletedRecord{"j-000412", {{0, 1}}}};
   const auto entry = parse_entry(stored_entry(records, {1, 0, 7, 0}));
   EXPECT_EQ(entry.seq, 7u);
-  const auto& accept = std::get<AcceptRecord>(entry.records.at(0));
+  const auto& accept = std::get<JobAcceptedRecord>(entry.records.at(0));
   EXPECT_EQ(accept.job.uid, s.uid);
-  EXPECT_EQ(accept.job.host_kinds, s.host_kinds);
-  EXPECT_TRUE(accept.job.one_zone);
-  EXPECT_DOUBLE_EQ(accept.draw, 0.25);
-  const auto& start = std::get<StartRecord>(entry.records.at(1));
-  EXPECT_EQ(start.assignments.at(0).tasks, (Ranges{{0, 4}, {6, 7}}));
-  EXPECT_THROW(parse_entry(R"({"seq":1,"records":[["start"]]})"), Malformed);
+  EXPECT_EQ(accept.job.machine_types, s.machine_types);
+  EXPECT_TRUE(accept.job.single_zone);
+  EXPECT_DOUBLE_EQ(accept.random_draw, 0.25);
+  const auto& start = std::get<TasksStartedRecord>(entry.records.at(1));
+  EXPECT_EQ(start.assignments.at(0).tasks, (TaskRanges{{0, 4}, {6, 7}}));
+  EXPECT_THROW(parse_entry(R"({"seq":1,"records":[["start"]]})"), ProtocolError);
 }
 
 TEST(Frames, BoundsAreChecked) {
@@ -119,7 +123,7 @@
   EXPECT_EQ(call->target, "/v1/jobs/j-1");
   for (std::size_t cut = 0; cut < frame.payload.size(); ++cut) EXPECT_FALSE(unpack_call({frame.kind, frame.payload.substr(0, cut)})) << cut;
   EXPECT_FALSE(unpack_call({frame.kind, frame.payload + "x"}));
-  EXPECT_FALSE(unpack_beat(frame));
+  EXPECT_FALSE(unpack_peer_heartbeat(frame));
 }
 
 TEST(Histograms, BucketsAreCumulativeAndKeepWhatIsBeyondTheLast) {
@@ -134,4 +138,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/new_machines_test.cpp
+++ b/tests/new_machines_test.cpp
@@ -2,61 +2,61 @@
 // released with work on it, nothing starts twice, nothing is lost.
 #include <gtest/gtest.h>
 
-#include "town.hpp"
+#include "cluster_fixture.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::wait;
+using test_support::wait;
 
-constexpr rig::Times kTimes{0.3, 4, 8, 0.05};    // report, lease, cancel, pull
-constexpr double kAbsent = 1.0, kBooting = 6.0;  // seconds for which the list lacks a machine, and for which it calls it booting
+constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
+constexpr double kAbsent = 1.0, kBooting = 6.0;    // seconds for which the list lacks a machine, and for which it calls it booting
 
-class NewMachines : public testing_::Town, public testing::WithParamInterface<bool> {
+class NewMachines : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
-  NewMachines() : Town(kTimes) {
+  NewMachines() : ClusterFixture(kTimes) {
     cloud = [this](const HttpCall& c) { return answer(c); };
   }
   HttpReply answer(const HttpCall& c) {
     using nlohmann::json;
-    if (c.target == kFlavorsPath)
+    if (c.target == kMachineTypesPath)
       return {200, R"({"hostKinds":[{"sku":"big","cores":8,"accelerators":0,"ramGb":32,"cacheGb":50,"fetchGbPerS":1,)"
                    R"("price":1,"marketPrice":0.5,"bootS":0.5,"yards":["x"]}]})"};
     std::lock_guard lock(mutex);
     const double now = steady_now();
     if (c.method == "GET") {
-      json hosts = json::array();
+      json nodes = json::array();
       for (const auto& [name, at] : rented_at)
         if (now - at > kAbsent && c.target.find("from=") == std::string_view::npos)
-          hosts.push_back({{"uid", name},
+          nodes.push_back({{"uid", name},
                            {"address", ""},
                            {"hostKind", "big"},
                            {"yard", "x"},
                            {"loaners", false},
                            {"status", now - at < kBooting ? "booting" : "running"},
                            {"heldS", now - at}});
-      return {200, json{{"hosts", hosts}, {"truncated", false}}.dump()};
+      return {200, json{{"hosts", nodes}, {"truncated", false}}.dump()};
     }
     const auto body = json::parse(c.body);
     if (c.target == "/rentals/release") {
       for (const auto& name : body.at("hosts"))
         for (auto& w : workers) {
-          if (w->name() != name || !rented_at.contains(name)) continue;
+          if (w->name() != name.get<std::string>() || !rented_at.contains(name.get<std::string>())) continue;
           released_at_work += w->holds();
           w->die();
           rented_at.erase(name);
         }
       return {200, "{}"};
     }
-    json hosts = json::array();
+    json nodes = json::array();
     for (unsigned k = 0; k < body.at("count").get<unsigned>() && rented_at.size() < kMost; ++k) {
       const auto name = "m-" + std::to_string(workers.size());
-      workers.push_back(std::make_unique<rig::Worker>(name, "x", cluster->users, checker, times, 70 + workers.size()));
+      workers.push_back(std::make_unique<testbed::Worker>(name, "x", cluster->users, checker, times, 70 + workers.size()));
       rented_at[name] = now;
-      hosts.push_back(name);
+      nodes.push_back(name);
     }
-    if (hosts.empty()) return {503, R"({"error":"no capacity"})"};
-    return {200, json{{"hosts", hosts}}.dump()};
+    if (nodes.empty()) return {503, R"({"error":"no capacity"})"};
+    return {200, json{{"hosts", nodes}}.dump()};
   }
   static constexpr std::size_t kMost = 4;
   std::mutex mutex;
@@ -77,7 +77,7 @@
     checker.told(uid, "queued", steady_now());
   }
   const auto first = cluster->leader();
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.door(i).slow = 0.3;
+  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).slow = 0.3;
   const auto at_work = [&] {
     std::lock_guard lock(mutex);
     std::size_t n = 0;
@@ -93,20 +93,20 @@
     std::lock_guard lock(mutex);
     for (auto& w : workers) w->hang(steady_now() + 3.5);
   }
-  const auto epoch = cluster->state.epoch();
+  const auto fencing_token = cluster->state.fencing_token();
   if (GetParam()) {
     cluster->stop(first);
-    cluster->start(first, testing_::one_level());
+    cluster->start(first, test_support::one_level());
   } else {
     part(first, true);
-    cluster->state.door(first).refuses = true;
+    cluster->state.endpoint(first).refuses = true;
   }
   // Another lead, by a process that has heard of no machine: of the one that stopped its next process may be the first to lead.
-  ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.epoch() != epoch; }));
+  ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.fencing_token() != fencing_token; }));
   EXPECT_GT(at_work(), 0u) << "they have work as the next one leads";
   wait(4);
   part(first, false);
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.door(i).refuses = false, cluster->state.door(i).slow = 0;
+  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).refuses = false, cluster->state.endpoint(i).slow = 0;
   for (int k = 0; k < 8; ++k) {
     const std::string uid = "j-" + std::to_string(k);
     ASSERT_TRUE(cluster->eventually(30, [&] { return poll(cluster->leader(), uid) == "done"; })) << uid;
@@ -118,4 +118,4 @@
                          [](const auto& info) { return std::string(info.param ? "Stops" : "IsCutOff"); });
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/custody_test.cpp
+++ b/tests/partition_lease_test.cpp
@@ -1,16 +1,16 @@
 // How long a follower keeps leases in a cut, and how long the leader counts on it. The proof is played in
 // safety_test.
-#include "fleet/custody.hpp"
+#include "leadership/partition_lease.hpp"
 
 #include <gtest/gtest.h>
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 constexpr double kSpan = 20;
 
-TEST(Custody, KeepsFromSomeSecondsAfterTheLeadersLastWordUntilItsTimeIsOver) {
-  Custody follower(kSpan, 0);
+TEST(PartitionLease, KeepsFromSomeSecondsAfterTheLeadersLastWordUntilItsTimeIsOver) {
+  PartitionLease follower(kSpan, 0);
   EXPECT_FALSE(follower.is_active(10)) << "nothing was granted";
   follower.grant(7, 100, 0);
   EXPECT_FALSE(follower.is_active(102)) << "the leader may well be there";
@@ -27,8 +27,8 @@
 
 // Kaubaalus grown, rough: each beat sent into the cut seemed to grant anew, so that the leases of 24 machines
 // were never over while it lasted, and their replicas waited for 80 s.
-TEST(Custody, APeerThatIsSilentIsCountedOnForOneSpanOnly) {
-  Granted leader(kSpan, 50);
+TEST(PartitionLease, APeerThatIsSilentIsCountedOnForOneSpanOnly) {
+  PartitionLeaseGrant leader(kSpan, 50);
   EXPECT_EQ(leader.renewals_until(60), 0) << "nothing was granted in this term";
   EXPECT_EQ(leader.earlier_renewals_until(60), 60) << "an earlier leader may have granted until now";
   EXPECT_NEAR(leader.earlier_renewals_until(200), 50 + kSpan, 0.1);
@@ -41,10 +41,10 @@
   EXPECT_NEAR(leader.renewals_until(300), 100 + kSpan, 0.1);
 }
 
-TEST(Custody, ItsSpanAndOneLeaseEndBeforeACancellationMustBeCarriedOut) {
-  EXPECT_LT(custody_span(52, 22) + 22, 52);
-  EXPECT_EQ(custody_span(20, 22), 0);
+TEST(PartitionLease, ItsSpanAndOneLeaseEndBeforeACancellationMustBeCarriedOut) {
+  EXPECT_LT(max_partition_lease_s(52, 22) + 22, 52);
+  EXPECT_EQ(max_partition_lease_s(20, 22), 0);
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/pass_pacing_test.cpp
+++ b/tests/pass_pacing_test.cpp
@@ -1,9 +1,9 @@
 // Planning leaves most of the processor to requests and lease renewals.
-#include "planning/pass_pacing.hpp"
+#include "scheduling/pass_pacing.hpp"
 
 #include <gtest/gtest.h>
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 TEST(PassPacing, RestsForThePassPeriodWhereAPassCostsNothing) {
@@ -32,4 +32,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -6,25 +6,27 @@
 #include <map>
 #include <random>
 
-#include "planning/planner.hpp"
+#include "model/identifiers.hpp"
+#include "model/resources.hpp"
+#include "scheduling/planner.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-PlanInput fleet(unsigned seed, std::size_t hosts, std::size_t jobs) {
+PlanInput fleet(unsigned seed, std::size_t nodes, std::size_t jobs) {
   std::mt19937 random(seed);
   const auto some = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
   PlanInput in;
   in.now = 1000;
   in.horizon = 1030;
-  for (std::uint32_t i = 0; i < hosts; ++i) {
-    PlanHost h;
-    h.host = HostIdx{i};
-    h.machine_type = KindIdx{i % 3};
-    h.zone = ZoneIdx{some(2)};
-    h.loaner = some(3) == 0;
+  for (std::uint32_t i = 0; i < nodes; ++i) {
+    PlanNode h;
+    h.node = NodeIndex{i};
+    h.machine_type = MachineTypeIndex{i % 3};
+    h.zone = ZoneIndex{some(2)};
+    h.spot = some(3) == 0;
     h.capacity = i % 3 == 0 ? Resources{8, 0, 32} : i % 3 == 1 ? Resources{32, 0, 128} : Resources{64, 8, 384};
-    h.fetch_gb_per_s = 0.2;
+    h.image_fetch_gb_per_s = 0.2;
     Resources left = h.capacity;
     while (some(25) != 0) {
       const Resources need{1.0 + some(4), 0, 2.0 + some(8)};
@@ -34,29 +36,29 @@
       h.occupants.push_back({need, some(8) == 0 ? kForever : 990.0 + some(80)});
     }
     for (std::uint32_t image = 0; image < 12; ++image)
-      if (some(4) == 0) h.images.push_back(ImageIdx{image});
-    in.hosts.push_back(h);
+      if (some(4) == 0) h.images.push_back(ImageIndex{image});
+    in.nodes.push_back(h);
   }
   for (std::uint32_t i = 0; i < jobs; ++i) {
     PlanJob j;
-    j.job = JobIdx{i};
+    j.job = JobIndex{i};
     const auto what = some(4);
     j.gang = what == 0;
     j.service = what == 1;
     j.units = j.gang ? 1 + some(8) : j.service ? 2 + some(14) : 20 + some(300);
     j.demand = j.gang ? Resources{57, 8, 310} : Resources{1.0 + some(3), 0, 2};
     j.estimated_run_s = 10 + some(100);
-    j.pull_gb = 0.5 + some(4);
-    j.image = ImageIdx{some(12)};
-    j.team = TeamIdx{some(2)};
+    j.image_gb = 0.5 + some(4);
+    j.image = ImageIndex{some(12)};
+    j.team = TeamIndex{some(2)};
     j.tier = static_cast<int>(some(3));
     j.key = some(1000) / 1000.0;
-    j.one_zone = j.gang;
-    j.loaners = what > 1;
+    j.single_zone = j.gang;
+    j.allows_spot = what > 1;
     if (j.service) j.max_tasks_per_zone = (j.units + 1) / 2;
     in.jobs.push_back(j);
   }
-  in.teams.assign(2, TeamRoom{{9000, 300, 1e9}});
+  in.teams.assign(2, TeamHeadroom{{9000, 300, 1e9}});
   return in;
 }
 
@@ -66,14 +68,14 @@
     double from, until;
     Resources need;
   };
-  std::map<HostIdx, std::vector<Use>> uses;
-  for (const auto& h : in.hosts)
-    for (const auto& o : h.occupants) uses[h.host].push_back({in.now, o.until <= in.now ? in.now + in.overrun_s : o.until, o.demand});
+  std::map<NodeIndex, std::vector<Use>> uses;
+  for (const auto& h : in.nodes)
+    for (const auto& o : h.occupants) uses[h.node].push_back({in.now, o.until <= in.now ? in.now + in.overrun_s : o.until, o.demand});
   for (const auto* slots : {&plan.starts, &plan.reservations}) {
     for (const auto& s : *slots) {
-      const PlanJob& job = in.jobs[s.job.v];
-      const double length = job.service ? kForever : s.pull_s + job.estimated_run_s;
-      uses[s.host].push_back({s.at, s.at + length, job.demand * s.count});
+      const PlanJob& job = in.jobs[s.job.value];
+      const double length = job.service ? kForever : s.image_pull_s + job.estimated_run_s;
+      uses[s.node].push_back({s.at, s.at + length, job.demand * s.count});
     }
   }
   for (const auto& [h, list] : uses) {
@@ -81,7 +83,7 @@
       Resources sum;
       for (const auto& u : list)
         if (u.from <= at.from && at.from < u.until) sum += u.need;
-      ASSERT_TRUE(sum.fits(in.hosts[h.v].capacity)) << "machine " << h.v << " at " << at.from;
+      ASSERT_TRUE(sum.fits(in.nodes[h.value].capacity)) << "machine " << h.value << " at " << at.from;
     }
   }
 }
@@ -96,20 +98,20 @@
     expect_room(in, plan);
     if (HasFatalFailure()) return;
     std::vector<Resources> team(2);
-    std::map<JobIdx, std::map<ZoneIdx, std::uint32_t>> zones;
-    std::map<JobIdx, std::uint32_t> given;
-    for (const auto& s : plan.starts) team[in.jobs[s.job.v].team.v] += in.jobs[s.job.v].demand * s.count;
+    std::map<JobIndex, std::map<ZoneIndex, std::uint32_t>> zones;
+    std::map<JobIndex, std::uint32_t> given;
+    for (const auto& s : plan.starts) team[in.jobs[s.job.value].team.value] += in.jobs[s.job.value].demand * s.count;
     for (const auto* slots : {&plan.starts, &plan.reservations}) {
       for (const auto& s : *slots) {
-        const PlanJob& job = in.jobs[s.job.v];
-        EXPECT_TRUE(may_run_on(job, in.hosts[s.host.v]));
-        zones[s.job][in.hosts[s.host.v].zone] += s.count;
+        const PlanJob& job = in.jobs[s.job.value];
+        EXPECT_TRUE(may_run_on(job, in.nodes[s.node.value]));
+        zones[s.job][in.nodes[s.node.value].zone] += s.count;
         given[s.job] += s.count;
       }
     }
     for (const auto& t : team) EXPECT_TRUE(t.fits({9000, 300, 1e9}));
     for (const auto& [j, n] : given) {
-      const PlanJob& job = in.jobs[j.v];
+      const PlanJob& job = in.jobs[j.value];
       EXPECT_LE(n, job.units);
       if (job.gang) {
         EXPECT_EQ(n, job.units) << "a gang is one unit";
@@ -127,12 +129,12 @@
     auto in = fleet(seed, 420, 40);
     std::stable_sort(in.jobs.begin(), in.jobs.end(),
                      [](const PlanJob& a, const PlanJob& b) { return a.tier != b.tier ? a.tier > b.tier : a.key > b.key; });
-    for (std::uint32_t i = 0; i < in.jobs.size(); ++i) in.jobs[i].job = JobIdx{i};
+    for (std::uint32_t i = 0; i < in.jobs.size(); ++i) in.jobs[i].job = JobIndex{i};
     const auto slots_of = [](const Plan& plan, std::uint32_t before) {
       std::vector<std::tuple<std::uint32_t, std::uint32_t, std::uint32_t, double>> out;
       for (const auto* slots : {&plan.starts, &plan.reservations})
         for (const auto& s : *slots)
-          if (s.job.v < before) out.emplace_back(s.job.v, s.host.v, s.count, s.at);
+          if (s.job.value < before) out.emplace_back(s.job.value, s.node.value, s.count, s.at);
       return out;
     };
     auto ahead = in;
@@ -149,25 +151,25 @@
     auto in = fleet(seed, 60, 1);
     PlanJob& job = in.jobs[0];
     job = {};
-    job.job = JobIdx{0};
-    job.gang = job.one_zone = true;
+    job.job = JobIndex{0};
+    job.gang = job.single_zone = true;
     job.units = 3 + seed % 3;
     job.demand = {57, 8, 310};
     job.estimated_run_s = 50;
-    job.team = TeamIdx{0};
+    job.team = TeamIndex{0};
     const Plan plan = make_plan(in);
     // Plain: every moment at which something ends, each zone, machines that have the room from then on.
     double first = kForever;
     std::vector<double> times{in.now};
     std::vector<Profile> profiles;
-    for (const auto& h : in.hosts) profiles.emplace_back(h, in.now, in.overrun_s);
+    for (const auto& h : in.nodes) profiles.emplace_back(h, in.now, in.overrun_s);
     for (const auto& p : profiles)
       for (const auto& s : p.steps()) times.push_back(s.at);
     for (double t : times) {
       for (std::uint32_t z = 0; z < 2; ++z) {
         std::uint32_t units = 0;
-        for (std::size_t h = 0; h < in.hosts.size(); ++h)
-          if (in.hosts[h].zone.v == z && may_run_on(job, in.hosts[h])) units += profiles[h].fits(job.demand, t, job.estimated_run_s);
+        for (std::size_t h = 0; h < in.nodes.size(); ++h)
+          if (in.nodes[h].zone.value == z && may_run_on(job, in.nodes[h])) units += profiles[h].fits(job.demand, t, job.estimated_run_s);
         if (units >= job.units) first = std::min(first, t);
       }
     }
@@ -187,7 +189,7 @@
     std::size_t units = 0;
     for (const auto& j : in.jobs) units += j.units;
     ASSERT_GT(units, 2000u);
-    EXPECT_LT(make_plan(in).examined_nodes, 3 * in.hosts.size() * in.jobs.size());
+    EXPECT_LT(make_plan(in).examined_nodes, 3 * in.nodes.size() * in.jobs.size());
   }
 }
 
@@ -196,25 +198,25 @@
 TEST(PlannerAtSize, WhatFoundNothingHidesOnlyWhatNeedsNoLess) {
   PlanInput in;
   in.now = 100;
-  in.most_holds = 0;
+  in.max_reservations = 0;
   for (std::uint32_t i = 0; i < 2; ++i) {
-    PlanHost h;
-    h.host = HostIdx{i};
-    h.machine_type = KindIdx{i};
-    h.zone = ZoneIdx{0};
-    h.loaner = i == 1;
+    PlanNode h;
+    h.node = NodeIndex{i};
+    h.machine_type = MachineTypeIndex{i};
+    h.zone = ZoneIndex{0};
+    h.spot = i == 1;
     h.capacity = {1, 0, 8};
     h.occupants = {{{i == 0 ? 0.7 : 0.2, 0, 1}, 200}};
-    in.hosts.push_back(h);
+    in.nodes.push_back(h);
   }
-  const auto add = [&](double cores, double key, bool loaners) {
+  const auto add = [&](double cores, double key, bool allows_spot) {
     PlanJob j;
-    j.job = JobIdx{static_cast<std::uint32_t>(in.jobs.size())};
+    j.job = JobIndex{static_cast<std::uint32_t>(in.jobs.size())};
     j.units = 1;
     j.demand = {cores, 0, 0.1};
     j.estimated_run_s = 10;
     j.key = key;
-    j.loaners = loaners;
+    j.allows_spot = allows_spot;
     in.jobs.push_back(j);
   };
   add(0.5, 9, false);  // 0.3 is free where it may run
@@ -224,12 +226,12 @@
   add(0.5, 5, true);
   const Plan plan = make_plan(in);
   ASSERT_EQ(plan.starts.size(), 2u);
-  EXPECT_EQ(plan.starts[0].job, JobIdx{2});
-  EXPECT_EQ(plan.starts[1].job, JobIdx{3});
-  std::vector<JobIdx> unserved;
+  EXPECT_EQ(plan.starts[0].job, JobIndex{2});
+  EXPECT_EQ(plan.starts[1].job, JobIndex{3});
+  std::vector<JobIndex> unserved;
   for (const auto& u : plan.unserved) unserved.push_back(u.job);
-  EXPECT_EQ(unserved, (std::vector<JobIdx>{JobIdx{0}, JobIdx{1}, JobIdx{4}}));
+  EXPECT_EQ(unserved, (std::vector<JobIndex>{JobIndex{0}, JobIndex{1}, JobIndex{4}}));
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,5 +1,5 @@
 // Runs the kept traces: a queue and a fleet in, a timetable out.
-#include "planning/planner.hpp"
+#include "scheduling/planner.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,12 +8,14 @@
 #include <map>
 #include <sstream>
 
-namespace thistle {
+#include "model/identifiers.hpp"
+
+namespace thistlefront {
 namespace {
 
 struct Trace {
   PlanInput input;
-  std::vector<std::string> hosts, jobs;
+  std::vector<std::string> nodes, jobs;
   std::vector<std::string> expected;
 };
 
@@ -36,18 +38,18 @@
       t.expected.push_back(line);
     } else if (what == "host") {
       words >> name;
-      PlanHost h;
-      h.host = HostIdx{static_cast<std::uint32_t>(t.hosts.size())};
+      PlanNode h;
+      h.node = NodeIndex{static_cast<std::uint32_t>(t.nodes.size())};
       while (words >> word) {
         std::string value;
         if (word == "spot")
-          h.loaner = true;
+          h.spot = true;
         else if (word == "image")
-          h.images.push_back(ImageIdx{0});
+          h.images.push_back(ImageIndex{0});
         else if (words >> value; word == "kind")
-          h.machine_type = KindIdx{id(kinds, value)};
+          h.machine_type = MachineTypeIndex{id(kinds, value)};
         else if (word == "zone")
-          h.zone = ZoneIdx{id(zones, value)};
+          h.zone = ZoneIndex{id(zones, value)};
         else if (word == "cores")
           h.capacity.cores = std::stod(value);
         else if (word == "gpus")
@@ -55,15 +57,15 @@
         else if (word == "ram")
           h.capacity.ram_gb = std::stod(value);
         else if (word == "fetch")
-          h.fetch_gb_per_s = std::stod(value);
+          h.image_fetch_gb_per_s = std::stod(value);
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      t.hosts.push_back(name);
-      t.input.hosts.push_back(h);
+      t.nodes.push_back(name);
+      t.input.nodes.push_back(h);
     } else if (what == "busy") {
       words >> name;
-      PlanHost::Occupant o;
+      PlanNode::Occupant o;
       while (words >> word) {
         double value = 0;
         words >> value;
@@ -76,22 +78,22 @@
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      const auto at = std::find(t.hosts.begin(), t.hosts.end(), name) - t.hosts.begin();
-      t.input.hosts.at(static_cast<std::size_t>(at)).occupants.push_back(o);
+      const auto at = std::find(t.nodes.begin(), t.nodes.end(), name) - t.nodes.begin();
+      t.input.nodes.at(static_cast<std::size_t>(at)).occupants.push_back(o);
     } else if (what == "team") {
       words >> name >> word;
       id(teams, name);
-      TeamRoom room{{0, 1e9, 1e9}};
+      TeamHeadroom room{{0, 1e9, 1e9}};
       words >> room.remaining.cores;
       t.input.teams.push_back(room);
     } else {
       words >> name;
       PlanJob j;
-      j.job = JobIdx{static_cast<std::uint32_t>(t.jobs.size())};
+      j.job = JobIndex{static_cast<std::uint32_t>(t.jobs.size())};
       j.units = 1;
       j.gang = what == "gang";
       j.service = what == "service";
-      double draw = -1, waited = 0;
+      double random_draw = -1, waited = 0;
       bool spread = false;
       while (words >> word) {
         if (word[0] == 'x') {
@@ -99,7 +101,7 @@
           continue;
         }
         if (word == "onezone") {
-          j.one_zone = true;
+          j.single_zone = true;
           continue;
         }
         if (word == "spread") {
@@ -115,7 +117,7 @@
         else if (word == "ram")
           j.demand.ram_gb = std::stod(value);
         else if (word == "pull")
-          j.pull_gb = std::stod(value), j.image = ImageIdx{0};
+          j.image_gb = std::stod(value), j.image = ImageIndex{0};
         else if (word == "run")
           j.estimated_run_s = std::stod(value);
         else if (word == "key")
@@ -123,15 +125,15 @@
         else if (word == "tier")
           j.tier = std::stoi(value);
         else if (word == "draw")
-          draw = std::stod(value);
+          random_draw = std::stod(value);
         else if (word == "waited")
           waited = std::stod(value);
         else if (word == "team")
-          j.team = TeamIdx{id(teams, value)};
+          j.team = TeamIndex{id(teams, value)};
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      if (draw >= 0) j.key = key_of(draw, j.estimated_run_s, 0.1 / 3600, waited, j.service);
+      if (random_draw >= 0) j.key = key_of(random_draw, j.estimated_run_s, 0.1 / 3600, waited, j.service);
       if (spread) j.max_tasks_per_zone = (j.units + 1) / 2;
       t.jobs.push_back(name);
       t.input.jobs.push_back(j);
@@ -149,7 +151,7 @@
   std::vector<std::string> got;
   const auto say = [&](const Slot& s, bool start) {
     std::ostringstream out;
-    out << (start ? "start " : "hold ") << t.jobs[s.job.v] << ' ' << t.hosts[s.host.v] << " x" << s.count;
+    out << (start ? "start " : "hold ") << t.jobs[s.job.value] << ' ' << t.nodes[s.node.value] << " x" << s.count;
     if (!start) out << " at " << s.at;
     got.push_back(out.str());
   };
@@ -171,4 +173,4 @@
 INSTANTIATE_TEST_SUITE_P(Kept, PlannerTrace, testing::ValuesIn(traces()), [](const auto& info) { return info.param.stem().string(); });
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/backing_test.cpp
+++ b/tests/quorum_tracker_test.cpp
@@ -1,15 +1,15 @@
 // What the answers of peers prove, explored exhaustively: an earlier leader that is cut off from the state service and from its
 // successor, a third controller that hears either, both or none of them and may begin anew at any time.
-#include "duties/backing.hpp"
+#include "leadership/quorum_tracker.hpp"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <string>
 
-#include "fleet/renewal.hpp"
+#include "worker_control/lease_renewal_policy.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 constexpr double kGrace = 2;
@@ -17,7 +17,7 @@
 
 struct World {
   // The earlier leader's hold was alive for sure until 0. It is one of three, as its successor is.
-  Backing earlier{2, -10, kGrace}, later{2, 0, kGrace};
+  QuorumTracker earlier{2, -10, kGrace}, later{2, 0, kGrace};
   std::uint64_t process = 1, knows = 0;  // of the third
   bool stepped_down = false;
 
@@ -62,21 +62,21 @@
   return w;
 }
 
-TEST(Backing, ASuccessorNeverCountsOnSilenceThatAProcessBegunAnewCouldBreak) {
+TEST(QuorumTracker, ASuccessorNeverCountsOnSilenceThatAProcessBegunAnewCouldBreak) {
   std::string how;
   EXPECT_EQ(explore(before(), 0, 7, true, how), 0u) << how;
 }
 
 // Without regard to which process of a controller answered: acknowledged by the third one, forgotten as it begins anew, and the
 // earlier leader has a majority again. Each step: 1 hears the earlier one, 2 the later one, 4 begins anew before.
-TEST(Backing, WithoutRegardToTheProcessItIsFound) {
+TEST(QuorumTracker, WithoutRegardToTheProcessItIsFound) {
   std::string how;
   EXPECT_EQ(explore(before(), 0, 7, false, how), 1u);
   EXPECT_NE(how.find(":5"), std::string::npos) << how;
 }
 
-TEST(Backing, AMajorityIsLostAfterTheGraceAndKeptByThoseKnownBefore) {
-  Backing b(2, 0, kGrace);
+TEST(QuorumTracker, AMajorityIsLostAfterTheGraceAndKeptByThoseKnownBefore) {
+  QuorumTracker b(2, 0, kGrace);
   b.record_ack(0, 1, 10, kEarlier, true);
   EXPECT_TRUE(b.has_quorum(11));
   EXPECT_FALSE(b.has_quorum(12.5));
@@ -87,38 +87,38 @@
   EXPECT_TRUE(b.is_isolated(40, 3));
 }
 
-TEST(Backing, OneWithoutPeersIsAloneFromTheStart) {
-  Backing b(0, 7, kGrace);
+TEST(QuorumTracker, OneWithoutPeersIsAloneFromTheStart) {
+  QuorumTracker b(0, 7, kGrace);
   EXPECT_EQ(b.sole_leader_since(kLater, 9), 7);
   EXPECT_TRUE(b.has_quorum(1e6));
 }
 
 // An earlier leader needs more than half: so half that know better are enough, and of two controllers the successor alone is.
-TEST(Backing, ALeadIsKnownWhenTheOthersAreNoMajorityAnyMore) {
+TEST(QuorumTracker, ALeadIsKnownWhenTheOthersAreNoMajorityAnyMore) {
   for (std::size_t n = 1; n <= 6; ++n) {
-    Backing b(n - 1, 0, kGrace);
+    QuorumTracker b(n - 1, 0, kGrace);
     for (std::size_t knowing = 1; knowing <= n; ++knowing) {
       EXPECT_EQ(b.is_takeover_known(kLater), 2 * (n - knowing) <= n) << knowing << " of " << n;
       if (knowing < n) b.record_ack(knowing - 1, 1, 0, kLater, true);
     }
   }
-  Backing two(1, 0, kGrace);
+  QuorumTracker two(1, 0, kGrace);
   EXPECT_LT(two.sole_leader_since(kLater, 1), 0) << "the earlier one counts on this one's last answer for a grace";
   EXPECT_GT(two.sole_leader_since(kLater, 1 + kGrace + 1.1), 0);
 }
 
 // What is left between lease_s and cancel_s bounds it; with nothing left, an uncertain leader renews nothing.
-TEST(Backing, TheGraceLeavesTimeForALease) {
-  EXPECT_EQ(backing_grace(40, 10), 5);
+TEST(QuorumTracker, TheGraceLeavesTimeForALease) {
+  EXPECT_EQ(quorum_grace_s(40, 10), 5);
   for (double cancel : {42.0, 24.0, 23.0, 22.2, 22.0, 10.0}) {
-    const double grace = backing_grace(cancel, 22);
+    const double grace = quorum_grace_s(cancel, 22);
     EXPECT_GE(grace, 0);
     EXPECT_LE(grace + 22, std::max(cancel, 22.0));
-    Backing b(2, 0, grace);
+    QuorumTracker b(2, 0, grace);
     b.record_ack(0, 1, 10, kEarlier, true);
     EXPECT_EQ(b.has_quorum(10), grace > 0) << cancel;
   }
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
