--- a/tests/budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -1,25 +1,26 @@
 // Threads and sockets are split so that a controller of any size can lead: at fleet size a thread for each
 // worker beside one for each connection came to more than a process may have, and it ended (kaubaalus fleet,
 // calm: 8 times).
-#include "coordination/budget.hpp"
+#include "controller/resource_budget.hpp"
 
 #include <gtest/gtest.h>
 
 #include <thread>
 
-#include "fleet/due_workers.hpp"
-#include "rig/state_service.hpp"
+#include "model/identifiers.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/clock.hpp"
-#include "transport/kept_lines.hpp"
+#include "transport/connection_pool.hpp"
+#include "worker_control/command_queue.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-TEST(Budget, StaysWithinTheThreadsAndSocketsOfEverySize) {
+TEST(ResourceBudget, StaysWithinTheThreadsAndSocketsOfEverySize) {
   for (std::size_t threads : {100u, 300u, 2000u, 20000u}) {
     for (std::size_t sockets : {256u, 900u, 3059u, 20000u}) {
       for (std::size_t peers : {0u, 2u, 4u, 6u}) {
-        const auto b = split_budget(threads, sockets, peers);
+        const auto b = split_resource_budget(threads, sockets, peers);
         const auto what =
             std::to_string(threads) + " threads, " + std::to_string(sockets) + " sockets, " + std::to_string(peers) + " peers";
         EXPECT_LE(b.most_sockets(), sockets) << what;
@@ -34,54 +35,54 @@
   }
 }
 
-TEST(Budget, AThousandWorkersAndTheirUsersHaveRoom) {
-  const auto b = split_budget(2000, 2929, 2);
+TEST(ResourceBudget, AThousandWorkersAndTheirUsersHaveRoom) {
+  const auto b = split_resource_budget(2000, 2929, 2);
   EXPECT_GT(b.clients, 1500u);
   EXPECT_GT(b.worker_connections, 900u);
 }
 
-TEST(DueWorkers, OneIsServedByOneSenderAndAgainWhenItBecameDueMeanwhile) {
-  DueWorkers due(2);
-  due.enqueue(HostIdx{1}, false, 0);
-  due.enqueue(HostIdx{1}, true, 0);
+TEST(CommandQueue, OneIsServedByOneSenderAndAgainWhenItBecameDueMeanwhile) {
+  CommandQueue due(2);
+  due.enqueue(NodeIndex{1}, false, 0);
+  due.enqueue(NodeIndex{1}, true, 0);
   const auto first = due.dequeue();
   ASSERT_TRUE(first);
   EXPECT_TRUE(first->announce);
   EXPECT_FALSE(due.dequeue());
-  due.enqueue(HostIdx{1}, false, 0);
+  due.enqueue(NodeIndex{1}, false, 0);
   EXPECT_FALSE(due.has_ready());  // it is being served
-  due.complete(HostIdx{1});
+  due.complete(NodeIndex{1});
   const auto again = due.dequeue();
   ASSERT_TRUE(again);
   EXPECT_FALSE(again->announce);
 }
 
-TEST(DueWorkers, ThoseThatDoNotAnswerNeverHoldUpTheOthers) {
-  DueWorkers due(2);
+TEST(CommandQueue, ThoseThatDoNotAnswerNeverHoldUpTheOthers) {
+  CommandQueue due(2);
   // Ten that die together: each fails once.
-  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(HostIdx{i}, false, 0);
-  for (std::uint32_t i = 0; i < 10; ++i) due.back_off(due.dequeue()->host, 1.5);
-  due.enqueue(HostIdx{0}, false, 1);
+  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(NodeIndex{i}, false, 0);
+  for (std::uint32_t i = 0; i < 10; ++i) due.back_off(due.dequeue()->node, 1.5);
+  due.enqueue(NodeIndex{0}, false, 1);
   EXPECT_FALSE(due.has_ready());  // left alone for a while
-  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(HostIdx{i}, false, 2);
-  due.enqueue(HostIdx{50}, false, 2);
-  EXPECT_EQ(due.dequeue()->host, HostIdx{50});
+  for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(NodeIndex{i}, false, 2);
+  due.enqueue(NodeIndex{50}, false, 2);
+  EXPECT_EQ(due.dequeue()->node, NodeIndex{50});
   EXPECT_TRUE(due.dequeue());
   EXPECT_TRUE(due.dequeue());
   EXPECT_FALSE(due.dequeue());  // two wait for slow ones: no third
-  due.enqueue(HostIdx{51}, false, 2);
-  EXPECT_EQ(due.dequeue()->host, HostIdx{51});
-  due.complete(HostIdx{0});  // it answers again
-  due.enqueue(HostIdx{0}, false, 2);
-  EXPECT_EQ(due.dequeue()->host, HostIdx{0});
+  due.enqueue(NodeIndex{51}, false, 2);
+  EXPECT_EQ(due.dequeue()->node, NodeIndex{51});
+  due.complete(NodeIndex{0});  // it answers again
+  due.enqueue(NodeIndex{0}, false, 2);
+  EXPECT_EQ(due.dequeue()->node, NodeIndex{0});
 }
 
-TEST(KeptLines, OverTheBoundTheOneLongestUnusedGoes) {
-  const std::string first = testing_::free_address();
+TEST(ConnectionPool, OverTheBoundTheOneLongestUnusedGoes) {
+  const std::string first = test_support::free_address();
   HttpServer server(first, 10, [](const HttpCall&) { return HttpReply{200, "{}"}; });
-  const std::string second = testing_::free_address();
+  const std::string second = test_support::free_address();
   HttpServer other(second, 10, [](const HttpCall&) { return HttpReply{200, "{}"}; });
-  KeptLines lines(1);
+  ConnectionPool lines(1);
   for (const auto& address : {first, second}) {
     auto client = lines.acquire(address);
     ASSERT_TRUE(client->get("/", 2).ok());
@@ -95,10 +96,10 @@
 // At times 1.5 the leader has a connection for each of 1,554 workers and room for few users: a crowd of those must not cost a worker
 // that holds tasks its own.
 TEST(HttpServer, PastItsBoundUsersGoBeforeWorkersThatHoldTasks) {
-  const auto address = testing_::free_address();
+  const auto address = test_support::free_address();
   HttpServer server(address, 3, [](const HttpCall& call) {
     HttpReply reply{200, "{}"};
-    reply.dear = call.target == "/dear";
+    reply.evict_last = call.target == "/dear";
     return reply;
   });
   std::vector<std::unique_ptr<Stream>> workers, users;
@@ -125,7 +126,7 @@
 }
 
 TEST(HttpClient, ACallThatIsLateSaysSoOnceAndStillGetsItsAnswer) {
-  const auto address = testing_::free_address();
+  const auto address = test_support::free_address();
   HttpServer server(address, 10, [](const HttpCall&) {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     return HttpReply{200, "{}"};
@@ -138,4 +139,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,35 +1,36 @@
 // Roll-outs on real controllers: mixed builds, a level switched on and lowered again, and a ledger that
-// nobody, or only some, can read. An older build that knows of levels is played by `state_level_reads`.
+// nobody, or only some, can read. An older build that knows of levels is played by `max_readable_format_version`.
 #include <gtest/gtest.h>
 
 #include "cluster.hpp"
+#include "model/ledger_records.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-using testing_::Cluster;
+using test_support::Cluster;
 
-Tuning soaking(double seconds) {
-  Tuning t;
-  t.state_level_soak_s = seconds;
-  t.state_level_reads = 2;
+Options soaking(double seconds) {
+  Options t;
+  t.format_version_soak_s = seconds;
+  t.max_readable_format_version = 2;
   return t;
 }
-Tuning older() {
-  Tuning t = soaking(0);
-  t.state_level_reads = 1;
+Options older() {
+  Options t = soaking(0);
+  t.max_readable_format_version = 1;
   return t;
 }
-Tuning held_at(std::uint32_t level) {
-  Tuning t = soaking(0);
-  t.state_level_most = level;
+Options held_at(std::uint32_t format_version) {
+  Options t = soaking(0);
+  t.max_format_version = format_version;
   return t;
 }
 
 // This build as it is, with nothing waited for.
-Tuning at_once() {
-  Tuning t;
-  t.state_level_soak_s = 0;
+Options at_once() {
+  Options t;
+  t.format_version_soak_s = 0;
   return t;
 }
 
@@ -53,18 +54,18 @@
   // The older build may lead and be followed, and says what it has.
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.value("roster/host-2").empty(); }));
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(c.level(), "");
+    EXPECT_EQ(c.format_version(), "");
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
   }
   EXPECT_TRUE(all_entries_of(c, false)) << "what an older build reads, as long as there is one";
   c.start(2, soaking(0));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.level() == kTwo; }));
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
   EXPECT_NE(c.state.value("leader").find("(state level 2)"), std::string::npos) << "kept by nobody, for builds from before levels";
   ASSERT_TRUE(c.submit_until("j-2", 20));
   EXPECT_TRUE(c.eventually(20, [&] { return all_entries_of(c, true); })) << "old entries are written anew";
   expect_all_known(c, {"j-1", "j-2"});
   // And a leader's end changes nothing of it.
-  c.state.end_holds();
+  c.state.expire_session_leases();
   ASSERT_TRUE(c.submit_until("j-3", 20));
   expect_all_known(c, {"j-1", "j-2", "j-3"});
   EXPECT_EQ(c.state.unfenced(), 0u);
@@ -81,12 +82,12 @@
   c.state.remove("roster/host-2");
   EXPECT_TRUE(
       c.eventually(20, [&] { return c.metric(c.leader(), "state_level_waits_for").find("host-2 (never seen)") != std::string::npos; }));
-  EXPECT_EQ(c.level(), "");
+  EXPECT_EQ(c.format_version(), "");
 }
 
 TEST(Rollout, AfterTheSwitchAnOlderBuildFollowsAndNeverLeads) {
   Cluster c(2, 1, {soaking(0)});
-  ASSERT_TRUE(c.eventually(30, [&] { return c.level() == kTwo; }));
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
   ASSERT_TRUE(c.submit_until("j-1", 20));
   c.start(1, older());
   expect_all_known(c, {"j-1"});
@@ -105,14 +106,14 @@
 TEST(Rollout, AMajorityHeldBelowLowersTheLevelAndOlderBuildsLeadAgain) {
   Cluster c(3, 1, {soaking(0)});
   ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.level() == kTwo; }));
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
   ASSERT_TRUE(c.submit_until("j-2", 20));
   c.start(0, held_at(1));
   ASSERT_TRUE(c.submit_until("j-3", 20));
   std::this_thread::sleep_for(std::chrono::seconds(2));
-  EXPECT_EQ(c.level(), kTwo) << "one flag that was forgotten lowers nothing";
+  EXPECT_EQ(c.format_version(), kTwo) << "one flag that was forgotten lowers nothing";
   c.start(1, held_at(1));
-  ASSERT_TRUE(c.eventually(40, [&] { return c.level() == R"({"level":1})"; }));
+  ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == R"({"level":1})"; }));
   EXPECT_TRUE(all_entries_of(c, false)) << "before it is on";
   EXPECT_EQ(c.state.value("lead"), "");
   for (std::size_t i = 0; i < 3; ++i) c.start(i, older());
@@ -131,27 +132,27 @@
     // Five seconds of trouble; where nothing could be accepted in them, which happens by chance, it goes on.
     const double began = steady_now();
     while (steady_now() < began + 5 || (told.empty() && steady_now() < began + 25)) {
-      const auto node = random() % 3;
-      auto& d = c.state.door(node);
+      const auto replica = random() % 3;
+      auto& d = c.state.endpoint(replica);
       switch (random() % 6) {
         case 0: d.refuses = !d.refuses; break;
         case 1: d.loses = d.loses > 0 ? 0 : 0.4; break;
         case 2: d.late = d.late > 0 ? 0 : 0.3; break;
         case 3: d.repeats = d.repeats > 0 ? 0 : 0.4; break;
-        case 4: c.state.end_holds(); break;
-        default: c.start(node, random() % 2 == 0 ? soaking(1) : older());
+        case 4: c.state.expire_session_leases(); break;
+        default: c.start(replica, random() % 2 == 0 ? soaking(1) : older());
       }
       const std::string uid = "j-" + std::to_string(1000 * seed + told.size());
       if (const auto r = c.submit(random() % 3, uid); r.is(201) || r.is(200)) told.push_back(uid);
       // An older build may have had to stand by: then nobody leads for a while.
     }
     for (std::size_t i = 0; i < 3; ++i) {
-      auto& d = c.state.door(i);
+      auto& d = c.state.endpoint(i);
       d.refuses = false;
       d.loses = d.late = d.repeats = 0;
       c.start(i, soaking(0));
     }
-    ASSERT_TRUE(c.eventually(40, [&] { return c.level() == kTwo; })) << "seed " << seed;
+    ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == kTwo; })) << "seed " << seed;
     ASSERT_TRUE(c.submit_until("j-9", 30)) << "seed " << seed;
     EXPECT_FALSE(told.empty());
     expect_all_known(c, told);
@@ -160,22 +161,22 @@
 }
 
 // The newest terms of a team in the ledger; nothing: none are there.
-std::optional<TeamRecord> team_in_ledger(Cluster& c, const std::string& name) {
-  std::optional<TeamRecord> out;
+std::optional<TeamQuotaRecord> team_in_ledger(Cluster& c, const std::string& name) {
+  std::optional<TeamQuotaRecord> out;
   for (const auto& [key, value] : c.state.entries())
     for (const auto& r : parse_entry(value).records)
-      if (const auto* t = std::get_if<TeamRecord>(&r); t && t->name == name) out = *t;
+      if (const auto* t = std::get_if<TeamQuotaRecord>(&r); t && t->name == name) out = *t;
   return out;
 }
 
 // A settings file with another limit and one team more, controller by controller, with takeovers in between.
 TEST(Rollout, ChangedTeamsComeIntoForceWhenAllControllersHaveThem) {
-  const Tuning now = at_once();
+  const Options now = at_once();
   Cluster c(3, 1, {now});
   ASSERT_TRUE(c.submit_until("j-1", 20));
   ASSERT_TRUE(c.eventually(60, [&] { return team_in_ledger(c, "red").has_value(); }));
-  EXPECT_EQ(c.level(), R"({"level":4})");
-  const TeamTerms before = team_in_ledger(c, "red")->agreed.value();
+  EXPECT_EQ(c.format_version(), R"({"level":4})");
+  const TeamQuota before = team_in_ledger(c, "red")->agreed.value();
   const auto changed = [&](std::size_t i) {
     c.settings(i).teams = {{"red", {}, {6, 0, 0}}, {"green", {}, {3, 0, 0}}};
     c.start(i, now);
@@ -187,10 +188,10 @@
   }));
   ASSERT_TRUE(c.eventually(30, [&] { return team_in_ledger(c, "green").has_value(); }));
   // Whoever leads, it is as the ledger says, for the team that is in one file only as well.
-  auto green = nlohmann::json::parse(testing_::job_body("j-20"));
+  auto green = nlohmann::json::parse(test_support::job_body("j-20"));
   green["owner"] = "green";
   for (int i = 0; i < 2; ++i) {
-    c.state.end_holds();
+    c.state.expire_session_leases();
     green["uid"] = "j-2" + std::to_string(i);
     EXPECT_TRUE(c.eventually(20, [&] { return c.ask(2, "POST", "/v1/jobs", green.dump()).is(201); })) << i;
     EXPECT_EQ(team_in_ledger(c, "red")->agreed, before);
@@ -203,7 +204,7 @@
     return red->agreed->limit.cores == 6 && !red->proposed;
   }));
   // What needs more than the new limit can never run; a team that nobody has is refused for good.
-  auto large = nlohmann::json::parse(testing_::job_body("j-30"));
+  auto large = nlohmann::json::parse(test_support::job_body("j-30"));
   large["shape"] = "group";
   large["pieces"] = 7;
   EXPECT_TRUE(c.eventually(10, [&] { return c.ask(0, "POST", "/v1/jobs", large.dump()).is(422); }));
@@ -213,24 +214,24 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-std::string waiting_body(const std::string& uid, const nlohmann::json& names, std::uint32_t pieces = 2) {
-  auto j = nlohmann::json::parse(testing_::job_body(uid));
+std::string waiting_body(const std::string& uid, const nlohmann::json& names, std::uint32_t tasks = 2) {
+  auto j = nlohmann::json::parse(test_support::job_body(uid));
   j["waitsOn"] = names;
-  j["pieces"] = pieces;
+  j["pieces"] = tasks;
   return j.dump();
 }
 
 // As its users meet it: refused for a while until all controllers have the level, and then, whoever is asked and whoever
 // leads, accepted, refused for good, cancelled through another.
 TEST(Rollout, JobsThatWaitForOthersComeWithTheLevelAndAreKnownToEachLeader) {
-  const Tuning now = at_once();
-  Tuning before = now;
-  before.state_level_reads = 3;
+  const Options now = at_once();
+  Options before = now;
+  before.max_readable_format_version = 3;
   Cluster c(3, 1, {now, now, before});
   ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(20, [&] { return c.level() == R"({"level":3})"; }));
-  const auto submit = [&](std::size_t node, const std::string& uid, const nlohmann::json& names) {
-    return c.ask(node, "POST", "/v1/jobs", waiting_body(uid, names));
+  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":3})"; }));
+  const auto submit = [&](std::size_t replica, const std::string& uid, const nlohmann::json& names) {
+    return c.ask(replica, "POST", "/v1/jobs", waiting_body(uid, names));
   };
   for (std::size_t i = 0; i < 3; ++i) {
     const auto r = submit(i, "j-2", {"j-1"});
@@ -241,7 +242,7 @@
   EXPECT_TRUE(c.eventually(10, [&] { return submit(1, "j-3", nlohmann::json::array()).is(201); })) << "waits for none";
   c.start(2, now);
   ASSERT_TRUE(c.eventually(20, [&] { return submit(0, "j-2", {"j-1", "j-1", "j-3"}).is(201); }));
-  EXPECT_EQ(c.level(), R"({"level":4})");
+  EXPECT_EQ(c.format_version(), R"({"level":4})");
   for (std::size_t i = 0; i < 3; ++i) {
     EXPECT_TRUE(submit(i, "j-9", {"j-77"}).is(422)) << "never accepted";
     EXPECT_TRUE(submit(i, "j-9", {"j-9"}).is(422));
@@ -263,7 +264,7 @@
   EXPECT_TRUE(late.is(201)) << "accepted all the same";
   EXPECT_NE(late.body.find("aborted"), std::string::npos);
   for (int i = 0; i < 2; ++i) {
-    c.state.end_holds();
+    c.state.expire_session_leases();
     EXPECT_TRUE(c.eventually(20, [&] { return is("j-4", "aborted") && is("j-5", "aborted") && is("j-1", "queued"); }));
   }
   EXPECT_EQ(c.state.unfenced(), 0u);
@@ -271,9 +272,9 @@
 
 // The state service takes a quarter from some moment on: with entries of both sizes, and the largest job that is taken.
 TEST(Rollout, LoweredLimitsOfTheStateServiceStopNothing) {
-  const Tuning now = at_once();
+  const Options now = at_once();
   Cluster c(3, 1, {now});
-  ASSERT_TRUE(c.eventually(20, [&] { return c.level() == R"({"level":4})"; }));
+  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(c.submit_until("j-1" + std::to_string(i), 20));
   for (std::size_t i = 0; i < 3; ++i) c.settings(i).value_kb = 2, c.settings(i).txn_ops = 4;
   for (std::size_t i = 0; i < 3; ++i) c.start(i, now);
@@ -286,7 +287,7 @@
   EXPECT_TRUE(c.eventually(20, [&] { return c.ask(0, "POST", "/v1/jobs", waiting_body("j-31", names)).is(422); }))
       << "told at the door that it is too long, or that it names what nobody knows";
   for (int i = 0; i < 30; ++i) ASSERT_TRUE(c.submit_until("j-4" + std::to_string(i), 20));
-  c.state.end_holds();
+  c.state.expire_session_leases();
   ASSERT_TRUE(c.submit_until("j-50", 20));
   for (const auto* uid : {"j-10", "j-139", "j-30", "j-429"})
     EXPECT_TRUE(c.eventually(10, [&] { return c.ask(1, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
@@ -295,9 +296,9 @@
 
 // Where it takes less than its settings say, it is found out: smaller pieces, and nobody steps down in turn for ever.
 TEST(Rollout, AStateServiceThatTakesLessThanItSaysIsGivenSmallerPieces) {
-  const Tuning now = at_once();
+  const Options now = at_once();
   Cluster c(2, 1, {now});
-  ASSERT_TRUE(c.eventually(20, [&] { return c.level() == R"({"level":4})"; }));
+  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
   ASSERT_TRUE(c.submit_until("j-1", 20));
   c.state.limit(2048, 4);
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(c.submit_until("j-2" + std::to_string(i), 20)) << i;
@@ -343,7 +344,7 @@
   const auto entry = *c.state.entries().begin();
   for (std::size_t i = 0; i < 3; ++i) c.stop(i);
   c.state.put(entry.first, beyond(entry.second));
-  for (std::size_t i = 0; i < 3; ++i) c.start(i, Tuning{});
+  for (std::size_t i = 0; i < 3; ++i) c.start(i, Options{});
   std::uint64_t serial = 0;
   std::size_t kept = 0;
   std::set<std::string> leaders;
@@ -352,7 +353,7 @@
       const auto poll = c.ask(i, "GET", "/v1/jobs/j-1");
       EXPECT_FALSE(poll.is(404) || poll.is(200)) << poll.body;
       EXPECT_FALSE(c.submit(i, "j-2").is(201));
-      const auto answer = c.ask(i, "POST", "/v1/report", testing_::report_body("m-1", "127.0.0.1:1", ++serial, 0));
+      const auto answer = c.ask(i, "POST", "/v1/report", test_support::heartbeat_body("m-1", "127.0.0.1:1", ++serial, 0));
       if (!answer.is(200)) continue;
       ++kept;
       EXPECT_NE(answer.body.find("\"orders\":[]"), std::string::npos) << answer.body;
@@ -370,4 +371,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -15,15 +15,21 @@
 #include <random>
 #include <set>
 
-#include "fleet/custody.hpp"
-#include "fleet/deafness.hpp"
-#include "fleet/dealings.hpp"
-#include "fleet/renewal.hpp"
-
-namespace thistle {
+#include "leadership/partition_lease.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
+#include "model/identifiers.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/task.hpp"
+#include "worker_control/lease_renewal_policy.hpp"
+#include "worker_control/one_way_partition.hpp"
+#include "worker_control/reconciliation.hpp"
+
+namespace thistlefront {
 namespace {
 
-constexpr double kLease = 8, kReport = 1, kAnswerLife = 4, kCancel = 15, kStep = 0.05;
+constexpr double kLease = 8, kHeartbeat = 1, kAnswerLife = 4, kCancel = 15, kStep = 0.05;
 constexpr double kTeamLimit = 10;
 // On days with several teams; their limits change, and the last one comes only when a record tells its terms.
 // Of days on which every team is at its limit.
@@ -43,9 +49,9 @@
 
 struct Event {
   double at;
-  std::uint64_t order;
+  std::uint64_t command;
   std::function<void()> run;
-  bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+  bool operator<(const Event& o) const { return at != o.at ? at > o.at : command > o.command; }
 };
 
 // What kind of day: without teams, with cuts of a zone, with teams whose limits change, or with teams that are all at their limits.
@@ -64,7 +70,7 @@
       workers_.emplace_back().name = "m-" + std::to_string(i);
       workers_.back().zone = i < 3 ? "x" : "y";
     }
-    leader_ = std::make_unique<Leader>(*this, ++epoch_, false);
+    leader_ = std::make_unique<Leader>(*this, ++fencing_token_, false);
     for (int i = 0; i < (full_ ? kFullJobs : 12); ++i) at(uniform(0, full_ ? 100 : 60), [this, i] { submit(i); });
   }
 
@@ -82,7 +88,7 @@
       leader_->tend();
       if (cuts_ && now_ >= next_beat) {
         next_beat = now_ + 0.5;
-        beat();
+        peer_heartbeat();
       }
       if (full_ && now_ > calm_from_ + kCalms) look_for_idle_room();
       // In the last part of the day nothing fails any more, so that all that was accepted can end.
@@ -119,26 +125,27 @@
   // Jobs, and how many tasks of them wait.
   [[nodiscard]] std::string not_ended() const {
     std::string out;
-    for (const auto& [uid, pieces] : submitted_) {
-      const JobIdx j = leader_->book.find(uid);
+    for (const auto& [uid, tasks] : submitted_) {
+      const JobIndex j = leader_->cluster_state.find(uid);
       if (!j.valid()) out += " " + uid + " unknown";
-      if (j.valid() && !leader_->book.job(j).ended()) out += " " + uid + " " + std::to_string(leader_->book.job(j).pending);
+      if (j.valid() && !leader_->cluster_state.job(j).ended())
+        out += " " + uid + " " + std::to_string(leader_->cluster_state.job(j).pending);
     }
     return out;
   }
 
  private:
-  struct Piece {
-    Phase phase = Phase::running;
-    Cause cause = Cause::none;
+  struct HeldTask {
+    TaskPhase phase = TaskPhase::running;
+    ExitReason exit_reason = ExitReason::none;
     double ends = 0;
   };
   struct Worker {
     std::string name, zone;
-    std::uint64_t tenure = 1, serial = 0, epoch = 0, awaited = 0;
-    double answered_sent = 0, next_report = 0, give_up = -1, hangs_until = 0;
+    std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = 0, awaited = 0;
+    double answered_sent = 0, next_heartbeat = 0, give_up = -1, hangs_until = 0;
     double unheard_until = 0, deaf_until = 0;  // cut in one direction
-    std::map<std::tuple<std::string, std::uint32_t, std::uint64_t>, Piece> pieces;
+    std::map<std::tuple<std::string, std::uint32_t, std::uint64_t>, HeldTask> tasks;
     std::deque<std::function<void()>> held;  // what came while it hung
   };
 
@@ -146,20 +153,21 @@
   [[nodiscard]] std::map<std::string, double> used() const {
     std::map<std::string, double> out;
     for (const auto& w : workers_)
-      for (const auto& [k, p] : w.pieces) out[owner_of_.at(std::get<0>(k))] += holds(w) && p.phase != Phase::exited;
+      for (const auto& [k, p] : w.tasks) out[owner_of_.at(std::get<0>(k))] += holds(w) && p.phase != TaskPhase::exited;
     return out;
   }
   // Every team at its limit, by the leader's accounts: a job is cancelled as one of its machines goes, and leaders change meanwhile.
   void cancel_at_the_limit(double until) {
     for (const auto& [team, limit] : kTeams) {
-      if (limit == 0 || leader_->book.accounts().headroom(leader_->book.accounts().find(team), 1e9).cores < 1) continue;
+      if (limit == 0 || leader_->cluster_state.quota_accounts().headroom(leader_->cluster_state.quota_accounts().find(team), 1e9).cores < 1)
+        continue;
       if (now_ < until) at(now_ + kStep, [this, until] { cancel_at_the_limit(until); });
       return;
     }
     std::vector<std::pair<std::string, Worker*>> held;
     for (auto& w : workers_)
-      for (const auto& [key, p] : w.pieces)
-        if (holds(w) && p.phase == Phase::running && submitted_.contains(std::get<0>(key))) held.emplace_back(std::get<0>(key), &w);
+      for (const auto& [key, p] : w.tasks)
+        if (holds(w) && p.phase == TaskPhase::running && submitted_.contains(std::get<0>(key))) held.emplace_back(std::get<0>(key), &w);
     if (held.empty()) return;
     const auto [uid, worker] = held[random_() % held.size()];
     const double gone = now_ + uniform(3, 20);
@@ -182,31 +190,33 @@
   // Once nothing fails any more. Room that the book knows to be free is used by a team that has work for it; and what is on no machine
   // any more is known to be off: neither takes as long as a lease.
   void look_for_idle_room() {
-    Book& book = leader_->book;
-    std::set<TeamIdx> waits;
-    for (JobIdx j : book.live()) {
-      const Job& job = book.job(j);
-      if (!job.ended() && job.pending > 0 && job.spec.shape == Shape::batch && !book.blame().is_suspect(j)) waits.insert(job.team);
+    ClusterState& cluster_state = leader_->cluster_state;
+    std::set<TeamIndex> waits;
+    for (JobIndex j : cluster_state.live()) {
+      const Job& job = cluster_state.job(j);
+      if (!job.ended() && job.pending > 0 && job.spec.job_type == JobType::array && !cluster_state.failure_attribution().is_suspect(j))
+        waits.insert(job.team);
       for (const auto& [task, p] : job.placed) {
-        const Worker& w = *std::find_if(workers_.begin(), workers_.end(), [&](auto& x) { return x.name == book.host(p.host).name; });
-        const auto it = w.pieces.find({job.uid, task, p.attempt});
-        const bool runs = it != w.pieces.end() && it->second.phase != Phase::exited;
+        const Worker& w =
+            *std::find_if(workers_.begin(), workers_.end(), [&](auto& x) { return x.name == cluster_state.node(p.node).name; });
+        const auto it = w.tasks.find({job.uid, task, p.attempt});
+        const bool runs = it != w.tasks.end() && it->second.phase != TaskPhase::exited;
         lasting(!runs, "kept: " + job.uid + "/" + std::to_string(task) + " attempt " + std::to_string(p.attempt));
       }
     }
     const bool room = [&] {
-      for (std::uint32_t i = 0; i < book.host_count(); ++i) {
-        const Host& host = book.host(HostIdx{i});
-        if (!host.lease_expired && host.used.cores + 1 <= 4 && host.agent.highest_token >= leader_->takeover &&
-            !unheeding(host, now_, kReport))
+      for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+        const Node& node = cluster_state.node(NodeIndex{i});
+        if (!node.lease_expired && node.used.cores + 1 <= 4 && node.agent.highest_token >= leader_->takeover_token &&
+            !is_unresponsive(node, now_, kHeartbeat))
           return true;
       }
       return false;
     }();
-    for (std::uint32_t t = 0; t < book.teams().size(); ++t) {
-      const bool idle = waits.contains(TeamIdx{t}) && room && book.accounts().headroom(TeamIdx{t}, 1e9).cores >= 1;
-      lasting(idle, "idle: " + book.teams()[t].name);
-      looks += waits.contains(TeamIdx{t}) && !idle;
+    for (std::uint32_t t = 0; t < cluster_state.teams().size(); ++t) {
+      const bool idle = waits.contains(TeamIndex{t}) && room && cluster_state.quota_accounts().headroom(TeamIndex{t}, 1e9).cores >= 1;
+      lasting(idle, "idle: " + cluster_state.teams()[t].name);
+      looks += waits.contains(TeamIndex{t}) && !idle;
     }
   }
   void lasting(bool is, const std::string& what) {
@@ -229,7 +239,7 @@
         // Refused by the state service alone: it decides nothing more and answers reports, with the kills that it knows of, until
         // it learns; its successor tells of no cancellation before.
         const bool lingers = !cuts_ && what == Trouble::leader_lingers;
-        auto next = std::make_unique<Leader>(*this, epoch_ += 1, lingers);
+        auto next = std::make_unique<Leader>(*this, fencing_token_ += 1, lingers);
         if (lingers) {
           old_until_ = std::max(old_until_, now_ + uniform(0, 25));
           old_ = std::move(leader_);
@@ -249,12 +259,13 @@
   }
 
   struct Leader {
-    Leader(Day& d, std::uint64_t e, bool old_lingers) : day(d), book(d.settings()), epoch(e), takeover(e), taken_at(d.now_) {
-      for (const auto& r : d.ledger_) book.apply(r);
+    Leader(Day& d, std::uint64_t e, bool old_lingers)
+        : day(d), cluster_state(d.settings()), fencing_token(e), takeover_token(e), taken_at(d.now_) {
+      for (const auto& r : d.ledger_) cluster_state.apply(r);
       acked_at = old_lingers || d.now_ < d.old_until_ ? -1 : d.now_;
-      granted = d.cuts_ ? Granted(custody_span(kCancel, kLease), taken_at) : Granted();
-      const ZoneIdx x = book.zone_of("x"), y = book.zone_of("y");
-      EXPECT_TRUE(x.v == 0 && y.v == 1);
+      granted = d.cuts_ ? PartitionLeaseGrant(max_partition_lease_s(kCancel, kLease), taken_at) : PartitionLeaseGrant();
+      const ZoneIndex x = cluster_state.intern_zone("x"), y = cluster_state.intern_zone("y");
+      EXPECT_TRUE(x.value == 0 && y.value == 1);
       ++d.leaders;
     }
     // On their way into the ledger; the book changes when they are there.
@@ -264,13 +275,14 @@
     void commit() {
       while (!pending.empty() && pending.front().at <= day.now_) {
         for (auto& r : pending.front().records) {
-          book.apply(r);
+          cluster_state.apply(r);
           day.ledger_.push_back(std::move(r));
         }
         if (pending.front().durable) pending.front().durable();
         pending.pop_front();
       }
-      for (const auto& n : book.blame().take_verdicts()) day.suspected += n.kind == Blame::Verdict::Kind::suspected;
+      for (const auto& n : cluster_state.failure_attribution().take_verdicts())
+        day.suspected += n.kind == FailureAttribution::Verdict::Kind::suspected;
     }
     // Of what was on its way, some is applied all the same, and nobody is told.
     void end() {
@@ -280,12 +292,12 @@
       }
     }
     void freeze(double for_s) {
-      for (std::uint32_t i = 0; i < book.host_count(); ++i) {
-        const Host& host = book.host(HostIdx{i});
-        const auto orders = orders_for(book, HostIdx{i}, takeover);
-        if (orders.empty() || host.commands.in_flight_token != 0) continue;
-        day.at(day.now_ + for_s, [d = &day, name = host.name, e = epoch, t = host.agent.incarnation, orders] {
-          d->send_commands(name, e, t, orders, false);
+      for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+        const Node& node = cluster_state.node(NodeIndex{i});
+        const auto commands = pending_commands(cluster_state, NodeIndex{i}, takeover_token);
+        if (commands.empty() || node.commands.in_flight_token != 0) continue;
+        day.at(day.now_ + for_s, [d = &day, name = node.name, e = fencing_token, t = node.agent.incarnation, commands] {
+          d->send_commands(name, e, t, commands, false);
         });
       }
     }
@@ -294,32 +306,32 @@
       if (acked_at < 0 && day.now_ >= day.old_until_) acked_at = day.now_;
       if (day.now_ < next_pass) return;
       next_pass = day.now_ + 0.3;
-      const Fencing fencing{
-          takeover, taken_at, acked_at, {0, granted.renewals_until(day.now_)}, {0, granted.earlier_renewals_until(day.now_)}};
+      const FencingState fencing_state{
+          takeover_token, taken_at, acked_at, {0, granted.renewals_until(day.now_)}, {0, granted.earlier_renewals_until(day.now_)}};
       std::vector<Record> records;
       bool doubt = false;
-      for (std::uint32_t i = 0; i < book.host_count(); ++i) {
-        Host& host = book.host(HostIdx{i});
-        doubt = doubt || (!host.lease_expired && host.commands.uncertain_token >= epoch);
-        if (host.lease_expired || !lease_over(host, fencing, kLease, day.now_)) continue;
-        host.lease_expired = true;
-        for (auto& r : clear_host(book, HostIdx{i})) records.push_back(std::move(r));
+      for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+        Node& node = cluster_state.node(NodeIndex{i});
+        doubt = doubt || (!node.lease_expired && node.commands.uncertain_token >= fencing_token);
+        if (node.lease_expired || !is_lease_expired(node, fencing_state, kLease, day.now_)) continue;
+        node.lease_expired = true;
+        for (auto& r : evict_all_tasks(cluster_state, NodeIndex{i})) records.push_back(std::move(r));
       }
       record(std::move(records));
-      if (doubt) epoch = day.epoch_ += 1;
+      if (doubt) fencing_token = day.fencing_token_ += 1;
       if (day.full_) save_a_gang();
-      go_on_with_stops(book);
-      stop_broken_gangs(book);
+      resume_inherited_stops(cluster_state);
+      stop_broken_gangs(cluster_state);
       start();
-      for (std::uint32_t i = 0; i < book.host_count(); ++i) command(HostIdx{i});
+      for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) command(NodeIndex{i});
     }
     // As to make room: all of it is told to save.
     void save_a_gang() {
       if (day.now_ > day.calm_from_ || day.uniform(0, 1) > 0.03) return;
-      for (JobIdx j : book.live()) {
-        Job& job = book.job(j);
-        if (job.ended() || job.spec.snapshot_every_s <= 0 || job.placed.empty()) continue;
-        for (auto& [task, p] : job.placed) stop_task(p, job.spec.snapshot_s);
+      for (JobIndex j : cluster_state.live()) {
+        Job& job = cluster_state.job(j);
+        if (job.ended() || job.spec.checkpoint_interval_s <= 0 || job.placed.empty()) continue;
+        for (auto& [task, p] : job.placed) mark_for_stop(p, job.spec.checkpoint_duration_s);
         ++day.saved;
         return;
       }
@@ -327,38 +339,39 @@
     // First fit, within the team's limit; the planner has tests of its own.
     void start() {
       if (starting > 0) return;
-      book.count_unplaced();
+      cluster_state.recount_unplaced();
       std::vector<double> rooms;
-      for (std::uint32_t t = 0; t < book.teams().size(); ++t) rooms.push_back(book.accounts().headroom(TeamIdx{t}, 1e9).cores);
+      for (std::uint32_t t = 0; t < cluster_state.teams().size(); ++t)
+        rooms.push_back(cluster_state.quota_accounts().headroom(TeamIndex{t}, 1e9).cores);
       std::map<std::uint32_t, double> taken;
-      for (JobIdx j : std::vector<JobIdx>(book.live())) {
-        const Job& job = book.job(j);
-        if (job.ended() || job.pending == 0 || book.blame().next_try_at(j) > day.now_) continue;
-        double& room = rooms[job.team.v];
-        const bool suspect = book.blame().is_suspect(j);
+      for (JobIndex j : std::vector<JobIndex>(cluster_state.live())) {
+        const Job& job = cluster_state.job(j);
+        if (job.ended() || job.pending == 0 || cluster_state.failure_attribution().next_try_at(j) > day.now_) continue;
+        double& room = rooms[job.team.value];
+        const bool suspect = cluster_state.failure_attribution().is_suspect(j);
         if (suspect && !job.placed.empty()) continue;
-        if (job.spec.shape == Shape::group && !job.placed.empty()) continue;
-        StartRecord r{job.uid, job.attempts + 1, day.now_, {}};
+        if (job.spec.job_type == JobType::gang && !job.placed.empty()) continue;
+        TasksStartedRecord r{job.uid, job.attempts + 1, day.now_, {}};
         const std::uint32_t waiting = job.pending;
         std::uint32_t placed = 0;
         const auto before = taken;
         const double room_before = room;
         for (std::uint32_t t = 0; t < job.tasks.size(); ++t) {
-          if (job.tasks[t] != TaskState::waiting || room < 1) continue;
-          if (suspect && job.spec.shape != Shape::group && placed > 0) break;
-          for (std::uint32_t k = 0; k < book.host_count(); ++k) {
-            const std::uint32_t i = (k + t + static_cast<std::uint32_t>(r.attempt)) % book.host_count();
-            const Host& host = book.host(HostIdx{i});
-            if (!host.agent.has_reported || host.lease_expired || host.used.cores + taken[i] >= 4) continue;
-            if (host.agent.highest_token < takeover || unheeding(host, day.now_, kReport)) continue;
+          if (job.tasks[t] != TaskState::pending || room < 1) continue;
+          if (suspect && job.spec.job_type != JobType::gang && placed > 0) break;
+          for (std::uint32_t k = 0; k < cluster_state.node_count(); ++k) {
+            const std::uint32_t i = (k + t + static_cast<std::uint32_t>(r.attempt)) % cluster_state.node_count();
+            const Node& node = cluster_state.node(NodeIndex{i});
+            if (!node.agent.has_reported || node.lease_expired || node.used.cores + taken[i] >= 4) continue;
+            if (node.agent.highest_token < takeover_token || is_unresponsive(node, day.now_, kHeartbeat)) continue;
             taken[i] += 1;
             room -= 1;
             ++placed;
-            r.assignments.push_back({host.name, host.agent.incarnation, {{t, t + 1}}});
+            r.assignments.push_back({node.name, node.agent.incarnation, {{t, t + 1}}});
             break;
           }
         }
-        if (r.assignments.empty() || (job.spec.shape == Shape::group && placed < waiting)) {
+        if (r.assignments.empty() || (job.spec.job_type == JobType::gang && placed < waiting)) {
           taken = before;
           room = room_before;
           continue;
@@ -367,30 +380,30 @@
         record({r}, [this] { --starting; });
       }
     }
-    void command(HostIdx h) {
-      Host& host = book.host(h);
-      const auto orders = orders_for(book, h, takeover);
-      if (orders.empty() || host.commands.in_flight_token != 0 || day.now_ < not_before[h.v]) return;
+    void command(NodeIndex h) {
+      Node& node = cluster_state.node(h);
+      const auto commands = pending_commands(cluster_state, h, takeover_token);
+      if (commands.empty() || node.commands.in_flight_token != 0 || day.now_ < not_before[h.value]) return;
       bool starts = false;
-      for (const auto& o : orders) starts = starts || o.type == Verb::run;
-      if (starts) host.commands.in_flight_token = epoch;
-      not_before[h.v] = day.now_ + 0.2;
-      day.send_commands(host.name, epoch, host.agent.incarnation, orders, starts);
+      for (const auto& o : commands) starts = starts || o.type == CommandType::run;
+      if (starts) node.commands.in_flight_token = fencing_token;
+      not_before[h.value] = day.now_ + 0.2;
+      day.send_commands(node.name, fencing_token, node.agent.incarnation, commands, starts);
     }
     Day& day;
-    Book book;
-    std::uint64_t epoch, takeover;
+    ClusterState cluster_state;
+    std::uint64_t fencing_token, takeover_token;
     double taken_at, acked_at = -1, next_pass = 0;
-    Granted granted;
+    PartitionLeaseGrant granted;
     double mark = 0, marked_sent_at = 0;  // the follower's latest answer, in its own time
     int starting = 0;
     std::map<std::uint32_t, double> not_before;
-    struct Pending {
+    struct QueuedRecord {
       double at;
       std::vector<Record> records;
       std::function<void()> durable;
     };
-    std::deque<Pending> pending;
+    std::deque<QueuedRecord> pending;
   };
 
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
@@ -400,33 +413,33 @@
 
   [[nodiscard]] bool cut_off(const Worker& w) const { return w.zone == "y" && now_ < zone_cut_until_; }
   // The age of the oldest cancellation that is not carried out yet, as the controller counts it.
-  double owed() const {
-    double owed = 0;
-    for (JobIdx j : leader_->book.live()) {
-      const Job& job = leader_->book.job(j);
-      if (job.status != JobStatus::aborted || job.placed.empty()) continue;
+  double oldest_cancellation_s() const {
+    double oldest_cancellation_s = 0;
+    for (JobIndex j : leader_->cluster_state.live()) {
+      const Job& job = leader_->cluster_state.job(j);
+      if (job.status != JobStatus::cancelled || job.placed.empty()) continue;
       const auto it = cancelled_.find(job.uid);
-      owed = std::max(owed, it == cancelled_.end() ? 0 : now_ - it->second);
+      oldest_cancellation_s = std::max(oldest_cancellation_s, it == cancelled_.end() ? 0 : now_ - it->second);
     }
-    return owed;
+    return oldest_cancellation_s;
   }
   // From the leader to the follower in the other zone, and its answer. What a cut stops is lost, or held until it ends.
-  void beat() {
+  void peer_heartbeat() {
     Leader& l = *leader_;
-    const double sent = now_, echoed_sent_at = l.mark > 0 ? l.marked_sent_at : 0, mark = l.mark, owes = owed();
+    const double sent = now_, echoed_sent_at = l.mark > 0 ? l.marked_sent_at : 0, mark = l.mark, owes = oldest_cancellation_s();
     if (mark > 0) l.granted.record_sent();
-    const auto term = l.takeover, epoch = l.epoch;
+    const auto term = l.takeover_token, fencing_token = l.fencing_token;
     const bool held = uniform(0, 1) < 0.5;
     if (now_ < zone_cut_until_ && !held) return;
-    at(std::max(now_, zone_cut_until_) + delay(), [this, term, epoch, mark, owes, sent, echoed_sent_at] {
-      if (now_ < zone_cut_until_ || epoch < follower_epoch_) return;
-      custody_.observe_leader(term);
-      follower_epoch_ = epoch;
-      if (mark > 0) custody_.grant(epoch, mark, owes);
-      const double asked = now_, kept_ago = now_ - custody_.last_renewal();
-      at(now_ + delay(), [this, term, asked, kept_ago, sent, echoed_sent_at] {
-        if (leader_->takeover != term || now_ < zone_cut_until_ || sent < leader_->marked_sent_at) return;
-        leader_->granted.record_ack(echoed_sent_at, now_, kept_ago);
+    at(std::max(now_, zone_cut_until_) + delay(), [this, term, fencing_token, mark, owes, sent, echoed_sent_at] {
+      if (now_ < zone_cut_until_ || fencing_token < follower_token_) return;
+      partition_lease_.observe_leader(term);
+      follower_token_ = fencing_token;
+      if (mark > 0) partition_lease_.grant(fencing_token, mark, owes);
+      const double asked = now_, last_renewal_age = now_ - partition_lease_.last_renewal();
+      at(now_ + delay(), [this, term, asked, last_renewal_age, sent, echoed_sent_at] {
+        if (leader_->takeover_token != term || now_ < zone_cut_until_ || sent < leader_->marked_sent_at) return;
+        leader_->granted.record_ack(echoed_sent_at, now_, last_renewal_age);
         leader_->mark = asked;
         leader_->marked_sent_at = sent;
       });
@@ -455,7 +468,7 @@
     std::map<std::string, double> next;
     for (const auto& [team, limit] : kTeams) {
       next[team] = 2 + static_cast<double>(random_() % 6);
-      records.emplace_back(TeamRecord{team, TeamTerms{{}, {next[team], 0, 0}}, std::nullopt, false});
+      records.emplace_back(TeamQuotaRecord{team, TeamQuota{{}, {next[team], 0, 0}}, std::nullopt, false});
     }
     // One that ended meanwhile may have written them all the same, and nobody was told: the higher holds.
     for (const auto& [team, limit] : next) limits_[team].emplace(now_, std::max(limit, limits_[team].rbegin()->second));
@@ -464,26 +477,27 @@
     });
     at(now_ + 6, [this] {
       for (const auto& [team, changes] : limits_)
-        if (!leader_->book.accounts().find(team).valid() || !leader_->book.accounts().accepts_jobs(leader_->book.accounts().find(team)))
+        if (!leader_->cluster_state.quota_accounts().find(team).valid() ||
+            !leader_->cluster_state.quota_accounts().accepts_jobs(leader_->cluster_state.quota_accounts().find(team)))
           return change_limits();
     });
   }
 
   void submit(int i) {
-    AcceptRecord r;
+    JobAcceptedRecord r;
     r.job.uid = "j-" + std::to_string(i);
     r.job.owner = full_    ? std::vector<std::string>{"red", "blue", "green"}[static_cast<std::size_t>(i / 4 % 3)]
                   : teams_ ? std::next(kTeams.begin(), i % 4)->first
                            : "red";
     r.job.job_class = "c";
-    r.job.bundle = "i";
-    r.job.shape = i % 4 == 3 ? Shape::group : Shape::batch;
-    r.job.task_count = r.job.shape == Shape::group ? 2 : 4;
+    r.job.image = "i";
+    r.job.job_type = i % 4 == 3 ? JobType::gang : JobType::array;
+    r.job.task_count = r.job.job_type == JobType::gang ? 2 : 4;
     r.job.demand = {1, 0, 1};
-    if (full_ && r.job.shape == Shape::group) r.job.snapshot_every_s = 1, r.job.snapshot_s = 1;
+    if (full_ && r.job.job_type == JobType::gang) r.job.checkpoint_interval_s = 1, r.job.checkpoint_duration_s = 1;
     const std::string uid = r.job.uid;
     owner_of_[uid] = r.job.owner;
-    const auto known = leader_->book.find(uid);
+    const auto known = leader_->cluster_state.find(uid);
     if (known.valid()) {
       accepted(i, r);
       return;
@@ -494,144 +508,147 @@
       if (!submitted_.contains(uid)) submit(i);
     });
   }
-  void accepted(int i, const AcceptRecord& r) {
+  void accepted(int i, const JobAcceptedRecord& r) {
     const std::string uid = r.job.uid;
     if (!submitted_.emplace(uid, r.job.task_count).second) return;
     if (i % 3 == 2 && !full_) at(now_ + uniform(1, 30), [this, uid] { withdraw(uid); });
     if (at_fault(uid)) at(now_ + uniform(20, 60), [this, uid] { withdraw(uid); });
   }
   void withdraw(const std::string& uid) {
-    if (cancelled_.contains(uid) || leader_->book.job(leader_->book.find(uid)).status == JobStatus::done) return;
-    leader_->record({CancelRecord{uid}}, [this, uid] {
-      Job& job = leader_->book.job(leader_->book.find(uid));
-      if (job.status == JobStatus::aborted && job.cancelled_at == 0) job.cancelled_at = now_;
+    if (cancelled_.contains(uid) || leader_->cluster_state.job(leader_->cluster_state.find(uid)).status == JobStatus::done) return;
+    leader_->record({JobCancelledRecord{uid}}, [this, uid] {
+      Job& job = leader_->cluster_state.job(leader_->cluster_state.find(uid));
+      if (job.status == JobStatus::cancelled && job.cancelled_at == 0) job.cancelled_at = now_;
       tell(uid);
     });
     at(now_ + 1, [this, uid] { tell(uid), withdraw(uid); });
   }
   // Its user asks again and again, and is told when nothing of it is placed or no earlier leader goes on.
   void tell(const std::string& uid) {
-    const Job& job = leader_->book.job(leader_->book.find(uid));
-    if (job.status == JobStatus::aborted && (job.placed.empty() || leader_->acked_at >= 0)) cancelled_.try_emplace(uid, now_);
+    const Job& job = leader_->cluster_state.job(leader_->cluster_state.find(uid));
+    if (job.status == JobStatus::cancelled && (job.placed.empty() || leader_->acked_at >= 0)) cancelled_.try_emplace(uid, now_);
   }
   static bool at_fault(const std::string& uid) { return uid == "j-4" || uid == "j-7"; }
 
-  Report report_of(Worker& w) {
-    Report r{w.name, "a", "big", w.zone, false, w.tenure, ++w.serial, w.epoch, std::nullopt, {}};
-    for (const auto& [key, p] : w.pieces)
-      r.tasks.push_back({{std::get<0>(key), std::get<1>(key)}, std::get<2>(key), p.phase, p.cause, false});
+  Heartbeat heartbeat_of(Worker& w) {
+    Heartbeat r{w.name, "a", "big", w.zone, false, w.agent_incarnation, ++w.serial, w.fencing_token, std::nullopt, {}};
+    for (const auto& [key, p] : w.tasks)
+      r.tasks.push_back({{std::get<0>(key), std::get<1>(key)}, std::get<2>(key), p.phase, p.exit_reason, false});
     return r;
   }
 
   void tend(Worker& w) {
     if (now_ < w.hangs_until) return;
     if (now_ - w.answered_sent > kLease) {
-      w.pieces.clear();
-      ++w.tenure;
+      w.tasks.clear();
+      ++w.agent_incarnation;
       w.answered_sent = now_;
       w.awaited = 0;
-      w.next_report = now_;
+      w.next_heartbeat = now_;
     }
     while (!w.held.empty()) {
       auto run = w.held.front();
       w.held.pop_front();
       run();
     }
-    for (auto& [key, p] : w.pieces) {
-      if (p.phase == Phase::saving && now_ >= p.ends) p = {Phase::exited, Cause::halted, 0};
-      if (p.phase != Phase::running || now_ < p.ends) continue;
-      p.phase = Phase::exited;
-      p.cause = at_fault(std::get<0>(key)) || uniform(0, 1) < 0.1 ? Cause::error : Cause::done;
-      if (p.cause == Cause::done) finished_.insert({std::get<0>(key), std::get<1>(key)});
+    for (auto& [key, p] : w.tasks) {
+      if (p.phase == TaskPhase::checkpointing && now_ >= p.ends) p = {TaskPhase::exited, ExitReason::stopped, 0};
+      if (p.phase != TaskPhase::running || now_ < p.ends) continue;
+      p.phase = TaskPhase::exited;
+      p.exit_reason = at_fault(std::get<0>(key)) || uniform(0, 1) < 0.1 ? ExitReason::failed : ExitReason::completed;
+      if (p.exit_reason == ExitReason::completed) finished_.insert({std::get<0>(key), std::get<1>(key)});
     }
     if (w.awaited != 0 && now_ > w.give_up) w.awaited = 0;
-    if (w.awaited == 0 && now_ >= w.next_report) send_report(w);
+    if (w.awaited == 0 && now_ >= w.next_heartbeat) send_heartbeat(w);
     check(w);
   }
 
-  void hear(const Report& r, bool by_report) {
-    Book& book = leader_->book;
-    Host& host = book.host(book.host_named(r.host));
-    const bool deaf = host.agent.unresponsive_since > 0;
-    listen(host, r, by_report, now_, kLease);
-    deafened += !deaf && host.agent.unresponsive_since > 0;
-    auto outcome = take_report(book, r, {now_, now_}, by_report, leader_->takeover);
-    if (by_report) note_answer(host, outcome.stale, now_);
+  void hear(const Heartbeat& r, bool is_heartbeat) {
+    ClusterState& cluster_state = leader_->cluster_state;
+    Node& node = cluster_state.node(cluster_state.find_or_add_node(r.node));
+    const bool deaf = node.agent.unresponsive_since > 0;
+    observe_message(node, r, is_heartbeat, now_, kLease);
+    deafened += !deaf && node.agent.unresponsive_since > 0;
+    auto outcome = apply_heartbeat(cluster_state, r, {now_, now_}, is_heartbeat, leader_->takeover_token);
+    if (is_heartbeat) record_lease_renewal(node, outcome.stale, now_);
     leader_->record(std::move(outcome.records));
   }
 
-  void send_report(Worker& w) {
-    const Report r = report_of(w);
+  void send_heartbeat(Worker& w) {
+    const Heartbeat r = heartbeat_of(w);
     // Its copies, to whoever leads then; nobody takes their answers.
     for (int copies = uniform(0, 1) < 0.1 ? 1 + static_cast<int>(random_() % 3) : 0; copies > 0; --copies)
       at(now_ + uniform(1, 4 * kLease), [this, r] { hear(r, true); });
     const double sent = now_;
     w.awaited = r.serial;
     w.give_up = now_ + kAnswerLife;
-    w.next_report = now_ + uniform(0.75, 1.25) * kReport;
+    w.next_heartbeat = now_ + uniform(0.75, 1.25) * kHeartbeat;
     const bool to_old = now_ < old_until_ && uniform(0, 1) < 0.8;
     for (int copy = uniform(0, 1) < 0.05 ? 0 : 1; copy < 2; ++copy) {
       if (dropped() || now_ < w.unheard_until) continue;
       at(now_ + delay(), [this, &w, r, sent, to_old] {
-        std::vector<Order> orders;
-        std::uint64_t epoch = 0;
+        std::vector<Command> commands;
+        std::uint64_t fencing_token = 0;
         if (cut_off(w) || (cuts_ && w.zone == "y" && uniform(0, 1) < 0.1)) {
-          if (!custody_.is_active(now_) || r.epoch > custody_.epoch()) return;
-          custody_.record_renewal(now_);
+          if (!partition_lease_.is_active(now_) || r.fencing_token > partition_lease_.fencing_token()) return;
+          partition_lease_.record_renewal(now_);
           ++kept;
-          epoch = custody_.epoch();
+          fencing_token = partition_lease_.fencing_token();
         } else if (to_old) {
-          if (now_ >= old_until_ || r.epoch > old_->epoch) return;
-          take_report(old_->book, r, {now_, now_}, true, old_->takeover);
-          orders = kills_of_cancelled(old_->book, old_->book.host_named(r.host));
-          killed_in_doubt += orders.size();
-          epoch = old_->epoch;
+          if (now_ >= old_until_ || r.fencing_token > old_->fencing_token) return;
+          apply_heartbeat(old_->cluster_state, r, {now_, now_}, true, old_->takeover_token);
+          commands = kills_for_cancelled_jobs(old_->cluster_state, old_->cluster_state.find_or_add_node(r.node));
+          killed_in_doubt += commands.size();
+          fencing_token = old_->fencing_token;
         } else {
           hear(r, true);
-          Host& host = leader_->book.host(leader_->book.find_host(r.host));
-          if (late_start_of_cancelled(leader_->book, host, now_, custody_span(kCancel, kLease))) return;
-          if (host.agent.incarnation == r.tenure && host.agent.serial == r.serial)
-            orders = orders_for(leader_->book, leader_->book.find_host(r.host), leader_->takeover);
-          note_orders(host, r.serial, orders);
-          epoch = leader_->epoch;
+          Node& node = leader_->cluster_state.node(leader_->cluster_state.find_node(r.node));
+          if (has_late_start_of_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancel, kLease))) return;
+          if (node.agent.incarnation == r.agent_incarnation && node.agent.serial == r.serial)
+            commands = pending_commands(leader_->cluster_state, leader_->cluster_state.find_node(r.node), leader_->takeover_token);
+          record_commands_sent(node, r.serial, commands);
+          fencing_token = leader_->fencing_token;
         }
-        if (dropped() || now_ < w.deaf_until || (!orders.empty() && cut_off(w))) return;
-        at(now_ + delay(), [this, &w, r, sent, epoch, orders] {
-          if (now_ < w.hangs_until || w.tenure != r.tenure || w.awaited != r.serial || epoch < w.epoch || now_ - sent > kAnswerLife) return;
+        if (dropped() || now_ < w.deaf_until || (!commands.empty() && cut_off(w))) return;
+        at(now_ + delay(), [this, &w, r, sent, fencing_token, commands] {
+          if (now_ < w.hangs_until || w.agent_incarnation != r.agent_incarnation || w.awaited != r.serial ||
+              fencing_token < w.fencing_token || now_ - sent > kAnswerLife)
+            return;
           w.awaited = 0;
-          w.epoch = epoch;
+          w.fencing_token = fencing_token;
           w.answered_sent = std::max(w.answered_sent, sent);
-          execute(w, orders);
+          execute(w, commands);
         });
       });
     }
   }
 
-  void send_commands(const std::string& name, std::uint64_t epoch, std::uint64_t tenure, const std::vector<Order>& orders, bool starts) {
+  void send_commands(const std::string& name, std::uint64_t fencing_token, std::uint64_t agent_incarnation,
+                     const std::vector<Command>& commands, bool starts) {
     Worker& w = *std::find_if(workers_.begin(), workers_.end(), [&](auto& x) { return x.name == name; });
-    const auto term = leader_->takeover;
+    const auto term = leader_->takeover_token;
     auto answered = std::make_shared<bool>(false);
-    const auto deliver = [this, &w, epoch, tenure, orders, term, answered] {
-      const bool taken = epoch >= w.epoch && tenure == w.tenure;
+    const auto deliver = [this, &w, fencing_token, agent_incarnation, commands, term, answered] {
+      const bool taken = fencing_token >= w.fencing_token && agent_incarnation == w.agent_incarnation;
       if (taken) {
-        w.epoch = epoch;
-        execute(w, orders);
+        w.fencing_token = fencing_token;
+        execute(w, commands);
       }
-      const Report r = report_of(w);
+      const Heartbeat r = heartbeat_of(w);
       if (dropped() || now_ < w.unheard_until || cut_off(w)) return;
       at(now_ + delay(), [this, r, term, answered] {
-        if (leader_->takeover != term || *answered) return;
+        if (leader_->takeover_token != term || *answered) return;
         *answered = true;
-        leader_->book.host(leader_->book.host_named(r.host)).commands.in_flight_token = 0;
+        leader_->cluster_state.node(leader_->cluster_state.find_or_add_node(r.node)).commands.in_flight_token = 0;
         hear(r, false);
       });
     };
-    at(now_ + 1.5, [this, name, term, answered, starts, epoch] {
-      if (leader_->takeover != term || *answered) return;
+    at(now_ + 1.5, [this, name, term, answered, starts, fencing_token] {
+      if (leader_->takeover_token != term || *answered) return;
       *answered = true;
-      Host& host = leader_->book.host(leader_->book.find_host(name));
-      host.commands.in_flight_token = 0;
-      if (starts) host.commands.uncertain_token = std::max(host.commands.uncertain_token, epoch);
+      Node& node = leader_->cluster_state.node(leader_->cluster_state.find_node(name));
+      node.commands.in_flight_token = 0;
+      if (starts) node.commands.uncertain_token = std::max(node.commands.uncertain_token, fencing_token);
     });
     const double deaf_until = std::max(w.deaf_until, w.zone == "y" ? zone_cut_until_ : 0);
     if (now_ < deaf_until && uniform(0, 1) < 0.5) return;  // or held, and delivered late
@@ -647,29 +664,29 @@
   // A hanging machine's tasks are over with its lease, though it can tell so only later.
   bool holds(const Worker& w) const { return now_ - w.answered_sent <= kLease; }
 
-  void execute(Worker& w, const std::vector<Order>& orders) {
-    for (const auto& o : orders) {
+  void execute(Worker& w, const std::vector<Command>& commands) {
+    for (const auto& o : commands) {
       const auto key = std::tuple(o.id.uid, o.id.task, o.attempt);
-      auto it = w.pieces.find(key);
-      if (o.type == Verb::run && it == w.pieces.end()) {
+      auto it = w.tasks.find(key);
+      if (o.type == CommandType::run && it == w.tasks.end()) {
         ++runs;
         if (!started_.insert(key).second)
           broken.push_back("ran_again: " + o.id.uid + "/" + std::to_string(o.id.task) + " attempt " + std::to_string(o.attempt) + " on " +
                            w.name + " at " + std::to_string(now_));
         for (auto& other : workers_)
-          for (const auto& [k, p] : other.pieces)
-            if (holds(other) && std::get<0>(k) == o.id.uid && std::get<1>(k) == o.id.task && p.phase != Phase::exited)
+          for (const auto& [k, p] : other.tasks)
+            if (holds(other) && std::get<0>(k) == o.id.uid && std::get<1>(k) == o.id.task && p.phase != TaskPhase::exited)
               broken.push_back("ran_twice: " + o.id.uid + "/" + std::to_string(o.id.task) + " on " + other.name + " and " + w.name +
                                " at " + std::to_string(now_));
-        w.pieces[key] = {Phase::running, Cause::none, now_ + uniform(0.5, 12)};
-      } else if (o.type == Verb::kill && it != w.pieces.end() && it->second.phase != Phase::exited) {
-        if (o.wind_down_s > 0 && it->second.phase == Phase::running) {
-          it->second = {Phase::saving, Cause::none, now_ + uniform(0.5, 1.5)};
-        } else if (o.wind_down_s == 0) {
-          it->second = {Phase::exited, Cause::halted, 0};
+        w.tasks[key] = {TaskPhase::running, ExitReason::none, now_ + uniform(0.5, 12)};
+      } else if (o.type == CommandType::kill && it != w.tasks.end() && it->second.phase != TaskPhase::exited) {
+        if (o.grace_period_s > 0 && it->second.phase == TaskPhase::running) {
+          it->second = {TaskPhase::checkpointing, ExitReason::none, now_ + uniform(0.5, 1.5)};
+        } else if (o.grace_period_s == 0) {
+          it->second = {TaskPhase::exited, ExitReason::stopped, 0};
         }
-      } else if (o.type == Verb::reap && it != w.pieces.end() && it->second.phase == Phase::exited) {
-        w.pieces.erase(it);
+      } else if (o.type == CommandType::acknowledge_exit && it != w.tasks.end() && it->second.phase == TaskPhase::exited) {
+        w.tasks.erase(it);
       }
     }
     for (const auto& [team, cores] : used())
@@ -677,21 +694,21 @@
   }
 
   void check(Worker& w) {
-    for (const auto& [key, p] : w.pieces) {
+    for (const auto& [key, p] : w.tasks) {
       auto it = cancelled_.find(std::get<0>(key));
-      if (it != cancelled_.end() && p.phase != Phase::exited && now_ > it->second + kCancel)
+      if (it != cancelled_.end() && p.phase != TaskPhase::exited && now_ > it->second + kCancel)
         broken.push_back("ran_cancelled: " + std::get<0>(key) + " at " + std::to_string(now_));
     }
-    for (const auto& [uid, pieces] : submitted_) {
-      const JobIdx j = leader_->book.find(uid);
+    for (const auto& [uid, tasks] : submitted_) {
+      const JobIndex j = leader_->cluster_state.find(uid);
       if (!j.valid()) {
         broken.push_back("forgotten: " + uid);
         continue;
       }
-      const auto status = leader_->book.job(j).status;
-      if (cancelled_.contains(uid) && status != JobStatus::aborted) broken.push_back("went_back: " + uid);
+      const auto status = leader_->cluster_state.job(j).status;
+      if (cancelled_.contains(uid) && status != JobStatus::cancelled) broken.push_back("went_back: " + uid);
       if (status != JobStatus::done) continue;
-      for (std::uint32_t t = 0; t < pieces; ++t)
+      for (std::uint32_t t = 0; t < tasks; ++t)
         if (!finished_.contains({uid, t})) broken.push_back("not_done: " + uid + "/" + std::to_string(t));
     }
   }
@@ -703,10 +720,10 @@
   std::map<std::string, std::map<double, double>> limits_;  // of each team, by when they came into force
   std::map<std::string, std::string> owner_of_;
   double zone_cut_until_ = 0;
-  Custody custody_{custody_span(kCancel, kLease), 0};
-  std::uint64_t follower_epoch_ = 0;
+  PartitionLease partition_lease_{max_partition_lease_s(kCancel, kLease), 0};
+  std::uint64_t follower_token_ = 0;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0, epoch_ = 0;
+  std::uint64_t order_ = 0, fencing_token_ = 0;
   double now_ = 0, old_until_ = 0;
   std::vector<Worker> workers_;
   std::vector<Record> ledger_;
@@ -798,4 +815,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/short_jobs_test.cpp
+++ b/tests/short_jobs_test.cpp
@@ -8,26 +8,28 @@
 #include <iostream>
 #include <random>
 
-#include "kept_ledger.hpp"
-#include "ledger/write_budget.hpp"
+#include "in_memory_ledger.hpp"
+#include "ledger/write_rate_limiter.hpp"
+#include "model/identifiers.hpp"
+#include "model/ledger_records.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 constexpr double kRate = 4, kLasts = 300, kRuns = 12, kAnswers = 0.01, kLingers = 2.5;
 constexpr std::size_t kMostQueued = 3000;  // as the requests' own
 
 struct Load {
-  Book book{{Team{"red", {}, {1e6, 0, 0}, {}}}, most_record_bytes(1843)};
-  Tail tail{Tail::Contents{}, 4};
-  WriteBudget budget{15};
-  std::deque<Pending> queue;
+  ClusterState cluster_state{{Team{"red", {}, {1e6, 0, 0}, {}}}, max_record_bytes(1843)};
+  LedgerWriter ledger_writer{LedgerWriter::Contents{}, 4};
+  WriteRateLimiter budget{15};
+  std::deque<QueuedRecord> queue;
   std::map<std::uint64_t, double> asked;          // of users' records, by ticket
   std::vector<std::pair<double, double>> waited;  // when they were asked, and for how long
   std::map<std::string, std::string> entries;
-  std::map<std::string, std::uint64_t> stamps;
+  std::map<std::string, std::uint64_t> mod_revisions;
   std::size_t changes = 0, bytes = 0, most_queued = 0, most_entries = 0;
-  std::uint64_t tickets = 0, stamp = 0;
+  std::uint64_t tickets = 0, mod_revision = 0;
   bool users = false;
   double commit_at = 0;
 
@@ -35,7 +37,7 @@
     const double at = now + (soon ? kLingers / budget.rate() : 0);
     commit_at = queue.empty() ? at : std::min(commit_at, at);
     users = users || user;
-    if (join_ends(queue, r)) return;
+    if (merge_completions(queue, r)) return;
     queue.push_back({std::move(r), ++tickets});
     if (user) asked[tickets] = now;
     most_queued = std::max(most_queued, queue.size());
@@ -43,21 +45,22 @@
   // Whether it wrote; what it wrote is known at `now` + kAnswers.
   bool commit(double now) {
     if (queue.empty() || now < commit_at || budget.delay_s(now, users) > 0) return false;
-    auto draft = tail.prepare_commit(book, queue, {1843, 3, 4, budget.log_factor(1843)});
+    auto pending_commit = ledger_writer.prepare_commit(cluster_state, queue, {1843, 3, 4, budget.length_factor(1843)});
     if (queue.empty()) users = false;
     commit_at = 0;
-    budget.charge(static_cast<double>(draft.changes()));
-    changes += draft.changes();
-    ++stamp;
-    for (const auto& p : draft.puts) entries[p.key] = p.value, stamps[p.key] = stamp, bytes += p.value.size();
-    for (const auto& k : draft.removes) entries.erase(k);
+    budget.charge(static_cast<double>(pending_commit.changes()));
+    changes += pending_commit.changes();
+    ++mod_revision;
+    for (const auto& p : pending_commit.puts) entries[p.key] = p.value, mod_revisions[p.key] = mod_revision, bytes += p.value.size();
+    for (const auto& k : pending_commit.removes) entries.erase(k);
     most_entries = std::max(most_entries, entries.size());
-    tail.record_committed(draft, stamp);
-    for (std::size_t i = 0; i < draft.batch.size(); ++i) {
-      const auto& q = draft.batch[i];
-      const auto known = book.job_count();
-      book.apply(q.record);
-      if (book.job_count() > known) tail.record_first_entry(draft.batch_entries[i], JobIdx{static_cast<std::uint32_t>(known)});
+    ledger_writer.record_committed(pending_commit, mod_revision);
+    for (std::size_t i = 0; i < pending_commit.batch.size(); ++i) {
+      const auto& q = pending_commit.batch[i];
+      const auto known = cluster_state.job_count();
+      cluster_state.apply(q.record);
+      if (cluster_state.job_count() > known)
+        ledger_writer.record_first_entry(pending_commit.batch_entries[i], JobIndex{static_cast<std::uint32_t>(known)});
       if (const auto it = asked.find(q.ticket); it != asked.end()) waited.emplace_back(it->second, now + kAnswers - it->second);
     }
     return true;
@@ -81,30 +84,30 @@
     if (now < kLasts && now >= next) {
       next = now + std::exponential_distribution<double>(kRate)(random);
       const std::string uid = "j-" + std::to_string(100000 + ++accepted);
-      load.enqueue(AcceptRecord{submission(uid, 1, 1), 0.5, now}, now, true);
+      load.enqueue(JobAcceptedRecord{submission(uid, 1, 1), 0.5, now}, now, true);
       if (random() % 4 == 0) cancels.emplace(now + 0.5 + 0.01 * (random() % 1200), uid);
     }
     for (; !cancels.empty() && cancels.begin()->first <= now; cancels.erase(cancels.begin()))
-      load.enqueue(CancelRecord{cancels.begin()->second}, now, true);
+      load.enqueue(JobCancelledRecord{cancels.begin()->second}, now, true);
     // What ended, or was killed.
     for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin())) {
-      const JobIdx j = load.book.find(ends.begin()->second);
-      if (load.book.job(j).placed.empty()) continue;
-      if (load.book.job(j).ended()) {
-        load.enqueue(OffRecord{load.book.job(j).uid, 1, {{0, 1}}, 0}, now, false, true);
+      const JobIndex j = load.cluster_state.find(ends.begin()->second);
+      if (load.cluster_state.job(j).placed.empty()) continue;
+      if (load.cluster_state.job(j).ended()) {
+        load.enqueue(TasksRemovedRecord{load.cluster_state.job(j).uid, 1, {{0, 1}}, 0}, now, false, true);
       } else {
-        load.enqueue(DoneRecord{load.book.job(j).uid, {{0, 1}}}, now, false, true);
+        load.enqueue(TasksCompletedRecord{load.cluster_state.job(j).uid, {{0, 1}}}, now, false, true);
       }
     }
     // A pass starts what waits, once the starts before are in the ledger.
-    const bool starting =
-        std::any_of(load.queue.begin(), load.queue.end(), [](const Pending& p) { return std::holds_alternative<StartRecord>(p.record); });
+    const bool starting = std::any_of(load.queue.begin(), load.queue.end(),
+                                      [](const QueuedRecord& p) { return std::holds_alternative<TasksStartedRecord>(p.record); });
     if (now >= next_pass && !starting) {
       next_pass = now + 0.1;
-      for (JobIdx j : std::vector<JobIdx>(load.book.live())) {
-        const Job& job = load.book.job(j);
+      for (JobIndex j : std::vector<JobIndex>(load.cluster_state.live())) {
+        const Job& job = load.cluster_state.job(j);
         if (job.ended() || job.pending == 0) continue;
-        load.enqueue(StartRecord{job.uid, 1, now, {{"m-" + std::to_string(j.v % 50), 1, {{0, 1}}}}}, now, false);
+        load.enqueue(TasksStartedRecord{job.uid, 1, now, {{"m-" + std::to_string(j.value % 50), 1, {{0, 1}}}}}, now, false);
         ends.emplace(now + kRuns, job.uid);
       }
     }
@@ -120,16 +123,17 @@
   EXPECT_EQ(load.within(0, kLasts, 1), 1.0);
   EXPECT_GT(load.within(0, kLasts, 0.2), 0.9);
   EXPECT_GT(load.within(kLasts - 60, kLasts, 0.2), 0.9) << "no slower for what has ended by then";
-  for (std::uint32_t j = 0; j < load.book.job_count(); ++j) EXPECT_TRUE(load.book.job(JobIdx{j}).ended()) << load.book.job(JobIdx{j}).uid;
+  for (std::uint32_t j = 0; j < load.cluster_state.job_count(); ++j)
+    EXPECT_TRUE(load.cluster_state.job(JobIndex{j}).ended()) << load.cluster_state.job(JobIndex{j}).uid;
   // What is left is what the next leader reads, and every job is known.
-  Book next_book({Team{"red", {}, {1e6, 0, 0}, {}}}, most_record_bytes(1843));
-  Reader reader(next_book, 1, 4);
+  ClusterState next_book({Team{"red", {}, {1e6, 0, 0}, {}}}, max_record_bytes(1843));
+  LedgerReader reader(next_book, 1, 4);
   for (const auto& [key, value] : load.entries) {
-    ASSERT_TRUE(reader.add_entry(Ledger::row(key, value, load.stamps[key]))) << reader.error();
+    ASSERT_TRUE(reader.add_entry(Ledger::row(key, value, load.mod_revisions[key]))) << reader.error();
   }
   ASSERT_TRUE(reader.finish()) << reader.error();
-  expect_same(next_book, load.book, 5);
+  expect_same(next_book, load.cluster_state, 5);
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/floor_test.cpp
+++ b/tests/starvation_guard_test.cpp
@@ -1,31 +1,32 @@
 // What goes last still gets a share, and no more than that.
-#include "planning/floor.hpp"
+#include "scheduling/starvation_guard.hpp"
 
 #include <gtest/gtest.h>
 
-#include "planning/planner.hpp"
+#include "model/identifiers.hpp"
+#include "scheduling/planner.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
-JobIdx job(std::uint32_t n) {
-  return JobIdx{n};
+JobIndex job(std::uint32_t n) {
+  return JobIndex{n};
 }
 
-TEST(Floor, GivesWhatWasEarnedToTheLongestWait) {
-  Floor f;
+TEST(StarvationGuard, GivesWhatWasEarnedToTheLongestWait) {
+  StarvationGuard f;
   f.accrue(100, 0);
   EXPECT_TRUE(f.promote({{0, job(1), 90, 1, 50}}).empty()) << "nothing came free yet";
   f.accrue(100, 2);  // a twentieth of 200 cores
-  using R = std::vector<Floor::Promotion>;
+  using R = std::vector<StarvationGuard::Promotion>;
   EXPECT_EQ(f.promote({{0, job(1), 90, 1, 4}, {1, job(2), 400, 2, 3}, {2, job(3), 70, 1, 9}}), (R{{1, 3}, {0, 4}}));
   f.charge(job(2), 6);
   f.charge(job(1), 4);
   EXPECT_TRUE(f.promote({{0, job(3), 70, 1, 9}}).empty());
 }
 
-TEST(Floor, AGangIsNeverTooLargeAndWhatItTakesIsOwed) {
-  Floor f;
+TEST(StarvationGuard, AGangIsNeverTooLargeAndWhatItTakesIsOwed) {
+  StarvationGuard f;
   f.accrue(100, 0);
   f.accrue(100, 1);
   ASSERT_EQ(f.promote({{0, job(1), 90, 64, 1}}).size(), 1u);
@@ -37,8 +38,8 @@
 }
 
 // A calm hour earns no more than some seconds' worth: what starves later gets a share, not the fleet.
-TEST(Floor, SavingsAreBounded) {
-  Floor f;
+TEST(StarvationGuard, SavingsAreBounded) {
+  StarvationGuard f;
   f.accrue(100, 0);
   for (double now = 1; now < 3600; ++now) f.accrue(100, now);
   EXPECT_EQ(f.promote({{0, job(1), 90, 1, 100000}}).at(0).units, 100u);
@@ -46,9 +47,9 @@
 
 // A fleet of 100 cores, work of 10 s: twice as much of the higher rank is asked for as it can do, for ten minutes, beside one job
 // a second of the lowest rank. Without the floor nothing of that ever runs; with it all of it gets its share, and no more.
-TEST(Floor, UnderEndlessOverloadTheLowestRankIsServedInTurn) {
+TEST(StarvationGuard, UnderEndlessOverloadTheLowestRankIsServedInTurn) {
   for (const bool with : {false, true}) {
-    Floor f;
+    StarvationGuard f;
     double free = 100, high = 0, shared = 0, served = 0;
     std::vector<std::pair<double, double>> ends;  // when, cores
     std::vector<double> low;                      // since when each waits
@@ -59,10 +60,10 @@
       high += 20;
       if (static_cast<int>(now) % 4 == 0) low.push_back(now);
       f.accrue(came, now);
-      std::vector<Floor::StarvingJob> starving;
+      std::vector<StarvationGuard::StarvingJob> starving;
       for (std::size_t i = 0; i < low.size(); ++i)
         if (now - low[i] > kStarvesAfter) starving.push_back({i, job(static_cast<std::uint32_t>(i)), now - low[i], 1, 1});
-      const auto raised = with ? f.promote(starving) : std::vector<Floor::Promotion>{};
+      const auto raised = with ? f.promote(starving) : std::vector<StarvationGuard::Promotion>{};
       std::size_t taken = 0;
       for (const auto& r : raised) {
         if (free < 1) break;
@@ -84,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -7,15 +7,18 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "coordination/standing_back.hpp"
-#include "coordination/start_watch.hpp"
-#include "jobs.hpp"
-#include "ledger/reader.hpp"
-#include "ledger/write_budget.hpp"
+#include "job_builders.hpp"
+#include "leadership/leadership_backoff.hpp"
+#include "ledger/ledger_reader.hpp"
+#include "ledger/write_rate_limiter.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/machine.hpp"
 #include "protocol/peer_messages.hpp"
-#include "rollout/levels.hpp"
+#include "rollout/format_versions.hpp"
+#include "scheduling/start_stall_detector.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 // One line a value; the first word is its name.
@@ -31,21 +34,21 @@
 }
 
 std::vector<Record> some_of_each_kind() {
-  Flavor big;
+  MachineType big;
   big.name = "big";
   big.capacity = {8, 0, 32};
-  big.cache_gb = 50, big.fetch_gb_per_s = 1, big.price = 1, big.market_price = 0.5, big.boot_s = 30;
-  big.yards = {"x"};
-  const AcceptRecord accept{submission("j-1", 4, 1.5), 0.25, 12.5};
-  JobRecord job{accept, JobStatus::queued, 2, {{0, 1}}, {{"m-1", 3, 2, 13.5, {{1, 3}}}}, 0, false, true};
-  return {FlavorsRecord{{big}},
+  big.image_cache_gb = 50, big.image_fetch_gb_per_s = 1, big.price = 1, big.spot_price = 0.5, big.boot_s = 30;
+  big.zones = {"x"};
+  const JobAcceptedRecord accept{submission("j-1", 4, 1.5), 0.25, 12.5};
+  JobSnapshotRecord job{accept, JobStatus::queued, 2, {{0, 1}}, {{"m-1", 3, 2, 13.5, {{1, 3}}}}, 0, false, true};
+  return {MachineTypesRecord{{big}},
           accept,
-          StartRecord{"j-1", 1, 13, {{"m-1", 3, {{0, 2}}}}},
-          DoneRecord{"j-1", {{0, 1}}},
-          OffRecord{"j-1", 1, {{1, 2}}, 14.5},
-          CancelRecord{"j-1"},
+          TasksStartedRecord{"j-1", 1, 13, {{"m-1", 3, {{0, 2}}}}},
+          TasksCompletedRecord{"j-1", {{0, 1}}},
+          TasksRemovedRecord{"j-1", 1, {{1, 2}}, 14.5},
+          JobCancelledRecord{"j-1"},
           job,
-          EndedRecord{JobStatus::done, {"j-2", "j-3"}}};
+          JobsEndedRecord{JobStatus::done, {"j-2", "j-3"}}};
 }
 
 TEST(Stored, EntriesOfEachLevelAreWhatTheyWere) {
@@ -53,13 +56,13 @@
   const auto records = some_of_each_kind();
   EXPECT_EQ(stored_entry(records, {1, 0, 7, 0}), lines.at("level-1"));
   EXPECT_EQ(stored_entry(records, {2, 0, 7, 0x0123456789abcdef}), lines.at("level-2"));
-  const TeamTerms terms{{8, 0, 0}, {16, 4, 0}};
-  const std::vector<Record> teams{TeamRecord{"red", terms, std::nullopt, false},
-                                  TeamRecord{"blue", terms, TeamTerms{{8, 0, 0}, {12, 4, 0}}, false},
-                                  TeamRecord{"gone", terms, std::nullopt, true}};
+  const TeamQuota quota{{8, 0, 0}, {16, 4, 0}};
+  const std::vector<Record> teams{TeamQuotaRecord{"red", quota, std::nullopt, false},
+                                  TeamQuotaRecord{"blue", quota, TeamQuota{{8, 0, 0}, {12, 4, 0}}, false},
+                                  TeamQuotaRecord{"gone", quota, std::nullopt, true}};
   EXPECT_EQ(stored_entry(teams, {3, 0, 8, 0x0123456789abcdef}), lines.at("level-3"));
   const auto read = parse_entry(lines.at("level-3")).records;
-  for (std::size_t i = 0; i < teams.size(); ++i) EXPECT_EQ(std::get<TeamRecord>(read.at(i)), std::get<TeamRecord>(teams[i]));
+  for (std::size_t i = 0; i < teams.size(); ++i) EXPECT_EQ(std::get<TeamQuotaRecord>(read.at(i)), std::get<TeamQuotaRecord>(teams[i]));
   for (const auto* name : {"level-1", "level-2"}) {
     const auto entry = parse_entry(lines.at(name));
     EXPECT_EQ(entry.seq, 7u);
@@ -67,13 +70,13 @@
   }
   // Level 4: jobs that wait for others, and what is kept of their ends; an entry that tells its number.
   auto waits = submission("j-9", 2, 1);
-  waits.waits_on = {"j-1", "j-2"};
-  JobRecord ready{{submission("j-8", 1, 1), 0.25, 12.5}, JobStatus::queued, 0, {}, {}, 0, false, false, 14.5};
-  const std::vector<Record> pipelines{AcceptRecord{waits, 0.25, 12.5}, DoneRecord{"j-1", {{0, 1}}, 13.5}, ready,
-                                      EndedRecord{JobStatus::done, {"j-2", "j-3"}, {{1, 11.5}}, {}},
-                                      EndedRecord{JobStatus::aborted, {"j-4"}, {}, {0}}};
+  waits.depends_on = {"j-1", "j-2"};
+  JobSnapshotRecord ready{{submission("j-8", 1, 1), 0.25, 12.5}, JobStatus::queued, 0, {}, {}, 0, false, false, 14.5};
+  const std::vector<Record> dependency_graph{JobAcceptedRecord{waits, 0.25, 12.5}, TasksCompletedRecord{"j-1", {{0, 1}}, 13.5}, ready,
+                                             JobsEndedRecord{JobStatus::done, {"j-2", "j-3"}, {{1, 11.5}}, {}},
+                                             JobsEndedRecord{JobStatus::cancelled, {"j-4"}, {}, {0}}};
   const EntryHead head{4, 0, 9, 0x0123456789abcdef, 31, 24};
-  EXPECT_EQ(stored_entry(pipelines, head), lines.at("level-4"));
+  EXPECT_EQ(stored_entry(dependency_graph, head), lines.at("level-4"));
   const auto four = parse_entry(lines.at("level-4"));
   EXPECT_EQ(four.number, 31u);
   EXPECT_EQ(four.first_needed, 24u);
@@ -88,17 +91,17 @@
   const auto lines = kept("keys.txt");
   EXPECT_EQ(leader_value({"host-1", 42}), lines.at("leader"));
   EXPECT_EQ(parked_leader_value(2), lines.at("leader-parked"));
-  EXPECT_EQ(level_value({2, 0}), lines.at("lead-level"));
-  EXPECT_EQ(level_value({2, 1}), lines.at("lead-level-lowering"));
-  EXPECT_EQ(ready_value({2, 100.5}), lines.at("lead-ready"));
-  EXPECT_EQ(able_value({1, 2, 2, 42, "0.2.0", 0xab}), lines.at("roster"));
-  EXPECT_EQ(parse_level(lines.at("lead-level-lowering")), (LevelOn{2, 1}));
-  EXPECT_EQ(parse_ready(lines.at("lead-ready")), (Ready{2, 100.5}));
-  EXPECT_EQ(parse_able(lines.at("roster")), (Able{1, 2, 2, 42, "0.2.0", 0xab}));
+  EXPECT_EQ(active_version_value({2, 0}), lines.at("lead-level"));
+  EXPECT_EQ(active_version_value({2, 1}), lines.at("lead-level-lowering"));
+  EXPECT_EQ(version_readiness_value({2, 100.5}), lines.at("lead-ready"));
+  EXPECT_EQ(supported_versions_value({1, 2, 2, 42, "0.2.0", 0xab}), lines.at("roster"));
+  EXPECT_EQ(parse_active_version(lines.at("lead-level-lowering")), (ActiveVersion{2, 1}));
+  EXPECT_EQ(parse_version_readiness(lines.at("lead-ready")), (VersionReadiness{2, 100.5}));
+  EXPECT_EQ(parse_supported_versions(lines.at("roster")), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}));
   // What a later build has more is passed over.
-  EXPECT_EQ(parse_level(R"({"level":2,"towards":1,"why":"x"})"), (LevelOn{2, 1}));
+  EXPECT_EQ(parse_active_version(R"({"level":2,"towards":1,"why":"x"})"), (ActiveVersion{2, 1}));
   for (const auto* bad : {"{}", R"({"level":0})", R"({"level":"2"})", "2", "[", R"({"level":-1})"})
-    EXPECT_THROW(parse_level(bad), Malformed) << bad;
+    EXPECT_THROW(parse_active_version(bad), ProtocolError) << bad;
 }
 
 std::string hex(const Frame& frame) {
@@ -113,18 +116,20 @@
 TEST(Stored, FramesOfLevelOneAreWhatTheyWere) {
   const auto lines = kept("frames.txt");
   EXPECT_EQ(lines.at("version"), std::to_string(kFrameVersion));
-  EXPECT_EQ(hex(pack(Beat{"host-1", 9, 7, 5, 1234, 6})), lines.at("beat"));
-  EXPECT_EQ(hex(pack(BeatAck{9, "host-1", 5, 1234, 6})), lines.at("beat-ack"));
-  EXPECT_EQ(hex(pack(PeerCall{"GET", kAbleTarget, ""})), lines.at("call"));
+  EXPECT_EQ(hex(pack(PeerHeartbeat{"host-1", 9, 7, 5, 1234, 6})), lines.at("beat"));
+  EXPECT_EQ(hex(pack(PeerHeartbeatAck{9, "host-1", 5, 1234, 6})), lines.at("beat-ack"));
+  EXPECT_EQ(hex(pack(PeerCall{"GET", kSupportedVersionsTarget, ""})), lines.at("call"));
   HttpReply reply{200, "{}"};
   reply.valid_until = 12.5;
   EXPECT_EQ(hex(pack(reply, 10)), lines.at("reply"));
-  const auto able = pack(Able{1, 2, 2, 42, "0.2.0", 0xab});
-  EXPECT_EQ(hex({0, able}), lines.at("able"));
-  EXPECT_EQ(unpack_able(able), (Able{1, 2, 2, 42, "0.2.0", 0xab}));
-  EXPECT_EQ(unpack_able(able + "more"), (Able{1, 2, 2, 42, "0.2.0", 0xab})) << "of a later version";
-  for (std::size_t cut = 0; cut < able.size(); ++cut) EXPECT_FALSE(unpack_able(able.substr(0, cut))) << cut;
-  const std::map<std::string, TeamTerms> teams{{"red", {{8, 0.5, 0}, {16, 4, 0}}}, {"blue", {}}};
+  const auto supported_versions = pack(SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab});
+  EXPECT_EQ(hex({0, supported_versions}), lines.at("able"));
+  EXPECT_EQ(unpack_supported_versions(supported_versions), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}));
+  EXPECT_EQ(unpack_supported_versions(supported_versions + "more"), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}))
+      << "of a later version";
+  for (std::size_t cut = 0; cut < supported_versions.size(); ++cut)
+    EXPECT_FALSE(unpack_supported_versions(supported_versions.substr(0, cut))) << cut;
+  const std::map<std::string, TeamQuota> teams{{"red", {{8, 0.5, 0}, {16, 4, 0}}}, {"blue", {}}};
   const auto packed = pack(teams);
   EXPECT_EQ(hex({0, packed}), lines.at("teams"));
   EXPECT_EQ(unpack_teams(packed), teams);
@@ -136,16 +141,16 @@
   std::vector<std::string> values, older;
   std::uint64_t link = 0;
   for (std::uint64_t n = 0; n < 4; ++n) {
-    std::vector<Record> records{AcceptRecord{submission("j-" + std::to_string(n), 1, 1), 0.5, 1.0 * static_cast<double>(n)}};
+    std::vector<Record> records{JobAcceptedRecord{submission("j-" + std::to_string(n), 1, 1), 0.5, 1.0 * static_cast<double>(n)}};
     older.push_back(stored_entry(records, {2, 0, 2 * n + 1, link}));
-    records.emplace_back(CancelRecord{"j-" + std::to_string(n)});
+    records.emplace_back(JobCancelledRecord{"j-" + std::to_string(n)});
     values.push_back(stored_entry(records, {2, 0, 2 * n + 2, link}));
     const auto entry = parse_entry(values.back());
     link = link_of(entry.previous_link, n, entry.check);
   }
   const auto why = [](const std::map<std::uint64_t, std::string>& entries) {
-    Book book = book_of_red(10);
-    Reader reader(book, 1, 2);
+    ClusterState cluster_state = book_of_red(10);
+    LedgerReader reader(cluster_state, 1, 2);
     for (const auto& [n, value] : entries) {
       const auto page = parse_entries(R"({"rows":[{"path":")" + entry_key(n) + R"(","value":)" + value + "}]}");
       if (!reader.add_entry(page.rows.at(0))) return reader.error();
@@ -178,8 +183,8 @@
   EXPECT_NE(why(future).find("it is of state level 3, and this build reads 1 to 2"), std::string::npos) << why(future);
 }
 
-TEST(StandingBack, IsLongerWhereItComesToThatAgainAndAgain) {
-  StandingBack s;
+TEST(LeadershipBackoff, IsLongerWhereItComesToThatAgainAndAgain) {
+  LeadershipBackoff s;
   EXPECT_EQ(s.remaining(100), 0);
   EXPECT_EQ(s.record_hand_over(100), 15);
   EXPECT_EQ(s.record_hand_over(150), 30);
@@ -191,8 +196,8 @@
   EXPECT_EQ(s.remaining(503), 7);
 }
 
-TEST(StartWatch, TellsOnceForEachStall) {
-  StartWatch w;
+TEST(StartStallDetector, TellsOnceForEachStall) {
+  StartStallDetector w;
   EXPECT_FALSE(w.should_report(50));
   w.record_planned(50);
   w.record_planned(55);
@@ -206,8 +211,8 @@
   EXPECT_TRUE(w.should_report(91));
 }
 
-TEST(WriteBudget, KeepsSomeForUsersAndNeverPassesTheRate) {
-  WriteBudget b(40);
+TEST(WriteRateLimiter, KeepsSomeForUsersAndNeverPassesTheRate) {
+  WriteRateLimiter b(40);
   double now = 100, made = 0;
   EXPECT_EQ(b.delay_s(now, false), 0) << "full at first";
   while (b.delay_s(now, false) == 0) b.charge(1), ++made;
@@ -225,4 +230,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -6,11 +6,11 @@
 
 #include <atomic>
 
-#include "rig/state_service.hpp"
+#include "testbed/fake_state_store.hpp"
 #include "transport/clock.hpp"
 #include "transport/http.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 std::atomic<bool> lingers{false};
@@ -39,7 +39,7 @@
 // accepts, and the join did not return.
 TEST(Threads, AConnectionWhoseThreadLingersStopsNoOther) {
   lingers = true;
-  const auto address = testing_::free_address();
+  const auto address = test_support::free_address();
   HttpServer server(address, 10, [](const HttpCall& call) -> HttpReply {
     if (call.target == "/lingers") linger();
     HttpReply reply{200, "{}"};
@@ -61,10 +61,10 @@
 // At the bound the connection longest idle makes room, a dear one only where there is no other; the rest go on.
 TEST(Threads, AtTheBoundTheLongestIdleConnectionMakesRoom) {
   constexpr std::size_t kMost = 4;
-  const auto address = testing_::free_address();
+  const auto address = test_support::free_address();
   HttpServer server(address, kMost, [](const HttpCall& call) -> HttpReply {
     HttpReply reply{200, "{}"};
-    reply.dear = call.target == "/dear";
+    reply.evict_last = call.target == "/dear";
     return reply;
   });
   std::vector<std::unique_ptr<HttpClient>> clients;
@@ -106,4 +106,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -16,18 +16,24 @@
 #include <utility>
 #include <vector>
 
-#include "ledger/tail.hpp"
+#include "ledger/ledger_writer.hpp"
+#include "model/command.hpp"
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/machine.hpp"
+#include "model/resources.hpp"
+#include "model/task.hpp"
 #include "protocol/digest.hpp"
-#include "protocol/intake_messages.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_messages.hpp"
-#include "protocol/rollout_messages.hpp"
+#include "protocol/relay_messages.hpp"
 #include "protocol/settings.hpp"
-#include "rollout/levels.hpp"
+#include "protocol/version_messages.hpp"
+#include "rollout/format_versions.hpp"
 #include "transport/frames.hpp"
 #include "transport/socket.hpp"
 
-namespace thistle {
+namespace thistlefront {
 namespace {
 
 // ---- helpers
@@ -89,46 +95,46 @@
   return out;
 }
 
-PieceId piece_id(const std::string& uid, std::uint32_t task) {
-  PieceId id;
+TaskId piece_id(const std::string& uid, std::uint32_t task) {
+  TaskId id;
   id.uid = uid;
   id.task = task;
   return id;
 }
 
-Range range(std::uint32_t first, std::uint32_t last) {
-  Range out;
+TaskRange range(std::uint32_t first, std::uint32_t last) {
+  TaskRange out;
   out.first = first;
   out.last = last;
   return out;
 }
 
-Order order(Verb verb, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double wind_down_s = 0) {
-  Order out;
+Command command(CommandType verb, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double grace_period_s = 0) {
+  Command out;
   out.type = verb;
   out.id = piece_id(uid, task);
   out.attempt = attempt;
-  out.wind_down_s = wind_down_s;
+  out.grace_period_s = grace_period_s;
   return out;
 }
 
-std::vector<Order> order_of_each_verb() {
-  return {order(Verb::run, "j-000412", 4, 2), order(Verb::kill, "j-000377", 1, 1, 10), order(Verb::kill, "j-000377", 2, 1, 2.5),
-          order(Verb::reap, "j-000398", 0, 1)};
+std::vector<Command> order_of_each_verb() {
+  return {command(CommandType::run, "j-000412", 4, 2), command(CommandType::kill, "j-000377", 1, 1, 10),
+          command(CommandType::kill, "j-000377", 2, 1, 2.5), command(CommandType::acknowledge_exit, "j-000398", 0, 1)};
 }
 
-Condition condition(const std::string& key, std::uint64_t stamp) {
+Condition condition(const std::string& key, std::uint64_t mod_revision) {
   Condition out;
   out.key = key;
-  out.stamp = stamp;
+  out.mod_revision = mod_revision;
   return out;
 }
 
-Put put(const std::string& key, const std::string& value, std::uint64_t hold) {
+Put put(const std::string& key, const std::string& value, std::uint64_t session_lease) {
   Put out;
   out.key = key;
   out.value = value;
-  out.hold = hold;
+  out.session_lease = session_lease;
   return out;
 }
 
@@ -151,24 +157,24 @@
   EXPECT_EQ(s.uid, "j-000412");
   EXPECT_EQ(s.job_class, "train");
   EXPECT_EQ(s.owner, "vision");
-  EXPECT_EQ(s.shape, Shape::group);
-  EXPECT_EQ(s.rank, Rank::high);
+  EXPECT_EQ(s.job_type, JobType::gang);
+  EXPECT_EQ(s.priority, Priority::high);
   EXPECT_EQ(s.task_count, 16u);
   EXPECT_EQ(s.demand.cores, 8);
   EXPECT_EQ(s.demand.accelerators, 1);
   EXPECT_EQ(s.demand.ram_gb, 64);
-  EXPECT_EQ(s.bundle, "img-07");
-  EXPECT_EQ(s.pull_gb, 6.2);
-  EXPECT_EQ(s.host_kinds, (std::vector<std::string>{"g8", "g16"}));
-  EXPECT_EQ(s.yard, "a");
-  EXPECT_TRUE(s.one_zone);
+  EXPECT_EQ(s.image, "img-07");
+  EXPECT_EQ(s.image_gb, 6.2);
+  EXPECT_EQ(s.machine_types, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(s.zone, "a");
+  EXPECT_TRUE(s.single_zone);
   EXPECT_TRUE(s.spread);
-  EXPECT_TRUE(s.loaners);
-  EXPECT_EQ(s.expected_s, 240);
-  EXPECT_EQ(s.snapshot_every_s, 30);
-  EXPECT_EQ(s.snapshot_s, 4);
-  EXPECT_EQ(s.due_s, 900);
-  EXPECT_EQ(s.waits_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+  EXPECT_TRUE(s.allows_spot);
+  EXPECT_EQ(s.estimated_run_s, 240);
+  EXPECT_EQ(s.checkpoint_interval_s, 30);
+  EXPECT_EQ(s.checkpoint_duration_s, 4);
+  EXPECT_EQ(s.deadline_s, 900);
+  EXPECT_EQ(s.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
 }
 
 TEST(WireFormatUsers, OmittedFieldsOfASubmissionHaveTheseValues) {
@@ -176,24 +182,24 @@
   EXPECT_EQ(s.uid, "j-1");
   EXPECT_EQ(s.job_class, "c");
   EXPECT_EQ(s.owner, "red");
-  EXPECT_EQ(s.shape, Shape::batch);
-  EXPECT_EQ(s.rank, Rank::idle);
+  EXPECT_EQ(s.job_type, JobType::array);
+  EXPECT_EQ(s.priority, Priority::idle);
   EXPECT_EQ(s.task_count, 1u);
   EXPECT_EQ(s.demand.cores, 0.5);
   EXPECT_EQ(s.demand.accelerators, 0);
   EXPECT_EQ(s.demand.ram_gb, 1);
-  EXPECT_EQ(s.bundle, "img");
-  EXPECT_EQ(s.pull_gb, 0);
-  EXPECT_TRUE(s.host_kinds.empty());
-  EXPECT_EQ(s.yard, "");
-  EXPECT_FALSE(s.one_zone);
+  EXPECT_EQ(s.image, "img");
+  EXPECT_EQ(s.image_gb, 0);
+  EXPECT_TRUE(s.machine_types.empty());
+  EXPECT_EQ(s.zone, "");
+  EXPECT_FALSE(s.single_zone);
   EXPECT_FALSE(s.spread);
-  EXPECT_FALSE(s.loaners);
-  EXPECT_EQ(s.expected_s, 0);
-  EXPECT_EQ(s.snapshot_every_s, 0);
-  EXPECT_EQ(s.snapshot_s, 0);
-  EXPECT_EQ(s.due_s, std::nullopt);
-  EXPECT_TRUE(s.waits_on.empty());
+  EXPECT_FALSE(s.allows_spot);
+  EXPECT_EQ(s.estimated_run_s, 0);
+  EXPECT_EQ(s.checkpoint_interval_s, 0);
+  EXPECT_EQ(s.checkpoint_duration_s, 0);
+  EXPECT_EQ(s.deadline_s, std::nullopt);
+  EXPECT_TRUE(s.depends_on.empty());
 }
 
 std::string submission_with(const std::string& field) {
@@ -201,18 +207,18 @@
 }
 
 TEST(WireFormatUsers, EachFlagOfASubmissionIsReadByItself) {
-  const auto one_zone = parse_submission(submission_with(R"("oneZone":true)"));
-  EXPECT_TRUE(one_zone.one_zone);
-  EXPECT_FALSE(one_zone.spread);
-  EXPECT_FALSE(one_zone.loaners);
+  const auto single_zone = parse_submission(submission_with(R"("oneZone":true)"));
+  EXPECT_TRUE(single_zone.single_zone);
+  EXPECT_FALSE(single_zone.spread);
+  EXPECT_FALSE(single_zone.allows_spot);
   const auto spread = parse_submission(submission_with(R"("spread":true)"));
-  EXPECT_FALSE(spread.one_zone);
+  EXPECT_FALSE(spread.single_zone);
   EXPECT_TRUE(spread.spread);
-  EXPECT_FALSE(spread.loaners);
-  const auto loaners = parse_submission(submission_with(R"("loaners":true)"));
-  EXPECT_FALSE(loaners.one_zone);
-  EXPECT_FALSE(loaners.spread);
-  EXPECT_TRUE(loaners.loaners);
+  EXPECT_FALSE(spread.allows_spot);
+  const auto allows_spot = parse_submission(submission_with(R"("loaners":true)"));
+  EXPECT_FALSE(allows_spot.single_zone);
+  EXPECT_FALSE(allows_spot.spread);
+  EXPECT_TRUE(allows_spot.allows_spot);
 }
 
 TEST(WireFormatUsers, NullsOfASubmissionAreOmissions) {
@@ -220,32 +226,32 @@
       R"(,"accelerators":null,"hostKinds":null,"yard":null,"oneZone":null,"spread":null,"loaners":null,"expectedS":null,)"
       R"("snapshotEveryS":null,"snapshotS":null,"dueS":null,"waitsOn":null})";
   const auto s = parse_submission(without(kLeastSubmission, "}") + nulls);
-  EXPECT_TRUE(s.host_kinds.empty());
-  EXPECT_EQ(s.yard, "");
-  EXPECT_FALSE(s.one_zone);
+  EXPECT_TRUE(s.machine_types.empty());
+  EXPECT_EQ(s.zone, "");
+  EXPECT_FALSE(s.single_zone);
   EXPECT_FALSE(s.spread);
-  EXPECT_FALSE(s.loaners);
-  EXPECT_EQ(s.due_s, std::nullopt);
-  EXPECT_TRUE(s.waits_on.empty());
+  EXPECT_FALSE(s.allows_spot);
+  EXPECT_EQ(s.deadline_s, std::nullopt);
+  EXPECT_TRUE(s.depends_on.empty());
 }
 
 TEST(WireFormatUsers, WordsForShapes) {
   const auto shape_of = [](const std::string& word) {
-    return parse_submission(replaced(kLeastSubmission, R"("batch")", "\"" + word + "\"")).shape;
+    return parse_submission(replaced(kLeastSubmission, R"("batch")", "\"" + word + "\"")).job_type;
   };
-  EXPECT_EQ(shape_of("batch"), Shape::batch);
-  EXPECT_EQ(shape_of("group"), Shape::group);
-  EXPECT_EQ(shape_of("service"), Shape::service);
+  EXPECT_EQ(shape_of("batch"), JobType::array);
+  EXPECT_EQ(shape_of("group"), JobType::gang);
+  EXPECT_EQ(shape_of("service"), JobType::service);
 }
 
 TEST(WireFormatUsers, WordsForRanks) {
   const auto rank_of = [](const std::string& word) {
-    return parse_submission(replaced(kLeastSubmission, R"("idle")", "\"" + word + "\"")).rank;
+    return parse_submission(replaced(kLeastSubmission, R"("idle")", "\"" + word + "\"")).priority;
   };
-  EXPECT_EQ(rank_of("prod"), Rank::prod);
-  EXPECT_EQ(rank_of("high"), Rank::high);
-  EXPECT_EQ(rank_of("standard"), Rank::standard);
-  EXPECT_EQ(rank_of("idle"), Rank::idle);
+  EXPECT_EQ(rank_of("prod"), Priority::production);
+  EXPECT_EQ(rank_of("high"), Priority::high);
+  EXPECT_EQ(rank_of("standard"), Priority::standard);
+  EXPECT_EQ(rank_of("idle"), Priority::idle);
 }
 
 TEST(WireFormatUsers, AFieldThatASubmissionLacksIsNamed) {
@@ -286,9 +292,9 @@
 }
 
 TEST(WireFormatUsers, TheIdOfAMalformedSubmissionIsFound) {
-  EXPECT_EQ(peek_uid(R"({"uid":"j-000412","pieces":-1})"), "j-000412");
-  EXPECT_EQ(peek_uid(R"({"uid":"k-1"})"), "");
-  EXPECT_EQ(peek_uid("{"), "");
+  EXPECT_EQ(extract_uid(R"({"uid":"j-000412","pieces":-1})"), "j-000412");
+  EXPECT_EQ(extract_uid(R"({"uid":"k-1"})"), "");
+  EXPECT_EQ(extract_uid("{"), "");
 }
 
 TEST(WireFormatUsers, IdsAreTheLettersJAndMinusWithDigits) {
@@ -303,14 +309,14 @@
   EXPECT_EQ(status_body("j-000412", JobStatus::queued, 0, 0), R"({"uid":"j-000412","status":"queued","done":0,"running":0})");
   EXPECT_EQ(status_body("j-000412", JobStatus::running, 3, 13), R"({"uid":"j-000412","status":"running","done":3,"running":13})");
   EXPECT_EQ(status_body("j-000412", JobStatus::done, 16, 0), R"({"uid":"j-000412","status":"done","done":16,"running":0})");
-  EXPECT_EQ(status_body("j-000412", JobStatus::aborted, 1, 2), R"({"uid":"j-000412","status":"aborted","done":1,"running":2})");
+  EXPECT_EQ(status_body("j-000412", JobStatus::cancelled, 1, 2), R"({"uid":"j-000412","status":"aborted","done":1,"running":2})");
 }
 
 TEST(WireFormatUsers, BriefBodiesOfEachStatus) {
-  EXPECT_EQ(brief_body("j-000412", JobStatus::queued), R"({"uid":"j-000412","status":"queued"})");
-  EXPECT_EQ(brief_body("j-000412", JobStatus::running), R"({"uid":"j-000412","status":"running"})");
-  EXPECT_EQ(brief_body("j-000412", JobStatus::done), R"({"uid":"j-000412","status":"done"})");
-  EXPECT_EQ(brief_body("j-000412", JobStatus::aborted), R"({"uid":"j-000412","status":"aborted"})");
+  EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::queued), R"({"uid":"j-000412","status":"queued"})");
+  EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::running), R"({"uid":"j-000412","status":"running"})");
+  EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::done), R"({"uid":"j-000412","status":"done"})");
+  EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::cancelled), R"({"uid":"j-000412","status":"aborted"})");
 }
 
 TEST(WireFormatUsers, ErrorBodiesAreEscaped) {
@@ -331,7 +337,7 @@
   expect_route("POST", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::withdraw, "j-000412");
   expect_route("GET", "/healthz", UserRoute::Kind::health);
   expect_route("GET", "/metrics", UserRoute::Kind::metrics);
-  expect_route("POST", "/v1/report", UserRoute::Kind::report);
+  expect_route("POST", "/v1/report", UserRoute::Kind::heartbeat);
   expect_route("GET", "/v1/jobs/j-000412?x=1", UserRoute::Kind::status, "j-000412");
 }
 
@@ -359,79 +365,79 @@
                                 R"({"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","kept":true}]})";
 
 std::string report_error(const std::string& body) {
-  return error_of([&] { parse_report(body); });
+  return error_of([&] { parse_heartbeat(body); });
 }
 
 TEST(WireFormatWorkers, AFullReportIsReadFieldByField) {
-  const auto r = parse_report(kFullReport);
-  EXPECT_EQ(r.host, "m-000231");
+  const auto r = parse_heartbeat(kFullReport);
+  EXPECT_EQ(r.node, "m-000231");
   EXPECT_EQ(r.address, "10.1.0.232:9000");
   EXPECT_EQ(r.machine_type, "g8");
-  EXPECT_EQ(r.yard, "a");
-  EXPECT_TRUE(r.loaner);
-  EXPECT_EQ(r.tenure, 1u);
+  EXPECT_EQ(r.zone, "a");
+  EXPECT_TRUE(r.spot);
+  EXPECT_EQ(r.agent_incarnation, 1u);
   EXPECT_EQ(r.serial, 88u);
-  EXPECT_EQ(r.epoch, 41u);
-  EXPECT_EQ(r.recall_s, 61.5);
+  EXPECT_EQ(r.fencing_token, 41u);
+  EXPECT_EQ(r.interruption_in_s, 61.5);
   EXPECT_EQ(r.repeated_serial, std::nullopt);
   ASSERT_EQ(r.tasks.size(), 2u);
   EXPECT_EQ(r.tasks[0].id.uid, "j-000412");
   EXPECT_EQ(r.tasks[0].id.task, 3u);
   EXPECT_EQ(r.tasks[0].attempt, 2u);
-  EXPECT_EQ(r.tasks[0].phase, Phase::running);
-  EXPECT_EQ(r.tasks[0].cause, Cause::none);
+  EXPECT_EQ(r.tasks[0].phase, TaskPhase::running);
+  EXPECT_EQ(r.tasks[0].exit_reason, ExitReason::none);
   EXPECT_FALSE(r.tasks[0].checkpointed);
   EXPECT_EQ(r.tasks[1].id.uid, "j-000398");
   EXPECT_EQ(r.tasks[1].id.task, 0u);
   EXPECT_EQ(r.tasks[1].attempt, 1u);
-  EXPECT_EQ(r.tasks[1].phase, Phase::exited);
-  EXPECT_EQ(r.tasks[1].cause, Cause::halted);
+  EXPECT_EQ(r.tasks[1].phase, TaskPhase::exited);
+  EXPECT_EQ(r.tasks[1].exit_reason, ExitReason::stopped);
   EXPECT_TRUE(r.tasks[1].checkpointed);
 }
 
 TEST(WireFormatWorkers, OmittedFieldsOfAReportHaveTheseValues) {
-  const auto r = parse_report(R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,"pieces":[]})");
-  EXPECT_FALSE(r.loaner);
-  EXPECT_EQ(r.recall_s, std::nullopt);
-  EXPECT_EQ(r.epoch, 0u);
+  const auto r = parse_heartbeat(R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,"pieces":[]})");
+  EXPECT_FALSE(r.spot);
+  EXPECT_EQ(r.interruption_in_s, std::nullopt);
+  EXPECT_EQ(r.fencing_token, 0u);
   EXPECT_TRUE(r.tasks.empty());
 }
 
 TEST(WireFormatWorkers, SecondsUntilARecallAreNullOrANumber) {
   const auto recall_of = [](std::string_view value) {
-    return parse_report(replaced(kFullReport, R"("recallS":61.5)", R"("recallS":)" + std::string(value))).recall_s;
+    return parse_heartbeat(replaced(kFullReport, R"("recallS":61.5)", R"("recallS":)" + std::string(value))).interruption_in_s;
   };
   EXPECT_EQ(recall_of("null"), std::nullopt);
   EXPECT_EQ(recall_of("0"), 0);
   EXPECT_EQ(recall_of("12"), 12);
   EXPECT_EQ(recall_of("-3"), 0);
-  EXPECT_EQ(parse_report(without(kFullReport, R"("recallS":61.5,)")).recall_s, std::nullopt);
+  EXPECT_EQ(parse_heartbeat(without(kFullReport, R"("recallS":61.5,)")).interruption_in_s, std::nullopt);
 }
 
 TEST(WireFormatWorkers, WordsForPhases) {
   const auto phase_of = [](const std::string& word) {
-    return parse_report(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).tasks.at(0).phase;
+    return parse_heartbeat(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).tasks.at(0).phase;
   };
-  EXPECT_EQ(phase_of("pulling"), Phase::pulling);
-  EXPECT_EQ(phase_of("gathering"), Phase::gathering);
-  EXPECT_EQ(phase_of("running"), Phase::running);
-  EXPECT_EQ(phase_of("saving"), Phase::saving);
-  EXPECT_EQ(phase_of("exited"), Phase::exited);
+  EXPECT_EQ(phase_of("pulling"), TaskPhase::pulling_image);
+  EXPECT_EQ(phase_of("gathering"), TaskPhase::waiting_for_gang);
+  EXPECT_EQ(phase_of("running"), TaskPhase::running);
+  EXPECT_EQ(phase_of("saving"), TaskPhase::checkpointing);
+  EXPECT_EQ(phase_of("exited"), TaskPhase::exited);
 }
 
 TEST(WireFormatWorkers, WordsForCauses) {
   const auto cause_of = [](const std::string& word) {
-    return parse_report(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).tasks.at(1).cause;
+    return parse_heartbeat(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).tasks.at(1).exit_reason;
   };
-  EXPECT_EQ(cause_of("done"), Cause::done);
-  EXPECT_EQ(cause_of("halted"), Cause::halted);
-  EXPECT_EQ(cause_of("peers"), Cause::peers);
-  EXPECT_EQ(cause_of("alone"), Cause::alone);
-  EXPECT_EQ(cause_of("error"), Cause::error);
-  EXPECT_EQ(cause_of("no_room"), Cause::no_room);
-  EXPECT_EQ(cause_of("busy"), Cause::busy);
-  EXPECT_EQ(cause_of("unknown"), Cause::unknown);
-  EXPECT_EQ(cause_of("of a later version"), Cause::error);
+  EXPECT_EQ(cause_of("done"), ExitReason::completed);
+  EXPECT_EQ(cause_of("halted"), ExitReason::stopped);
+  EXPECT_EQ(cause_of("peers"), ExitReason::gang_member_lost);
+  EXPECT_EQ(cause_of("alone"), ExitReason::gang_incomplete);
+  EXPECT_EQ(cause_of("error"), ExitReason::failed);
+  EXPECT_EQ(cause_of("no_room"), ExitReason::insufficient_resources);
+  EXPECT_EQ(cause_of("busy"), ExitReason::duplicate_attempt);
+  EXPECT_EQ(cause_of("unknown"), ExitReason::unknown_task);
+  EXPECT_EQ(cause_of("of a later version"), ExitReason::failed);
 }
 
 TEST(WireFormatWorkers, AFieldThatAReportLacksIsNamed) {
@@ -471,8 +477,8 @@
 }
 
 TEST(WireFormatWorkers, AnswersToReportsHoldTheEpochAndOrders) {
-  EXPECT_EQ(orders_body(41, {}), R"({"epoch":41,"orders":[]})");
-  EXPECT_EQ(orders_body(41, order_of_each_verb()),
+  EXPECT_EQ(heartbeat_response_body(41, {}), R"({"epoch":41,"orders":[]})");
+  EXPECT_EQ(heartbeat_response_body(41, order_of_each_verb()),
             R"({"epoch":41,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill","piece":"j-000377/1",)"
             R"("try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},{"verb":"reap",)"
             R"("piece":"j-000398/0","try":1}]})");
@@ -487,8 +493,8 @@
 }
 
 TEST(WireFormatWorkers, ARedirectedWorkerIsToldWhere) {
-  EXPECT_EQ(steward_body("host-2"), R"({"steward":"host-2"})");
-  EXPECT_EQ(steward_body(""), R"({})");
+  EXPECT_EQ(redirect_body("host-2"), R"({"steward":"host-2"})");
+  EXPECT_EQ(redirect_body(""), R"({})");
 }
 
 TEST(WireFormatWorkers, Paths) {
@@ -499,41 +505,42 @@
 // ---- cloud
 
 TEST(WireFormatCloud, Paths) {
-  EXPECT_STREQ(kFlavorsPath, "/flavors");
+  EXPECT_STREQ(kMachineTypesPath, "/flavors");
   EXPECT_STREQ(kRentPath, "/rentals");
   EXPECT_STREQ(kReleasePath, "/rentals/release");
-  EXPECT_EQ(machines_path("", 500), "/rentals?page=500");
-  EXPECT_EQ(machines_path("m-000230", 20), "/rentals?page=20&from=m-000230");
+  EXPECT_EQ(instances_path("", 500), "/rentals?page=500");
+  EXPECT_EQ(instances_path("m-000230", 20), "/rentals?page=20&from=m-000230");
 }
 
 TEST(WireFormatCloud, MachineTypesAreReadFieldByField) {
-  const auto flavors = parse_flavors(R"({"hostKinds":[{"sku":"g8","cores":96,"accelerators":8,"ramGb":768,"cacheGb":200,"fetchGbPerS":1.0,)"
-                                     R"("price":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]}]})");
-  ASSERT_EQ(flavors.size(), 1u);
-  EXPECT_EQ(flavors[0].name, "g8");
-  EXPECT_EQ(flavors[0].capacity.cores, 96);
-  EXPECT_EQ(flavors[0].capacity.accelerators, 8);
-  EXPECT_EQ(flavors[0].capacity.ram_gb, 768);
-  EXPECT_EQ(flavors[0].cache_gb, 200);
-  EXPECT_EQ(flavors[0].fetch_gb_per_s, 1);
-  EXPECT_EQ(flavors[0].price, 12);
-  EXPECT_EQ(flavors[0].market_price, 4.5);
-  EXPECT_EQ(flavors[0].boot_s, 45);
-  EXPECT_EQ(flavors[0].yards, (std::vector<std::string>{"a", "b"}));
+  const auto machine_types =
+      parse_machine_types(R"({"hostKinds":[{"sku":"g8","cores":96,"accelerators":8,"ramGb":768,"cacheGb":200,"fetchGbPerS":1.0,)"
+                          R"("price":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]}]})");
+  ASSERT_EQ(machine_types.size(), 1u);
+  EXPECT_EQ(machine_types[0].name, "g8");
+  EXPECT_EQ(machine_types[0].capacity.cores, 96);
+  EXPECT_EQ(machine_types[0].capacity.accelerators, 8);
+  EXPECT_EQ(machine_types[0].capacity.ram_gb, 768);
+  EXPECT_EQ(machine_types[0].image_cache_gb, 200);
+  EXPECT_EQ(machine_types[0].image_fetch_gb_per_s, 1);
+  EXPECT_EQ(machine_types[0].price, 12);
+  EXPECT_EQ(machine_types[0].spot_price, 4.5);
+  EXPECT_EQ(machine_types[0].boot_s, 45);
+  EXPECT_EQ(machine_types[0].zones, (std::vector<std::string>{"a", "b"}));
 }
 
 TEST(WireFormatCloud, OmittedFieldsOfAMachineTypeHaveTheseValues) {
-  const auto flavor = parse_flavors(R"({"hostKinds":[{"sku":"c4","cores":4,"ramGb":16,"price":2}]})").at(0);
-  EXPECT_EQ(flavor.capacity.accelerators, 0);
-  EXPECT_EQ(flavor.cache_gb, 0);
-  EXPECT_EQ(flavor.fetch_gb_per_s, 0);
-  EXPECT_EQ(flavor.market_price, 2);
-  EXPECT_EQ(flavor.boot_s, 60);
-  EXPECT_TRUE(flavor.yards.empty());
+  const auto machine_type = parse_machine_types(R"({"hostKinds":[{"sku":"c4","cores":4,"ramGb":16,"price":2}]})").at(0);
+  EXPECT_EQ(machine_type.capacity.accelerators, 0);
+  EXPECT_EQ(machine_type.image_cache_gb, 0);
+  EXPECT_EQ(machine_type.image_fetch_gb_per_s, 0);
+  EXPECT_EQ(machine_type.spot_price, 2);
+  EXPECT_EQ(machine_type.boot_s, 60);
+  EXPECT_TRUE(machine_type.zones.empty());
 }
 
 TEST(WireFormatCloud, ErrorsInMachineTypesNameTheField) {
-  const auto error = [](const std::string& body) { return error_of([&] { parse_flavors(body); }); };
+  const auto error = [](const std::string& body) { return error_of([&] { parse_machine_types(body); }); };
   EXPECT_EQ(error("{}"), "hostKinds: missing");
   EXPECT_EQ(error(R"({"hostKinds":{}})"), "hostKinds: not a list");
   EXPECT_EQ(error(R"({"hostKinds":[3]})"), "hostKinds: not objects");
@@ -543,37 +550,37 @@
 }
 
 TEST(WireFormatCloud, MachinesAreReadFieldByField) {
-  const auto page = parse_machines(
+  const auto page = parse_instances(
       R"({"hosts":[{"uid":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,"status":"running",)"
       R"("heldS":61.5},)"
       R"({"uid":"m-000232","hostKind":"c4","yard":"b","status":"booting"},)"
       R"({"uid":"m-000233","address":null,"hostKind":"c4","yard":"b","loaners":false,"status":"failed","heldS":3}],)"
       R"("truncated":true})");
   EXPECT_TRUE(page.truncated);
-  ASSERT_EQ(page.machines.size(), 3u);
-  EXPECT_EQ(page.machines[0].name, "m-000231");
-  EXPECT_EQ(page.machines[0].address, "10.1.0.232:9000");
-  EXPECT_EQ(page.machines[0].machine_type, "g8");
-  EXPECT_EQ(page.machines[0].yard, "a");
-  EXPECT_TRUE(page.machines[0].loaner);
-  EXPECT_EQ(page.machines[0].status, Machine::Status::running);
-  EXPECT_EQ(page.machines[0].held_s, 61.5);
-  EXPECT_EQ(page.machines[1].name, "m-000232");
-  EXPECT_EQ(page.machines[1].address, "");
-  EXPECT_FALSE(page.machines[1].loaner);
-  EXPECT_EQ(page.machines[1].status, Machine::Status::booting);
-  EXPECT_EQ(page.machines[1].held_s, 0);
-  EXPECT_EQ(page.machines[2].status, Machine::Status::failed);
-  EXPECT_EQ(page.machines[2].held_s, 3);
+  ASSERT_EQ(page.instances.size(), 3u);
+  EXPECT_EQ(page.instances[0].name, "m-000231");
+  EXPECT_EQ(page.instances[0].address, "10.1.0.232:9000");
+  EXPECT_EQ(page.instances[0].machine_type, "g8");
+  EXPECT_EQ(page.instances[0].zone, "a");
+  EXPECT_TRUE(page.instances[0].spot);
+  EXPECT_EQ(page.instances[0].status, Instance::Status::running);
+  EXPECT_EQ(page.instances[0].age_s, 61.5);
+  EXPECT_EQ(page.instances[1].name, "m-000232");
+  EXPECT_EQ(page.instances[1].address, "");
+  EXPECT_FALSE(page.instances[1].spot);
+  EXPECT_EQ(page.instances[1].status, Instance::Status::booting);
+  EXPECT_EQ(page.instances[1].age_s, 0);
+  EXPECT_EQ(page.instances[2].status, Instance::Status::failed);
+  EXPECT_EQ(page.instances[2].age_s, 3);
 }
 
 TEST(WireFormatCloud, TheLastPageOfMachinesIsNotTruncated) {
-  EXPECT_FALSE(parse_machines(R"({"hosts":[],"truncated":false})").truncated);
-  EXPECT_FALSE(parse_machines(R"({"hosts":[]})").truncated);
+  EXPECT_FALSE(parse_instances(R"({"hosts":[],"truncated":false})").truncated);
+  EXPECT_FALSE(parse_instances(R"({"hosts":[]})").truncated);
 }
 
 TEST(WireFormatCloud, ErrorsInMachinesNameTheField) {
-  const auto error = [](const std::string& body) { return error_of([&] { parse_machines(body); }); };
+  const auto error = [](const std::string& body) { return error_of([&] { parse_instances(body); }); };
   EXPECT_EQ(error("{}"), "hosts: missing");
   EXPECT_EQ(error(R"({"hosts":[3]})"), "hosts: not objects");
   EXPECT_EQ(error(R"({"hosts":[{"hostKind":"c4","yard":"b","status":"running"}]})"), "uid: missing");
@@ -610,29 +617,29 @@
 
 TEST(WireFormatState, Paths) {
   EXPECT_STREQ(kTxnPath, "/txn");
-  EXPECT_STREQ(kHoldsPath, "/holds");
+  EXPECT_STREQ(kSessionLeasesPath, "/holds");
   EXPECT_EQ(store_path("ledger/000000000007"), "/store/ledger/000000000007");
   EXPECT_EQ(list_path("ledger/", ""), "/store?prefix=ledger/&page=1000");
   EXPECT_EQ(list_path("ledger/", "ledger/7"), "/store?prefix=ledger/&page=1000&from=ledger/7");
   EXPECT_EQ(follow_path("lead", 431, 10000), "/follow?prefix=lead&from=431&blockMs=10000");
-  EXPECT_EQ(hold_path(7, true), "/holds/7/renew");
-  EXPECT_EQ(hold_path(7, false), "/holds/7");
+  EXPECT_EQ(session_lease_path(7, true), "/holds/7/renew");
+  EXPECT_EQ(session_lease_path(7, false), "/holds/7");
 }
 
 TEST(WireFormatState, Keys) {
-  EXPECT_STREQ(kLeaderKey, "leader");
-  EXPECT_STREQ(kLeadPrefix, "lead");
-  EXPECT_STREQ(kLeadKey, "lead");
-  EXPECT_STREQ(kLevelKey, "lead-level");
-  EXPECT_STREQ(kReadyKey, "lead-ready");
-  EXPECT_STREQ(kRosterPrefix, "roster/");
+  EXPECT_STREQ(kLeaderKeyV1, "leader");
+  EXPECT_STREQ(kLeadershipPrefix, "lead");
+  EXPECT_STREQ(kLeaderKeyV2, "lead");
+  EXPECT_STREQ(kActiveVersionKey, "lead-level");
+  EXPECT_STREQ(kVersionReadinessKey, "lead-ready");
+  EXPECT_STREQ(kRegistryPrefix, "roster/");
   EXPECT_STREQ(kLedgerPrefix, "ledger/");
 }
 
 TEST(WireFormatState, TheLeadersKeyIsAnotherFromLevelTwoOn) {
-  EXPECT_STREQ(lead_key(1), "leader");
-  EXPECT_STREQ(lead_key(2), "lead");
-  EXPECT_STREQ(lead_key(4), "lead");
+  EXPECT_STREQ(leader_key_for(1), "leader");
+  EXPECT_STREQ(leader_key_for(2), "lead");
+  EXPECT_STREQ(leader_key_for(4), "lead");
 }
 
 TEST(WireFormatState, KeysOfLedgerEntriesSortByNumber) {
@@ -644,9 +651,9 @@
 }
 
 TEST(WireFormatState, AHoldIsAskedForWithItsLifeInMilliseconds) {
-  EXPECT_EQ(hold_body(5000), R"({"lifeMs":5000})");
-  EXPECT_EQ(parse_hold(R"({"hold":7})"), 7u);
-  EXPECT_EQ(error_of([] { parse_hold("{}"); }), "hold: missing");
+  EXPECT_EQ(session_lease_body(5000), R"({"lifeMs":5000})");
+  EXPECT_EQ(parse_session_lease(R"({"hold":7})"), 7u);
+  EXPECT_EQ(error_of([] { parse_session_lease("{}"); }), "hold: missing");
 }
 
 TEST(WireFormatState, ATransactionHasConditionsThenSetsThenRemovals) {
@@ -658,8 +665,8 @@
 }
 
 TEST(WireFormatState, AnswersToTransactions) {
-  EXPECT_EQ(parse_rev(R"({"ledgerRev":432})"), 432u);
-  EXPECT_EQ(error_of([] { parse_rev("{}"); }), "ledgerRev: missing");
+  EXPECT_EQ(parse_revision(R"({"ledgerRev":432})"), 432u);
+  EXPECT_EQ(error_of([] { parse_revision("{}"); }), "ledgerRev: missing");
   EXPECT_EQ(parse_failed(R"({"failed":["a/b","a/c"],"ledgerRev":431})"), (std::vector<std::string>{"a/b", "a/c"}));
   EXPECT_EQ(error_of([] { parse_failed("{}"); }), "failed: missing");
 }
@@ -668,10 +675,10 @@
   const auto row = parse_row(R"({"path":"a/b","value":{"y":[1,2.5,null],"x":"t"},"stamp":412,"hold":7})");
   EXPECT_EQ(row.key, "a/b");
   EXPECT_EQ(row.value, R"({"x":"t","y":[1,2.5,null]})");
-  EXPECT_EQ(row.stamp, 412u);
-  EXPECT_EQ(row.hold, 7u);
-  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412})").hold, 0u);
-  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412,"hold":null})").hold, 0u);
+  EXPECT_EQ(row.mod_revision, 412u);
+  EXPECT_EQ(row.session_lease, 7u);
+  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412})").session_lease, 0u);
+  EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412,"hold":null})").session_lease, 0u);
 }
 
 TEST(WireFormatState, AFieldThatARowLacksIsNamed) {
@@ -689,12 +696,12 @@
   ASSERT_EQ(rows.rows.size(), 2u);
   EXPECT_EQ(rows.rows[0].key, "c/8");
   EXPECT_EQ(rows.rows[0].value, R"({"x":1})");
-  EXPECT_EQ(rows.rows[0].stamp, 430u);
-  EXPECT_EQ(rows.rows[0].hold, 0u);
+  EXPECT_EQ(rows.rows[0].mod_revision, 430u);
+  EXPECT_EQ(rows.rows[0].session_lease, 0u);
   EXPECT_EQ(rows.rows[1].key, "c/9");
   EXPECT_EQ(rows.rows[1].value, R"("t")");
-  EXPECT_EQ(rows.rows[1].stamp, 431u);
-  EXPECT_EQ(rows.rows[1].hold, 7u);
+  EXPECT_EQ(rows.rows[1].mod_revision, 431u);
+  EXPECT_EQ(rows.rows[1].session_lease, 7u);
   EXPECT_FALSE(parse_rows(R"({"rows":[],"ledgerRev":433})").truncated);
   EXPECT_EQ(error_of([] { parse_rows(R"({"rows":[]})"); }), "ledgerRev: missing");
   EXPECT_EQ(error_of([] { parse_rows(R"({"ledgerRev":433})"); }), "rows: missing");
@@ -730,64 +737,65 @@
 
 const std::string kAbleText = R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3})";
 
-Able able_of_host() {
-  Able able;
-  able.least = 1;
-  able.most = 4;
-  able.wants = 3;
-  able.incarnation = 42;
-  able.build = "0.3.0";
-  able.teams = 0xab;
-  return able;
+SupportedVersions able_of_host() {
+  SupportedVersions supported_versions;
+  supported_versions.least = 1;
+  supported_versions.most = 4;
+  supported_versions.wants = 3;
+  supported_versions.incarnation = 42;
+  supported_versions.build = "0.3.0";
+  supported_versions.teams = 0xab;
+  return supported_versions;
 }
 
 TEST(WireFormatState, RecordsOfTheRoster) {
-  auto able = able_of_host();
-  EXPECT_EQ(able_value(able), kAbleText);
-  EXPECT_EQ(parse_able(kAbleText), able);
-  able.teams = 0;
-  EXPECT_EQ(able_value(able), R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})");
-  EXPECT_EQ(parse_able(R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})"), able);
-  EXPECT_EQ(error_of([] { parse_able(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }), "least: not a level");
+  auto supported_versions = able_of_host();
+  EXPECT_EQ(supported_versions_value(supported_versions), kAbleText);
+  EXPECT_EQ(parse_supported_versions(kAbleText), supported_versions);
+  supported_versions.teams = 0;
+  EXPECT_EQ(supported_versions_value(supported_versions), R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})");
+  EXPECT_EQ(parse_supported_versions(R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})"), supported_versions);
+  EXPECT_EQ(error_of([] { parse_supported_versions(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }),
+            "least: not a level");
 }
 
 TEST(WireFormatState, RecordsOfTheLevel) {
-  LevelOn on;
-  on.level = 4;
-  EXPECT_EQ(level_value(on), R"({"level":4})");
-  EXPECT_EQ(parse_level(R"({"level":4})"), on);
-  on.towards = 3;
-  EXPECT_EQ(level_value(on), R"({"level":4,"towards":3})");
-  EXPECT_EQ(parse_level(R"({"level":4,"towards":3})"), on);
-  EXPECT_EQ(error_of([] { parse_level(R"({"level":0})"); }), "level: not a level");
+  ActiveVersion on;
+  on.format_version = 4;
+  EXPECT_EQ(active_version_value(on), R"({"level":4})");
+  EXPECT_EQ(parse_active_version(R"({"level":4})"), on);
+  on.downgrade_to = 3;
+  EXPECT_EQ(active_version_value(on), R"({"level":4,"towards":3})");
+  EXPECT_EQ(parse_active_version(R"({"level":4,"towards":3})"), on);
+  EXPECT_EQ(error_of([] { parse_active_version(R"({"level":0})"); }), "level: not a level");
 }
 
 TEST(WireFormatState, RecordsOfReadiness) {
-  Ready ready;
-  ready.level = 2;
+  VersionReadiness ready;
+  ready.format_version = 2;
   ready.at = 100.5;
-  EXPECT_EQ(ready_value(ready), R"({"at":100.5,"level":2})");
-  EXPECT_EQ(parse_ready(R"({"at":100.5,"level":2})"), ready);
-  EXPECT_EQ(error_of([] { parse_ready(R"({"at":100.5,"level":0})"); }), "level: not a level");
+  EXPECT_EQ(version_readiness_value(ready), R"({"at":100.5,"level":2})");
+  EXPECT_EQ(parse_version_readiness(R"({"at":100.5,"level":2})"), ready);
+  EXPECT_EQ(error_of([] { parse_version_readiness(R"({"at":100.5,"level":0})"); }), "level: not a level");
 }
 
 TEST(WireFormatState, LevelsOfThisBuild) {
-  EXPECT_EQ(rollout::kLeastLevel, 1u);
-  EXPECT_EQ(rollout::kMostLevel, 4u);
+  EXPECT_EQ(rollout::kMinFormatVersion, 1u);
+  EXPECT_EQ(rollout::kMaxFormatVersion, 4u);
   EXPECT_STREQ(rollout::kBuild, "0.3.0");
 }
 
-rollout::Look look_at_level(std::uint32_t level) {
-  rollout::Look look;
-  look.on.level = level;
-  look.on_stamp = level > 1 ? 77 : 0;
-  look.leader_stamp = 90;
-  return look;
+rollout::LeadershipSnapshot look_at_level(std::uint32_t format_version) {
+  rollout::LeadershipSnapshot snapshot;
+  snapshot.on.format_version = format_version;
+  snapshot.active_mod_revision = format_version > 1 ? 77 : 0;
+  snapshot.leader_mod_revision = 90;
+  return snapshot;
 }
 
 TEST(WireFormatState, TransactionsThatTakeTheLead) {
-  const auto body_at = [](std::uint32_t level) {
-    return rollout::take_lead(look_at_level(level), able_of_host(), leader_named("host-1", 42), 7)->body();
+  const auto body_at = [](std::uint32_t format_version) {
+    return rollout::acquire_leadership_step(look_at_level(format_version), able_of_host(), leader_named("host-1", 42), 7)->body();
   };
   EXPECT_EQ(body_at(1), R"({"if":[{"path":"leader","stamp":0},{"path":"lead-level","stamp":0}],"apply":[{"set":"leader",)"
                         R"("value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
@@ -796,8 +804,8 @@
 }
 
 TEST(WireFormatState, TransactionsThatRaiseTheEpoch) {
-  const auto body_at = [](std::uint32_t level) {
-    return rollout::raise_epoch(look_at_level(level).on, leader_named("host-1", 42), 90, 7).body();
+  const auto body_at = [](std::uint32_t format_version) {
+    return rollout::raise_token_step(look_at_level(format_version).on, leader_named("host-1", 42), 90, 7).body();
   };
   EXPECT_EQ(body_at(1),
             R"({"if":[{"path":"leader","stamp":90}],"apply":[{"set":"leader","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
@@ -806,33 +814,35 @@
 }
 
 TEST(WireFormatState, TransactionsThatLeaveTheLead) {
-  EXPECT_EQ(rollout::leave_lead(look_at_level(1)).body(), R"({"if":[{"path":"leader","stamp":90}],"apply":[{"remove":"leader"}]})");
-  EXPECT_EQ(rollout::leave_lead(look_at_level(4)).body(), R"({"if":[{"path":"lead","stamp":90}],"apply":[{"remove":"lead"}]})");
+  EXPECT_EQ(rollout::release_leadership_step(look_at_level(1)).body(),
+            R"({"if":[{"path":"leader","stamp":90}],"apply":[{"remove":"leader"}]})");
+  EXPECT_EQ(rollout::release_leadership_step(look_at_level(4)).body(),
+            R"({"if":[{"path":"lead","stamp":90}],"apply":[{"remove":"lead"}]})");
 }
 
 TEST(WireFormatState, TransactionsThatEnlistAController) {
-  EXPECT_EQ(rollout::enlist("host-1", able_of_host(), nullptr).body(),
+  EXPECT_EQ(rollout::registration_step("host-1", able_of_host(), nullptr).body(),
             R"({"if":[{"path":"roster/host-1","stamp":0}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
             R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
-  rollout::Known known;
-  known.stamp = 12;
-  EXPECT_EQ(rollout::enlist("host-1", able_of_host(), &known).body(),
+  rollout::RegisteredController known;
+  known.mod_revision = 12;
+  EXPECT_EQ(rollout::registration_step("host-1", able_of_host(), &known).body(),
             R"({"if":[{"path":"roster/host-1","stamp":12}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
             R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
 }
 
 // The next step of a leader at level 1 that is alone and may switch on level 3.
-rollout::Step next_step_of(const rollout::Look& look) {
-  rollout::Known known;
-  known.able = able_of_host();
-  known.stamp = 12;
-  rollout::Roster roster;
-  roster["host-1"] = known;
+rollout::Step next_step_of(const rollout::LeadershipSnapshot& snapshot) {
+  rollout::RegisteredController known;
+  known.supported_versions = able_of_host();
+  known.mod_revision = 12;
+  rollout::ControllerRegistry registry;
+  registry["host-1"] = known;
   rollout::Leading leading;
   leading.value = leader_named("host-1", 42);
-  leading.epoch = 90;
-  leading.hold = 7;
-  return rollout::next_step(look, roster, {"host-1"}, {}, leading, 200, 50);
+  leading.fencing_token = 90;
+  leading.session_lease = 7;
+  return rollout::next_step(snapshot, registry, {"host-1"}, {}, leading, 200, 50);
 }
 
 TEST(WireFormatState, ATransactionThatNotesReadiness) {
@@ -842,12 +852,12 @@
 }
 
 TEST(WireFormatState, ATransactionThatRaisesTheLevel) {
-  auto look = look_at_level(1);
-  look.ready_stamp = 80;
-  look.ready.emplace();
-  look.ready->level = 3;
-  look.ready->at = 100;
-  EXPECT_EQ(next_step_of(look).body(),
+  auto snapshot = look_at_level(1);
+  snapshot.readiness_mod_revision = 80;
+  snapshot.ready.emplace();
+  snapshot.ready->format_version = 3;
+  snapshot.ready->at = 100;
+  EXPECT_EQ(next_step_of(snapshot).body(),
             R"~({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":80},)~"
             R"~({"path":"roster/host-1","stamp":12}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7},)~"
             R"~({"set":"lead-level","value":{"level":3}},)~"
@@ -856,31 +866,31 @@
 
 // ---- ledger
 
-Submission described_job() {
+JobSpec described_job() {
   return parse_submission(kFullSubmission);
 }
-Submission least_job() {
+JobSpec least_job() {
   return parse_submission(kLeastSubmission);
 }
 
-AcceptRecord accept_record(const Submission& job) {
-  AcceptRecord r;
+JobAcceptedRecord accept_record(const JobSpec& job) {
+  JobAcceptedRecord r;
   r.job = job;
-  r.draw = 0.25;
+  r.random_draw = 0.25;
   r.at = 12.5;
   return r;
 }
 
-StartRecord start_record() {
-  StartRecord::NodeAssignment first;
-  first.host = "m-1";
-  first.tenure = 3;
+TasksStartedRecord start_record() {
+  TasksStartedRecord::NodeAssignment first;
+  first.node = "m-1";
+  first.agent_incarnation = 3;
   first.tasks = {range(0, 4), range(6, 7)};
-  StartRecord::NodeAssignment second;
-  second.host = "m-2";
-  second.tenure = 1;
+  TasksStartedRecord::NodeAssignment second;
+  second.node = "m-2";
+  second.agent_incarnation = 1;
   second.tasks = {range(4, 6)};
-  StartRecord r;
+  TasksStartedRecord r;
   r.uid = "j-1";
   r.attempt = 5;
   r.at = 13;
@@ -888,16 +898,16 @@
   return r;
 }
 
-DoneRecord done_record(double at) {
-  DoneRecord r;
+TasksCompletedRecord done_record(double at) {
+  TasksCompletedRecord r;
   r.uid = "j-1";
   r.tasks = {range(0, 1), range(3, 9)};
   r.at = at;
   return r;
 }
 
-OffRecord off_record(double failed_at) {
-  OffRecord r;
+TasksRemovedRecord off_record(double failed_at) {
+  TasksRemovedRecord r;
   r.uid = "j-1";
   r.attempt = 5;
   r.tasks = {range(1, 2)};
@@ -905,57 +915,57 @@
   return r;
 }
 
-CancelRecord cancel_record() {
-  CancelRecord r;
+JobCancelledRecord cancel_record() {
+  JobCancelledRecord r;
   r.uid = "j-1";
   return r;
 }
 
-FlavorsRecord flavors_record() {
-  Flavor big;
+MachineTypesRecord flavors_record() {
+  MachineType big;
   big.name = "big";
   big.capacity = resources(8, 2, 32);
-  big.cache_gb = 50;
-  big.fetch_gb_per_s = 1.5;
+  big.image_cache_gb = 50;
+  big.image_fetch_gb_per_s = 1.5;
   big.price = 3;
-  big.market_price = 0.5;
+  big.spot_price = 0.5;
   big.boot_s = 30;
-  big.yards = {"x", "y"};
-  Flavor small;
+  big.zones = {"x", "y"};
+  MachineType small;
   small.name = "small";
   small.capacity = resources(0.5, 0, 2);
-  FlavorsRecord r;
-  r.flavors = {big, small};
+  MachineTypesRecord r;
+  r.machine_types = {big, small};
   return r;
 }
 
-JobRecord job_record(JobStatus status) {
-  JobRecord r;
+JobSnapshotRecord snapshot_record(JobStatus status) {
+  JobSnapshotRecord r;
   r.accept = accept_record(least_job());
   r.status = status;
   r.attempts = 2;
   return r;
 }
 
-JobRecord split_job_record() {
-  auto r = job_record(JobStatus::queued);
+JobSnapshotRecord split_job_record() {
+  auto r = snapshot_record(JobStatus::queued);
   r.more = true;
   return r;
 }
-JobRecord suspect_job_record() {
-  auto r = job_record(JobStatus::queued);
+JobSnapshotRecord suspect_job_record() {
+  auto r = snapshot_record(JobStatus::queued);
   r.suspect = true;
   return r;
 }
 
-JobRecord running_job_record(double ready_at) {
-  JobRecord::PlacedTasks placed;
-  placed.host = "m-1";
-  placed.tenure = 3;
+JobSnapshotRecord running_job_record(double ready_at) {
+  JobSnapshotRecord::PlacedTasks placed;
+  placed.node = "m-1";
+  placed.agent_incarnation = 3;
   placed.attempt = 2;
   placed.at = 13.5;
   placed.tasks = {range(1, 3)};
-  auto r = job_record(JobStatus::running);
+  auto r = snapshot_record(JobStatus::running);
   r.done = {range(0, 1)};
   r.placed = {placed};
   r.from = 100;
@@ -965,39 +975,39 @@
   return r;
 }
 
-EndedRecord ended_record(JobStatus status) {
-  EndedRecord r;
+JobsEndedRecord ended_record(JobStatus status) {
+  JobsEndedRecord r;
   r.status = status;
   r.uids = {"j-2", "j-3"};
   return r;
 }
-EndedRecord ended_record_with_times() {
+JobsEndedRecord ended_record_with_times() {
   auto r = ended_record(JobStatus::done);
   r.done_at = {{1, 11.5}};
   return r;
 }
-EndedRecord ended_record_with_services() {
-  auto r = ended_record(JobStatus::aborted);
+JobsEndedRecord ended_record_with_services() {
+  auto r = ended_record(JobStatus::cancelled);
   r.services = {0};
   return r;
 }
 
-TeamTerms terms(double cores, double accelerators, double cores_max, double accelerators_max) {
-  TeamTerms out;
+TeamQuota quota(double cores, double accelerators, double cores_max, double accelerators_max) {
+  TeamQuota out;
   out.guarantee = resources(cores, accelerators, 0);
   out.limit = resources(cores_max, accelerators_max, 0);
   return out;
 }
 
-TeamRecord team_record() {
-  TeamRecord r;
+TeamQuotaRecord team_record() {
+  TeamQuotaRecord r;
   r.name = "red";
-  r.agreed = terms(8, 1, 16, 4);
-  r.proposed = terms(8, 1, 12, 4.5);
+  r.agreed = quota(8, 1, 16, 4);
+  r.proposed = quota(8, 1, 12, 4.5);
   return r;
 }
-TeamRecord leaving_team_record() {
-  TeamRecord r;
+TeamQuotaRecord leaving_team_record() {
+  TeamQuotaRecord r;
   r.name = "blue";
   r.leaving = true;
   return r;
@@ -1007,7 +1017,7 @@
 struct EncodedSample {
   Record record;
   std::string before_pipelines, with_pipelines;
-  [[nodiscard]] const std::string& at(std::uint32_t level) const { return level > 3 ? with_pipelines : before_pipelines; }
+  [[nodiscard]] const std::string& at(std::uint32_t format_version) const { return format_version > 3 ? with_pipelines : before_pipelines; }
 };
 EncodedSample sample(Record record, const std::string& before_pipelines, const std::string& with_pipelines) {
   EncodedSample out;
@@ -1048,9 +1058,9 @@
              R"("price":3.0,"ramGb":32.0,"sku":"big","yards":["x","y"]},)"
              R"({"accelerators":0.0,"bootS":0.0,"cacheGb":0.0,"cores":0.5,"fetchGbPerS":0.0,"marketPrice":0.0,"price":0.0,"ramGb":2.0,)"
              R"("sku":"small","yards":[]}]])"),
-      sample(job_record(JobStatus::queued), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,false])"),
-      sample(job_record(JobStatus::done), R"(["job",)" + kAcceptOfLeastJob + R"(,"done",2,[],[],0,false,false])"),
-      sample(job_record(JobStatus::aborted), R"(["job",)" + kAcceptOfLeastJob + R"(,"aborted",2,[],[],0,false,false])"),
+      sample(snapshot_record(JobStatus::queued), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,false])"),
+      sample(snapshot_record(JobStatus::done), R"(["job",)" + kAcceptOfLeastJob + R"(,"done",2,[],[],0,false,false])"),
+      sample(snapshot_record(JobStatus::cancelled), R"(["job",)" + kAcceptOfLeastJob + R"(,"aborted",2,[],[],0,false,false])"),
       sample(split_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,true,false])"),
       sample(suspect_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,true])"),
       sample(running_job_record(0), R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])"),
@@ -1067,9 +1077,9 @@
 const std::string kEntryOfLevelFour = R"({"level":4,"generation":3,"check":"2fefa7fe74797301","before":"0123456789abcdef",)"
                                       R"("n":31,"first":24,"seq":7,"records":[["cancel","j-1"]]})";
 
-EntryHead head_at(std::uint32_t level) {
+EntryHead head_at(std::uint32_t format_version) {
   EntryHead head;
-  head.level = level;
+  head.format_version = format_version;
   head.generation = 3;
   head.seq = 7;
   head.previous_link = 0x0123456789abcdef;
@@ -1082,25 +1092,25 @@
   std::string text;
   std::uint64_t digest = 0;
   for (const auto& record : records) {
-    const auto encoded = encode_record(record, head.level);
+    const auto encoded = encode_record(record, head.format_version);
     if (!text.empty()) text += ',';
     text += encoded.text;
     digest = digest_with_record(digest, encoded);
   }
   return entry_value(head, text, digest);
 }
-std::string entry_of_samples(std::uint32_t level) {
+std::string entry_of_samples(std::uint32_t format_version) {
   std::vector<Record> records;
   for (const auto& s : samples()) records.push_back(s.record);
-  return entry_of(records, head_at(level));
+  return entry_of(records, head_at(format_version));
 }
 
 // The pinned texts of all samples, behind a pinned head.
-std::string pinned_entry(const std::string& head, std::uint32_t level) {
+std::string pinned_entry(const std::string& head, std::uint32_t format_version) {
   std::string out = head;
   const char* separator = "";
   for (const auto& s : samples()) {
-    out += separator + s.at(level);
+    out += separator + s.at(format_version);
     separator = ",";
   }
   return out + "]}";
@@ -1166,21 +1176,22 @@
   head.first_needed = 0;
   EXPECT_EQ(entry_of({}, head),
             R"({"level":2,"generation":3,"check":"97f253d3b4f680fe","before":"0123456789abcdef","seq":7,"records":[]})");
-  head.level = 4;
+  head.format_version = 4;
   EXPECT_EQ(entry_of({}, head), R"({"level":4,"generation":3,"check":"296051857a980392","before":"0123456789abcdef",)"
                                 R"("n":31,"first":0,"seq":7,"records":[]})");
 }
 
 // All kinds of records behind each level's head, in both directions.
-void expect_entry_of_samples(std::uint32_t level, const std::string& head_text) {
-  const auto value = pinned_entry(head_text, level);
-  EXPECT_EQ(entry_of_samples(level), value);
+void expect_entry_of_samples(std::uint32_t format_version, const std::string& head_text) {
+  const auto value = pinned_entry(head_text, format_version);
+  EXPECT_EQ(entry_of_samples(format_version), value);
   const auto entry = parse_entry(value);
-  EXPECT_EQ(entry.level, level);
+  EXPECT_EQ(entry.format_version, format_version);
   EXPECT_EQ(entry.seq, 7u);
   const auto expected = samples();
   ASSERT_EQ(entry.records.size(), expected.size());
-  for (std::size_t i = 0; i < expected.size(); ++i) EXPECT_EQ(encode_record(entry.records[i], level).text, expected[i].at(level));
+  for (std::size_t i = 0; i < expected.size(); ++i)
+    EXPECT_EQ(encode_record(entry.records[i], format_version).text, expected[i].at(format_version));
 }
 
 TEST(WireFormatLedger, EntriesOfLevelOneComeBack) {
@@ -1201,7 +1212,7 @@
 
 TEST(WireFormatLedger, TheHeadOfAnEntryIsReadFieldByField) {
   const auto entry = parse_entry(kEntryOfLevelFour);
-  EXPECT_EQ(entry.level, 4u);
+  EXPECT_EQ(entry.format_version, 4u);
   EXPECT_EQ(entry.generation, 3u);
   EXPECT_EQ(entry.seq, 7u);
   EXPECT_EQ(digest_text(entry.previous_link), "0123456789abcdef");
@@ -1209,12 +1220,12 @@
   EXPECT_EQ(entry.first_needed, 24u);
   EXPECT_EQ(digest_text(entry.check), "2fefa7fe74797301");
   ASSERT_EQ(entry.records.size(), 1u);
-  EXPECT_EQ(std::get<CancelRecord>(entry.records[0]).uid, "j-1");
+  EXPECT_EQ(std::get<JobCancelledRecord>(entry.records[0]).uid, "j-1");
 }
 
 TEST(WireFormatLedger, TheHeadOfAnEntryOfLevelOneHasNothingButItsNumberOfCommit) {
   const auto entry = parse_entry(R"({"seq":7,"records":[]})");
-  EXPECT_EQ(entry.level, 1u);
+  EXPECT_EQ(entry.format_version, 1u);
   EXPECT_EQ(entry.generation, 0u);
   EXPECT_EQ(entry.seq, 7u);
   EXPECT_EQ(entry.previous_link, 0u);
@@ -1224,91 +1235,91 @@
 }
 
 TEST(WireFormatLedger, AcceptRecordsAreReadFieldByField) {
-  const auto r = read_back<AcceptRecord>(accept_record(described_job()));
-  EXPECT_EQ(r.draw, 0.25);
+  const auto r = read_back<JobAcceptedRecord>(accept_record(described_job()));
+  EXPECT_EQ(r.random_draw, 0.25);
   EXPECT_EQ(r.at, 12.5);
   EXPECT_EQ(r.job.uid, "j-000412");
   EXPECT_EQ(r.job.job_class, "train");
   EXPECT_EQ(r.job.owner, "vision");
-  EXPECT_EQ(r.job.shape, Shape::group);
-  EXPECT_EQ(r.job.rank, Rank::high);
+  EXPECT_EQ(r.job.job_type, JobType::gang);
+  EXPECT_EQ(r.job.priority, Priority::high);
   EXPECT_EQ(r.job.task_count, 16u);
   EXPECT_EQ(r.job.demand, resources(8, 1, 64));
-  EXPECT_EQ(r.job.bundle, "img-07");
-  EXPECT_EQ(r.job.pull_gb, 6.2);
-  EXPECT_EQ(r.job.host_kinds, (std::vector<std::string>{"g8", "g16"}));
-  EXPECT_EQ(r.job.yard, "a");
-  EXPECT_TRUE(r.job.one_zone);
+  EXPECT_EQ(r.job.image, "img-07");
+  EXPECT_EQ(r.job.image_gb, 6.2);
+  EXPECT_EQ(r.job.machine_types, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(r.job.zone, "a");
+  EXPECT_TRUE(r.job.single_zone);
   EXPECT_TRUE(r.job.spread);
-  EXPECT_TRUE(r.job.loaners);
-  EXPECT_EQ(r.job.expected_s, 240);
-  EXPECT_EQ(r.job.snapshot_every_s, 30);
-  EXPECT_EQ(r.job.snapshot_s, 4);
-  EXPECT_EQ(r.job.due_s, 900);
-  EXPECT_EQ(r.job.waits_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+  EXPECT_TRUE(r.job.allows_spot);
+  EXPECT_EQ(r.job.estimated_run_s, 240);
+  EXPECT_EQ(r.job.checkpoint_interval_s, 30);
+  EXPECT_EQ(r.job.checkpoint_duration_s, 4);
+  EXPECT_EQ(r.job.deadline_s, 900);
+  EXPECT_EQ(r.job.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
 }
 
 TEST(WireFormatLedger, StartRecordsAreReadFieldByField) {
-  const auto r = read_text<StartRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
+  const auto r = read_text<TasksStartedRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
   EXPECT_EQ(r.uid, "j-1");
   EXPECT_EQ(r.attempt, 5u);
   EXPECT_EQ(r.at, 13);
   ASSERT_EQ(r.assignments.size(), 2u);
-  EXPECT_EQ(r.assignments[0].host, "m-1");
-  EXPECT_EQ(r.assignments[0].tenure, 3u);
-  EXPECT_EQ(r.assignments[0].tasks, (Ranges{range(0, 4), range(6, 7)}));
-  EXPECT_EQ(r.assignments[1].host, "m-2");
+  EXPECT_EQ(r.assignments[0].node, "m-1");
+  EXPECT_EQ(r.assignments[0].agent_incarnation, 3u);
+  EXPECT_EQ(r.assignments[0].tasks, (TaskRanges{range(0, 4), range(6, 7)}));
+  EXPECT_EQ(r.assignments[1].node, "m-2");
 }
 
 TEST(WireFormatLedger, DoneRecordsAreReadFieldByField) {
-  const auto r = read_text<DoneRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
+  const auto r = read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
   EXPECT_EQ(r.uid, "j-1");
-  EXPECT_EQ(r.tasks, (Ranges{range(0, 1), range(3, 9)}));
+  EXPECT_EQ(r.tasks, (TaskRanges{range(0, 1), range(3, 9)}));
   EXPECT_EQ(r.at, 14.5);
-  EXPECT_EQ(read_text<DoneRecord>(R"(["done","j-1",[0,1]])").at, 0);
+  EXPECT_EQ(read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1]])").at, 0);
 }
 
 TEST(WireFormatLedger, OffRecordsAreReadFieldByField) {
-  const auto r = read_text<OffRecord>(R"(["off","j-1",5,[1,2],14.5])");
+  const auto r = read_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2],14.5])");
   EXPECT_EQ(r.uid, "j-1");
   EXPECT_EQ(r.attempt, 5u);
-  EXPECT_EQ(r.tasks, (Ranges{range(1, 2)}));
+  EXPECT_EQ(r.tasks, (TaskRanges{range(1, 2)}));
   EXPECT_EQ(r.failed_at, 14.5);
-  EXPECT_EQ(read_text<OffRecord>(R"(["off","j-1",5,[1,2]])").failed_at, 0);
+  EXPECT_EQ(read_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2]])").failed_at, 0);
 }
 
 TEST(WireFormatLedger, CancelRecordsAreReadFieldByField) {
-  EXPECT_EQ(read_text<CancelRecord>(R"(["cancel","j-1"])").uid, "j-1");
+  EXPECT_EQ(read_text<JobCancelledRecord>(R"(["cancel","j-1"])").uid, "j-1");
 }
 
 TEST(WireFormatLedger, FlavorsRecordsAreReadFieldByField) {
-  const auto r = read_back<FlavorsRecord>(flavors_record());
-  ASSERT_EQ(r.flavors.size(), 2u);
-  EXPECT_EQ(r.flavors[0].name, "big");
-  EXPECT_EQ(r.flavors[0].capacity, resources(8, 2, 32));
-  EXPECT_EQ(r.flavors[0].cache_gb, 50);
-  EXPECT_EQ(r.flavors[0].fetch_gb_per_s, 1.5);
-  EXPECT_EQ(r.flavors[0].price, 3);
-  EXPECT_EQ(r.flavors[0].market_price, 0.5);
-  EXPECT_EQ(r.flavors[0].boot_s, 30);
-  EXPECT_EQ(r.flavors[0].yards, (std::vector<std::string>{"x", "y"}));
-  EXPECT_EQ(r.flavors[1].name, "small");
+  const auto r = read_back<MachineTypesRecord>(flavors_record());
+  ASSERT_EQ(r.machine_types.size(), 2u);
+  EXPECT_EQ(r.machine_types[0].name, "big");
+  EXPECT_EQ(r.machine_types[0].capacity, resources(8, 2, 32));
+  EXPECT_EQ(r.machine_types[0].image_cache_gb, 50);
+  EXPECT_EQ(r.machine_types[0].image_fetch_gb_per_s, 1.5);
+  EXPECT_EQ(r.machine_types[0].price, 3);
+  EXPECT_EQ(r.machine_types[0].spot_price, 0.5);
+  EXPECT_EQ(r.machine_types[0].boot_s, 30);
+  EXPECT_EQ(r.machine_types[0].zones, (std::vector<std::string>{"x", "y"}));
+  EXPECT_EQ(r.machine_types[1].name, "small");
 }
 
 TEST(WireFormatLedger, JobRecordsAreReadFieldByField) {
-  const auto r = read_back<JobRecord>(running_job_record(14.5));
+  const auto r = read_back<JobSnapshotRecord>(running_job_record(14.5));
   EXPECT_EQ(r.accept.job.uid, "j-1");
-  EXPECT_EQ(r.accept.draw, 0.25);
+  EXPECT_EQ(r.accept.random_draw, 0.25);
   EXPECT_EQ(r.accept.at, 12.5);
   EXPECT_EQ(r.status, JobStatus::running);
   EXPECT_EQ(r.attempts, 2u);
-  EXPECT_EQ(r.done, (Ranges{range(0, 1)}));
+  EXPECT_EQ(r.done, (TaskRanges{range(0, 1)}));
   ASSERT_EQ(r.placed.size(), 1u);
-  EXPECT_EQ(r.placed[0].host, "m-1");
-  EXPECT_EQ(r.placed[0].tenure, 3u);
+  EXPECT_EQ(r.placed[0].node, "m-1");
+  EXPECT_EQ(r.placed[0].agent_incarnation, 3u);
   EXPECT_EQ(r.placed[0].attempt, 2u);
   EXPECT_EQ(r.placed[0].at, 13.5);
-  EXPECT_EQ(r.placed[0].tasks, (Ranges{range(1, 3)}));
+  EXPECT_EQ(r.placed[0].tasks, (TaskRanges{range(1, 3)}));
   EXPECT_EQ(r.from, 100u);
   EXPECT_TRUE(r.more);
   EXPECT_TRUE(r.suspect);
@@ -1316,30 +1327,30 @@
 }
 
 TEST(WireFormatLedger, FlagsOfJobRecordsAreReadByThemselves) {
-  EXPECT_TRUE(read_back<JobRecord>(split_job_record()).more);
-  EXPECT_FALSE(read_back<JobRecord>(split_job_record()).suspect);
-  EXPECT_FALSE(read_back<JobRecord>(suspect_job_record()).more);
-  EXPECT_TRUE(read_back<JobRecord>(suspect_job_record()).suspect);
+  EXPECT_TRUE(read_back<JobSnapshotRecord>(split_job_record()).more);
+  EXPECT_FALSE(read_back<JobSnapshotRecord>(split_job_record()).suspect);
+  EXPECT_FALSE(read_back<JobSnapshotRecord>(suspect_job_record()).more);
+  EXPECT_TRUE(read_back<JobSnapshotRecord>(suspect_job_record()).suspect);
 }
 
 TEST(WireFormatLedger, EndedRecordsAreReadFieldByField) {
-  const auto done = read_text<EndedRecord>(R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]],"services":[0]}])");
+  const auto done = read_text<JobsEndedRecord>(R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]],"services":[0]}])");
   EXPECT_EQ(done.status, JobStatus::done);
   EXPECT_EQ(done.uids, (std::vector<std::string>{"j-2", "j-3"}));
   ASSERT_EQ(done.done_at.size(), 1u);
   EXPECT_EQ(done.done_at[0].first, 1u);
   EXPECT_EQ(done.done_at[0].second, 11.5);
   EXPECT_EQ(done.services, (std::vector<std::uint32_t>{0}));
-  EXPECT_EQ(read_text<EndedRecord>(R"(["ended","aborted",["j-4"]])").status, JobStatus::aborted);
+  EXPECT_EQ(read_text<JobsEndedRecord>(R"(["ended","aborted",["j-4"]])").status, JobStatus::cancelled);
 }
 
 TEST(WireFormatLedger, TeamRecordsAreReadFieldByField) {
-  const auto r = read_text<TeamRecord>(R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],true])");
+  const auto r = read_text<TeamQuotaRecord>(R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],true])");
   EXPECT_EQ(r.name, "red");
-  EXPECT_EQ(r.agreed, terms(8, 1, 16, 4));
-  EXPECT_EQ(r.proposed, terms(8, 1, 12, 4.5));
+  EXPECT_EQ(r.agreed, quota(8, 1, 16, 4));
+  EXPECT_EQ(r.proposed, quota(8, 1, 12, 4.5));
   EXPECT_TRUE(r.leaving);
-  EXPECT_EQ(read_text<TeamRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
+  EXPECT_EQ(read_text<TeamQuotaRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
 }
 
 TEST(WireFormatLedger, AnEntryThatCannotBeReadNamesTheReason) {
@@ -1357,20 +1368,20 @@
   EXPECT_EQ(page.revision, 433u);
   ASSERT_EQ(page.rows.size(), 2u);
   EXPECT_EQ(page.rows[0].key, "ledger/000000000001");
-  EXPECT_EQ(page.rows[0].stamp, 430u);
+  EXPECT_EQ(page.rows[0].mod_revision, 430u);
   EXPECT_EQ(page.rows[0].error, "");
   EXPECT_EQ(page.rows[0].entry.seq, 7u);
   ASSERT_EQ(page.rows[0].entry.records.size(), 1u);
-  EXPECT_EQ(std::get<CancelRecord>(page.rows[0].entry.records[0]).uid, "j-1");
+  EXPECT_EQ(std::get<JobCancelledRecord>(page.rows[0].entry.records[0]).uid, "j-1");
   EXPECT_EQ(page.rows[1].error, "records: missing");
 }
 
 // ---- controllers
 
 TEST(WireFormatControllers, Targets) {
-  EXPECT_STREQ(kIntakeTarget, "/intake");
-  EXPECT_STREQ(kAbleTarget, "/levels");
-  EXPECT_STREQ(kTeamsTarget, "/teams");
+  EXPECT_STREQ(kRelaySupportTarget, "/intake");
+  EXPECT_STREQ(kSupportedVersionsTarget, "/levels");
+  EXPECT_STREQ(kTeamQuotasTarget, "/teams");
 }
 
 // What a frame looks like on a connection: length, version and kind, then the payload.
@@ -1401,41 +1412,41 @@
 constexpr std::string_view kBeatBytes = "01 0900000000000000070000000000000006000000686f73742d310500000000000000d20400000000000006000000";
 
 TEST(WireFormatControllers, BeatIsPackedAndUnpacked) {
-  Beat beat;
-  beat.label = "host-1";
-  beat.epoch = 9;
-  beat.takeover_epoch = 7;
-  beat.echoed_process = 5;
-  beat.echoed_clock_ms = 1234;
-  beat.owed_ms = 6;
-  EXPECT_EQ(hex_of(pack(beat)), kBeatBytes);
-  const auto read = unpack_beat(frame_of(kBeatBytes));
+  PeerHeartbeat peer_heartbeat;
+  peer_heartbeat.label = "host-1";
+  peer_heartbeat.fencing_token = 9;
+  peer_heartbeat.takeover_token = 7;
+  peer_heartbeat.echoed_process = 5;
+  peer_heartbeat.echoed_clock_ms = 1234;
+  peer_heartbeat.oldest_cancellation_age_ms = 6;
+  EXPECT_EQ(hex_of(pack(peer_heartbeat)), kBeatBytes);
+  const auto read = unpack_peer_heartbeat(frame_of(kBeatBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->label, "host-1");
-  EXPECT_EQ(read->epoch, 9u);
-  EXPECT_EQ(read->takeover_epoch, 7u);
+  EXPECT_EQ(read->fencing_token, 9u);
+  EXPECT_EQ(read->takeover_token, 7u);
   EXPECT_EQ(read->echoed_process, 5u);
   EXPECT_EQ(read->echoed_clock_ms, 1234u);
-  EXPECT_EQ(read->owed_ms, 6u);
+  EXPECT_EQ(read->oldest_cancellation_age_ms, 6u);
 }
 
 constexpr std::string_view kBeatAckBytes = "02 090000000000000006000000686f73742d310500000000000000d20400000000000006000000";
 
 TEST(WireFormatControllers, AnswerToABeatIsPackedAndUnpacked) {
-  BeatAck ack;
-  ack.epoch = 9;
+  PeerHeartbeatAck ack;
+  ack.fencing_token = 9;
   ack.leader = "host-1";
   ack.process = 5;
   ack.clock_ms = 1234;
-  ack.kept_ms_ago = 6;
+  ack.last_renewal_age_ms = 6;
   EXPECT_EQ(hex_of(pack(ack)), kBeatAckBytes);
-  const auto read = unpack_ack(frame_of(kBeatAckBytes));
+  const auto read = unpack_peer_heartbeat_ack(frame_of(kBeatAckBytes));
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->epoch, 9u);
+  EXPECT_EQ(read->fencing_token, 9u);
   EXPECT_EQ(read->leader, "host-1");
   EXPECT_EQ(read->process, 5u);
   EXPECT_EQ(read->clock_ms, 1234u);
-  EXPECT_EQ(read->kept_ms_ago, 6u);
+  EXPECT_EQ(read->last_renewal_age_ms, 6u);
 }
 
 constexpr std::string_view kCallBytes = "03 04000000504f5354080000002f76312f6a6f6273020000007b7d";
@@ -1484,14 +1495,14 @@
   EXPECT_EQ(read->valid_until, std::numeric_limits<double>::infinity());
 }
 
-ReportedPiece reported_piece(const std::string& uid, std::uint32_t task, Phase phase, Cause cause, bool kept) {
-  ReportedPiece piece;
-  piece.id = piece_id(uid, task);
-  piece.attempt = 2;
-  piece.phase = phase;
-  piece.cause = cause;
-  piece.checkpointed = kept;
-  return piece;
+TaskReport reported_piece(const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason, bool kept) {
+  TaskReport task_report;
+  task_report.id = piece_id(uid, task);
+  task_report.attempt = 2;
+  task_report.phase = phase;
+  task_report.exit_reason = exit_reason;
+  task_report.checkpointed = kept;
+  return task_report;
 }
 
 AttemptKey attempt_key(const std::string& uid, std::uint32_t task, std::uint64_t attempt) {
@@ -1501,85 +1512,86 @@
   return key;
 }
 
-ReportDelta delta_of(ReportDelta::Kind kind) {
-  ReportDelta delta;
+HeartbeatDelta delta_of(HeartbeatDelta::Kind kind) {
+  HeartbeatDelta delta;
   delta.kind = kind;
-  delta.host = "m-1";
-  delta.tenure = 1;
+  delta.node = "m-1";
+  delta.agent_incarnation = 1;
   delta.serial = 88;
-  delta.epoch = 41;
+  delta.fencing_token = 41;
   return delta;
 }
 
-ReportDelta whole_delta() {
-  auto delta = delta_of(ReportDelta::Kind::whole);
-  delta.recall_s = 61.5;
+HeartbeatDelta whole_delta() {
+  auto delta = delta_of(HeartbeatDelta::Kind::whole);
+  delta.interruption_in_s = 61.5;
   delta.address = "10.1.0.2:9000";
   delta.machine_type = "g8";
-  delta.yard = "a";
-  delta.loaner = true;
-  delta.tasks = {reported_piece("j-1", 3, Phase::running, Cause::none, false),
-                 reported_piece("j-2", 0, Phase::exited, Cause::halted, true)};
+  delta.zone = "a";
+  delta.spot = true;
+  delta.tasks = {reported_piece("j-1", 3, TaskPhase::running, ExitReason::none, false),
+                 reported_piece("j-2", 0, TaskPhase::exited, ExitReason::stopped, true)};
   return delta;
 }
-ReportDelta difference_delta() {
-  auto delta = delta_of(ReportDelta::Kind::difference);
+HeartbeatDelta difference_delta() {
+  auto delta = delta_of(HeartbeatDelta::Kind::difference);
   delta.base_serial = 87;
-  delta.loaner = true;
-  delta.tasks = {reported_piece("j-1", 3, Phase::saving, Cause::none, false)};
+  delta.spot = true;
+  delta.tasks = {reported_piece("j-1", 3, TaskPhase::checkpointing, ExitReason::none, false)};
   delta.removed = {attempt_key("j-2", 0, 1), attempt_key("j-3", 7, 4)};
   return delta;
 }
-ReportDelta unchanged_delta() {
-  auto delta = delta_of(ReportDelta::Kind::unchanged);
+HeartbeatDelta unchanged_delta() {
+  auto delta = delta_of(HeartbeatDelta::Kind::unchanged);
   delta.base_serial = 86;
-  delta.recall_s = 0.25;
+  delta.interruption_in_s = 0.25;
   return delta;
 }
 
-IntakeBatch batch_of(const std::vector<ReportDelta>& reports) {
-  IntakeBatch batch;
+HeartbeatBatch batch_of(const std::vector<HeartbeatDelta>& heartbeats) {
+  HeartbeatBatch batch;
   batch.sender = "host-2";
-  batch.takeover_epoch = 7;
+  batch.takeover_token = 7;
   batch.worker_count = 300;
-  batch.reports = reports;
+  batch.heartbeats = heartbeats;
   return batch;
 }
 
 // The only report of a batch, read from its bytes.
-ReportDelta only_report(std::string_view hex) {
-  const auto batch = unpack_intake_batch(frame_of(hex));
-  EXPECT_TRUE(batch && batch->reports.size() == 1);
-  return batch ? batch->reports.at(0) : ReportDelta{};
+HeartbeatDelta only_report(std::string_view hex) {
+  const auto batch = unpack_heartbeat_batch(frame_of(hex));
+  EXPECT_TRUE(batch && batch->heartbeats.size() == 1);
+  return batch ? batch->heartbeats.at(0) : HeartbeatDelta{};
 }
 
-void expect_piece(const ReportedPiece& piece, const std::string& uid, std::uint32_t task, Phase phase, Cause cause, bool kept) {
-  EXPECT_EQ(piece.id.uid, uid);
-  EXPECT_EQ(piece.id.task, task);
-  EXPECT_EQ(piece.attempt, 2u);
-  EXPECT_EQ(piece.phase, phase);
-  EXPECT_EQ(piece.cause, cause);
-  EXPECT_EQ(piece.checkpointed, kept);
+void expect_piece(const TaskReport& task_report, const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason,
+                  bool kept) {
+  EXPECT_EQ(task_report.id.uid, uid);
+  EXPECT_EQ(task_report.id.task, task);
+  EXPECT_EQ(task_report.attempt, 2u);
+  EXPECT_EQ(task_report.phase, phase);
+  EXPECT_EQ(task_report.exit_reason, exit_reason);
+  EXPECT_EQ(task_report.checkpointed, kept);
 }
 
-void expect_head(const ReportDelta& delta, ReportDelta::Kind kind) {
+void expect_head(const HeartbeatDelta& delta, HeartbeatDelta::Kind kind) {
   EXPECT_EQ(delta.kind, kind);
-  EXPECT_EQ(delta.host, "m-1");
-  EXPECT_EQ(delta.tenure, 1u);
+  EXPECT_EQ(delta.node, "m-1");
+  EXPECT_EQ(delta.agent_incarnation, 1u);
   EXPECT_EQ(delta.serial, 88u);
-  EXPECT_EQ(delta.epoch, 41u);
+  EXPECT_EQ(delta.fencing_token, 41u);
 }
 
 constexpr std::string_view kEmptyBatchBytes = "05 0106000000686f73742d3207000000000000002c01000000000000";
 
 TEST(WireFormatControllers, BatchOfNoReportsIsPackedAndUnpacked) {
   EXPECT_EQ(hex_of(pack(batch_of({}))), kEmptyBatchBytes);
-  const auto batch = unpack_intake_batch(frame_of(kEmptyBatchBytes));
+  const auto batch = unpack_heartbeat_batch(frame_of(kEmptyBatchBytes));
   ASSERT_TRUE(batch);
   EXPECT_EQ(batch->sender, "host-2");
-  EXPECT_EQ(batch->takeover_epoch, 7u);
+  EXPECT_EQ(batch->takeover_token, 7u);
   EXPECT_EQ(batch->worker_count, 300u);
-  EXPECT_TRUE(batch->reports.empty());
+  EXPECT_TRUE(batch->heartbeats.empty());
 }
 
 constexpr std::string_view kWholeBytes =
@@ -1591,16 +1603,16 @@
 TEST(WireFormatControllers, WholeReportIsPackedAndUnpacked) {
   EXPECT_EQ(hex_of(pack(batch_of({whole_delta()}))), kWholeBytes);
   const auto delta = only_report(kWholeBytes);
-  expect_head(delta, ReportDelta::Kind::whole);
-  EXPECT_EQ(delta.recall_s, 61.5);
+  expect_head(delta, HeartbeatDelta::Kind::whole);
+  EXPECT_EQ(delta.interruption_in_s, 61.5);
   EXPECT_EQ(delta.base_serial, 0u);
   EXPECT_EQ(delta.address, "10.1.0.2:9000");
   EXPECT_EQ(delta.machine_type, "g8");
-  EXPECT_EQ(delta.yard, "a");
-  EXPECT_TRUE(delta.loaner);
+  EXPECT_EQ(delta.zone, "a");
+  EXPECT_TRUE(delta.spot);
   ASSERT_EQ(delta.tasks.size(), 2u);
-  expect_piece(delta.tasks[0], "j-1", 3, Phase::running, Cause::none, false);
-  expect_piece(delta.tasks[1], "j-2", 0, Phase::exited, Cause::halted, true);
+  expect_piece(delta.tasks[0], "j-1", 3, TaskPhase::running, ExitReason::none, false);
+  expect_piece(delta.tasks[1], "j-2", 0, TaskPhase::exited, ExitReason::stopped, true);
   EXPECT_TRUE(delta.removed.empty());
 }
 
@@ -1613,13 +1625,13 @@
 TEST(WireFormatControllers, DifferenceToAReportIsPackedAndUnpacked) {
   EXPECT_EQ(hex_of(pack(batch_of({difference_delta()}))), kDifferenceBytes);
   const auto delta = only_report(kDifferenceBytes);
-  expect_head(delta, ReportDelta::Kind::difference);
-  EXPECT_EQ(delta.recall_s, std::nullopt);
+  expect_head(delta, HeartbeatDelta::Kind::difference);
+  EXPECT_EQ(delta.interruption_in_s, std::nullopt);
   EXPECT_EQ(delta.base_serial, 87u);
   EXPECT_EQ(delta.address, "");
-  EXPECT_TRUE(delta.loaner);
+  EXPECT_TRUE(delta.spot);
   ASSERT_EQ(delta.tasks.size(), 1u);
-  expect_piece(delta.tasks[0], "j-1", 3, Phase::saving, Cause::none, false);
+  expect_piece(delta.tasks[0], "j-1", 3, TaskPhase::checkpointing, ExitReason::none, false);
   ASSERT_EQ(delta.removed.size(), 2u);
   EXPECT_EQ(delta.removed[0].id.uid, "j-2");
   EXPECT_EQ(delta.removed[0].id.task, 0u);
@@ -1637,10 +1649,10 @@
 TEST(WireFormatControllers, UnchangedReportIsPackedAndUnpacked) {
   EXPECT_EQ(hex_of(pack(batch_of({unchanged_delta()}))), kUnchangedBytes);
   const auto delta = only_report(kUnchangedBytes);
-  expect_head(delta, ReportDelta::Kind::unchanged);
-  EXPECT_EQ(delta.recall_s, 0.25);
+  expect_head(delta, HeartbeatDelta::Kind::unchanged);
+  EXPECT_EQ(delta.interruption_in_s, 0.25);
   EXPECT_EQ(delta.base_serial, 86u);
-  EXPECT_FALSE(delta.loaner);
+  EXPECT_FALSE(delta.spot);
   EXPECT_TRUE(delta.tasks.empty());
 }
 
@@ -1654,17 +1666,26 @@
 
 TEST(WireFormatControllers, BatchHoldsReportsOfAllKindsOneBehindTheOther) {
   EXPECT_EQ(hex_of(pack(batch_of({whole_delta(), difference_delta(), unchanged_delta()}))), kMixedBytes);
-  const auto batch = unpack_intake_batch(frame_of(kMixedBytes));
+  const auto batch = unpack_heartbeat_batch(frame_of(kMixedBytes));
   ASSERT_TRUE(batch);
-  ASSERT_EQ(batch->reports.size(), 3u);
-  expect_head(batch->reports[0], ReportDelta::Kind::whole);
-  expect_head(batch->reports[1], ReportDelta::Kind::difference);
-  expect_head(batch->reports[2], ReportDelta::Kind::unchanged);
-}
-
-const std::vector<Phase> kPhasesInOrder{Phase::pulling, Phase::gathering, Phase::running, Phase::saving, Phase::exited};
-const std::vector<Cause> kCausesInOrder{Cause::none,  Cause::done,    Cause::halted, Cause::peers,   Cause::alone,
-                                        Cause::error, Cause::no_room, Cause::busy,   Cause::unknown, Cause::lost};
+  ASSERT_EQ(batch->heartbeats.size(), 3u);
+  expect_head(batch->heartbeats[0], HeartbeatDelta::Kind::whole);
+  expect_head(batch->heartbeats[1], HeartbeatDelta::Kind::difference);
+  expect_head(batch->heartbeats[2], HeartbeatDelta::Kind::unchanged);
+}
+
+const std::vector<TaskPhase> kPhasesInOrder{TaskPhase::pulling_image, TaskPhase::waiting_for_gang, TaskPhase::running,
+                                            TaskPhase::checkpointing, TaskPhase::exited};
+const std::vector<ExitReason> kCausesInOrder{ExitReason::none,
+                                             ExitReason::completed,
+                                             ExitReason::stopped,
+                                             ExitReason::gang_member_lost,
+                                             ExitReason::gang_incomplete,
+                                             ExitReason::failed,
+                                             ExitReason::insufficient_resources,
+                                             ExitReason::duplicate_attempt,
+                                             ExitReason::unknown_task,
+                                             ExitReason::node_lost};
 constexpr std::string_view kPhasesAndCausesBytes =
     "05 "
     "0106000000686f73742d3207000000000000002c0100000100000002030000006d2d310100000000000000580000000000000029000000000000000200000000570000"
@@ -1679,17 +1700,17 @@
   auto delta = difference_delta();
   delta.tasks.clear();
   delta.removed.clear();
-  for (const auto phase : kPhasesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, phase, Cause::none, false));
-  for (const auto cause : kCausesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, Phase::exited, cause, false));
+  for (const auto phase : kPhasesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, phase, ExitReason::none, false));
+  for (const auto exit_reason : kCausesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, TaskPhase::exited, exit_reason, false));
   EXPECT_EQ(hex_of(pack(batch_of({delta}))), kPhasesAndCausesBytes);
-  const auto pieces = only_report(kPhasesAndCausesBytes).tasks;
-  ASSERT_EQ(pieces.size(), kPhasesInOrder.size() + kCausesInOrder.size());
-  for (std::size_t i = 0; i < kPhasesInOrder.size(); ++i) EXPECT_EQ(pieces[i].phase, kPhasesInOrder[i]) << i;
-  for (std::size_t i = 0; i < kCausesInOrder.size(); ++i) EXPECT_EQ(pieces[kPhasesInOrder.size() + i].cause, kCausesInOrder[i]) << i;
+  const auto tasks = only_report(kPhasesAndCausesBytes).tasks;
+  ASSERT_EQ(tasks.size(), kPhasesInOrder.size() + kCausesInOrder.size());
+  for (std::size_t i = 0; i < kPhasesInOrder.size(); ++i) EXPECT_EQ(tasks[i].phase, kPhasesInOrder[i]) << i;
+  for (std::size_t i = 0; i < kCausesInOrder.size(); ++i) EXPECT_EQ(tasks[kPhasesInOrder.size() + i].exit_reason, kCausesInOrder[i]) << i;
 }
 
-WorkerAnswer answer_of(WorkerAnswer::Outcome outcome) {
-  WorkerAnswer answer;
+HeartbeatAnswer answer_of(HeartbeatAnswer::Outcome outcome) {
+  HeartbeatAnswer answer;
   answer.outcome = outcome;
   return answer;
 }
@@ -1700,45 +1721,46 @@
     "00006a2d32010000000100000000000000c409000002030000006a2d3300000000010000000000000000000000020000000003000000000400000000";
 
 TEST(WireFormatControllers, AnswerToABatchIsPackedAndUnpacked) {
-  IntakeAnswer answer;
-  answer.takeover_epoch = 7;
-  answer.epoch = 9;
+  HeartbeatBatchAnswer answer;
+  answer.takeover_token = 7;
+  answer.fencing_token = 9;
   answer.redirect_count = 20;
   answer.redirect_target = "host-3";
-  answer.answers = {answer_of(WorkerAnswer::Outcome::renewed), answer_of(WorkerAnswer::Outcome::refused),
-                    answer_of(WorkerAnswer::Outcome::full_required), answer_of(WorkerAnswer::Outcome::retry_later)};
-  answer.answers[0].orders = {order(Verb::run, "j-1", 4, 2), order(Verb::kill, "j-2", 1, 1, 2.5), order(Verb::reap, "j-3", 0, 1)};
+  answer.answers = {answer_of(HeartbeatAnswer::Outcome::renewed), answer_of(HeartbeatAnswer::Outcome::refused),
+                    answer_of(HeartbeatAnswer::Outcome::full_required), answer_of(HeartbeatAnswer::Outcome::retry_later)};
+  answer.answers[0].commands = {command(CommandType::run, "j-1", 4, 2), command(CommandType::kill, "j-2", 1, 1, 2.5),
+                                command(CommandType::acknowledge_exit, "j-3", 0, 1)};
   EXPECT_EQ(hex_of(pack(answer)), kAnswerBytes);
 
-  const auto read = unpack_intake_answer(frame_of(kAnswerBytes));
+  const auto read = unpack_heartbeat_batch_answer(frame_of(kAnswerBytes));
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->takeover_epoch, 7u);
-  EXPECT_EQ(read->epoch, 9u);
+  EXPECT_EQ(read->takeover_token, 7u);
+  EXPECT_EQ(read->fencing_token, 9u);
   EXPECT_EQ(read->redirect_count, 20u);
   EXPECT_EQ(read->redirect_target, "host-3");
   ASSERT_EQ(read->answers.size(), 4u);
-  EXPECT_EQ(read->answers[0].outcome, WorkerAnswer::Outcome::renewed);
-  EXPECT_EQ(read->answers[1].outcome, WorkerAnswer::Outcome::refused);
-  EXPECT_EQ(read->answers[2].outcome, WorkerAnswer::Outcome::full_required);
-  EXPECT_EQ(read->answers[3].outcome, WorkerAnswer::Outcome::retry_later);
-  const auto& orders = read->answers[0].orders;
-  ASSERT_EQ(orders.size(), 3u);
-  EXPECT_EQ(orders[0].type, Verb::run);
-  EXPECT_EQ(orders[0].id.uid, "j-1");
-  EXPECT_EQ(orders[0].id.task, 4u);
-  EXPECT_EQ(orders[0].attempt, 2u);
-  EXPECT_EQ(orders[1].type, Verb::kill);
-  EXPECT_EQ(orders[1].wind_down_s, 2.5);
-  EXPECT_EQ(orders[2].type, Verb::reap);
+  EXPECT_EQ(read->answers[0].outcome, HeartbeatAnswer::Outcome::renewed);
+  EXPECT_EQ(read->answers[1].outcome, HeartbeatAnswer::Outcome::refused);
+  EXPECT_EQ(read->answers[2].outcome, HeartbeatAnswer::Outcome::full_required);
+  EXPECT_EQ(read->answers[3].outcome, HeartbeatAnswer::Outcome::retry_later);
+  const auto& commands = read->answers[0].commands;
+  ASSERT_EQ(commands.size(), 3u);
+  EXPECT_EQ(commands[0].type, CommandType::run);
+  EXPECT_EQ(commands[0].id.uid, "j-1");
+  EXPECT_EQ(commands[0].id.task, 4u);
+  EXPECT_EQ(commands[0].attempt, 2u);
+  EXPECT_EQ(commands[1].type, CommandType::kill);
+  EXPECT_EQ(commands[1].grace_period_s, 2.5);
+  EXPECT_EQ(commands[2].type, CommandType::acknowledge_exit);
 }
 
 TEST(WireFormatControllers, FramesOfAnotherVersionOrKindAreNotTaken) {
   auto batch = frame_of(kWholeBytes);
   batch.payload[0] = 2;
-  EXPECT_FALSE(unpack_intake_batch(batch));
-  EXPECT_FALSE(unpack_intake_answer(frame_of(kWholeBytes)));
-  EXPECT_FALSE(unpack_beat(frame_of(kBeatAckBytes)));
-  EXPECT_FALSE(unpack_ack(frame_of(kBeatBytes)));
+  EXPECT_FALSE(unpack_heartbeat_batch(batch));
+  EXPECT_FALSE(unpack_heartbeat_batch_answer(frame_of(kWholeBytes)));
+  EXPECT_FALSE(unpack_peer_heartbeat(frame_of(kBeatAckBytes)));
+  EXPECT_FALSE(unpack_peer_heartbeat_ack(frame_of(kBeatBytes)));
   EXPECT_FALSE(unpack_call(frame_of(kReplyBytes)));
   EXPECT_FALSE(unpack_reply(frame_of(kCallBytes), 0));
 }
@@ -1747,9 +1769,9 @@
 
 TEST(WireFormatControllers, AbilitiesArePackedAndUnpacked) {
   EXPECT_EQ(hex_of(pack(able_of_host())), kAbleBytes);
-  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes)), able_of_host());
-  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes) + "of a later version"), able_of_host());
-  EXPECT_EQ(unpack_able(bytes_of(kAbleBytes.substr(2))), std::nullopt);
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes)), able_of_host());
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes) + "of a later version"), able_of_host());
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes.substr(2))), std::nullopt);
 }
 
 constexpr std::string_view kTeamsBytes =
@@ -1757,9 +1779,9 @@
     "e03f00000000000030400000000000001140";
 
 TEST(WireFormatControllers, TeamsArePackedAndUnpacked) {
-  std::map<std::string, TeamTerms> teams;
-  teams["red"] = terms(8, 0.5, 16, 4.25);
-  teams["blue"] = terms(0, 0, 0, 0);
+  std::map<std::string, TeamQuota> teams;
+  teams["red"] = quota(8, 0.5, 16, 4.25);
+  teams["blue"] = quota(0, 0, 0, 0);
   EXPECT_EQ(hex_of(pack(teams)), kTeamsBytes);
   EXPECT_EQ(unpack_teams(bytes_of(kTeamsBytes)), teams);
   EXPECT_EQ(unpack_teams(bytes_of(kTeamsBytes) + "x"), std::nullopt);
@@ -1919,7 +1941,7 @@
   const auto s = settings_of(kSettingsText);
   EXPECT_EQ(s.count, 3u);
   EXPECT_EQ(s.skew_ms, 25);
-  EXPECT_EQ(s.report_s, 1.25);
+  EXPECT_EQ(s.heartbeat_interval_s, 1.25);
   EXPECT_EQ(s.lease_s, 10);
   EXPECT_EQ(s.gang_wait_s, 50);
   EXPECT_EQ(s.gang_peer_s, 6);
@@ -2020,4 +2042,4 @@
 }
 
 }  // namespace
-}  // namespace thistle
+}  // namespace thistlefront
