--- a/testbed/load_test/hollow_fleet.cpp
+++ b/testbed/load_test/hollow_fleet.cpp
@@ -226,7 +226,7 @@
   asio::awaitable<void> send_heartbeat(double sent_at) {
     const auto of_session = agent_incarnation;
     http::request<http::string_body> request(http::verb::post, "/v1/report", 11);
-    request.set(http::field::node, "worker");
+    request.set(http::field::host, "worker");
     request.body() = heartbeat();
     request.prepare_payload();
     fleet.counters_.heartbeat_bytes += request.body().size();
