--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -42,8 +42,9 @@
   void TearDown() override {
     ticker = {};
     if (cluster) cluster->state.outage(false);
-    workers.clear();
+    // The controllers first: until they have stopped, they may ask the cloud, whose handler looks at the workers.
     cluster.reset();
+    workers.clear();
     relays.clear();
     EXPECT_TRUE(checker.broken().empty()) << checker.broken().size() << " broken, first " << checker.broken().front();
   }
