--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -81,13 +81,16 @@
     replicas_.resize(n);
     for (std::size_t i = 0; i < n; ++i) start(i, tunings[std::min(i, tunings.size() - 1)]);
   }
-  ~Cluster() {
+  ~Cluster() { stop_all(); }
+  // Stops all controllers, at the same time, after whatever trouble there was.
+  void stop_all() {
     for (std::size_t i = 0; i < users.size(); ++i) {
       auto& d = state.endpoint(i);
       d.refuses = d.frozen = false;
       d.loses = d.late = d.repeats = 0;
     }
     for (auto& replica : replicas_) replica.thread.request_stop();
+    for (std::size_t i = 0; i < replicas_.size(); ++i) stop(i);
   }
   // A controller begins anew, with other flags or as another build.
   void start(std::size_t i, const Options& options) {
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -43,8 +43,9 @@
     ticker = {};
     if (cluster) cluster->state.outage(false);
     // The controllers first: until they have stopped, they may ask the cloud, whose handler looks at the workers.
-    cluster.reset();
+    if (cluster) cluster->stop_all();
     workers.clear();
+    cluster.reset();
     relays.clear();
     EXPECT_TRUE(checker.broken().empty()) << checker.broken().size() << " broken, first " << checker.broken().front();
   }
