--- a/testbed/load_test/hollow_fleet.cpp
+++ b/testbed/load_test/hollow_fleet.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 
 #include "testbed/checker.hpp"
-#include "testbed/fake_state_store.hpp"
+#include "testbed/free_address.hpp"
 #include "transport/clock.hpp"
 #include "transport/socket.hpp"
 
--- a/testbed/worker.hpp
+++ b/testbed/worker.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "testbed/checker.hpp"
-#include "testbed/fake_state_store.hpp"
+#include "testbed/free_address.hpp"
 #include "transport/http.hpp"
 
 namespace thistlefront::testbed {
