--- a/testbed/fake_state_store.cpp
+++ b/testbed/fake_state_store.cpp
@@ -37,7 +37,7 @@
     endpoint.server = std::make_unique<HttpServer>(endpoint.address, kServerConnections,
                                                    [this, &endpoint](const HttpCall& call) { return serve(endpoint, call); });
   }
-  clock_ = std::jthread([this](std::stop_token stop) {
+  clock_ = std::jthread([this](const std::stop_token& stop) {
     while (!stop.stop_requested()) {
       std::this_thread::sleep_for(kTick);
       std::lock_guard lock(mutex_);
@@ -182,7 +182,10 @@
   if (endpoint.slow > 0 && target == "/txn") std::this_thread::sleep_for(std::chrono::duration<double>(endpoint.slow.load()));
   Lock lock(mutex_);
   const bool counts = !target.starts_with("/follow") && !target.ends_with("/renew");
-  if (counts && endpoint.fuse >= 0 && --endpoint.fuse < 0) return reach_fuse(endpoint, lock, call);
+  if (counts && endpoint.fuse >= 0) {
+    --endpoint.fuse;
+    if (endpoint.fuse < 0) return reach_fuse(endpoint, lock, call);
+  }
   HttpReply reply = dispatch(endpoint, lock, call);
   while (endpoint.frozen && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(20));
   return reply;
--- a/testbed/free_address.cpp
+++ b/testbed/free_address.cpp
@@ -29,7 +29,7 @@
       listen_on(address);
       return address;
     } catch (const std::runtime_error&) {
-      // In use: try the next port.
+      continue;  // in use: try the next port
     }
   }
 }
