--- a/testbed/controller_settings.cpp
+++ b/testbed/controller_settings.cpp
@@ -5,6 +5,8 @@
 namespace thistlefront::testbed {
 
 namespace {
+constexpr int kDigits = 15;  // whole numbers of any size that occurs are written without an exponent
+
 const std::string& zone_of(const ControllerSettings& settings, std::size_t controller) {
   return settings.zones.at(controller % settings.zones.size());
 }
@@ -61,6 +63,7 @@
 
 std::string to_toml(const ControllerSettings& settings) {
   std::ostringstream out;
+  out.precision(kDigits);
   write_addresses(out, settings);
   write_deployment(out, settings);
   write_service_limits(out, settings);
--- a/testbed/load_test/hollow_fleet.hpp
+++ b/testbed/load_test/hollow_fleet.hpp
@@ -11,6 +11,8 @@
 #include <utility>  // before Boost.Asio's awaitable, which uses std::exchange without it
 #include <vector>
 
+#include "testbed/protocol_json.hpp"
+
 namespace thistlefront::testbed {
 
 class Checker;
@@ -54,9 +56,7 @@
     std::vector<std::string> zones, controllers;  // addresses for workers
     unsigned seed = 1;
   };
-  struct Description {
-    std::string name, address, zone;
-  };
+  using Description = MachineDescription;
   HollowFleet(const Options& options, const HollowJobs& jobs, Checker& checker);
   ~HollowFleet();
 
--- a/testbed/load_test/load_test_run.hpp
+++ b/testbed/load_test/load_test_run.hpp
@@ -1,4 +1,4 @@
-// One point of the scale run: real controllers on loopback, hollow workers, a steady load of array jobs, and what that costs
+// One measured point of the load test: real controllers on loopback, hollow workers, a steady load of array jobs, and what that costs
 // each process. Time is real.
 #pragma once
 #include <cstdint>
@@ -8,7 +8,13 @@
 
 namespace thistlefront::testbed {
 
-struct ScaleOptions {
+// Faults that begin with the measurement.
+inline constexpr const char* kNoFault = "";
+inline constexpr const char* kLeaderEnds = "leader-ends";
+inline constexpr const char* kSilence = "silence";      // a tenth of the workers neither send nor answer for 10 s
+inline constexpr const char* kReconnect = "reconnect";  // all workers' connections are closed at once
+
+struct LoadTestOptions {
   std::string program;             // the controllers' program
   std::vector<std::string> flags;  // for each controller
   std::string logs;                // directory for what the controllers write; empty: nowhere
@@ -25,10 +31,10 @@
   double max_memory_mb = 4000;
   std::uint64_t max_sockets = 8000;
   unsigned seed = 1;
-  std::string trouble;  // "", "leader-ends", "silence" (a tenth of the workers for 10 s), "reconnect" (all workers at once)
+  std::string fault = kNoFault;
 };
 
-// The point as one JSON object. Throws std::runtime_error where it could not be played at all.
-nlohmann::json play_scale(const ScaleOptions& options);
+// The point as one JSON object. Throws std::runtime_error where it could not be measured at all.
+nlohmann::json run_load_test(const LoadTestOptions& options);
 
 }  // namespace thistlefront::testbed
--- a/testbed/load_test/main.cpp
+++ b/testbed/load_test/main.cpp
@@ -5,10 +5,11 @@
 
 #include "testbed/load_test/load_test_run.hpp"
 
-int main(int argc, char** argv) {
-  CLI::App app{"thistlefront-load-test: real controllers with hollow workers; one line of JSON a point"};
-  thistlefront::testbed::ScaleOptions options;
-  app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
+namespace {
+
+using namespace thistlefront::testbed;
+
+void add_options(CLI::App& app, LoadTestOptions& options) {
   app.add_option("--program", options.program, "the controllers' program")->required()->check(CLI::ExistingFile);
   app.add_option("--flag", options.flags, "a flag for each controller; may be given several times");
   app.add_option("--label", options.label, "told in the result");
@@ -27,17 +28,26 @@
       ->check(CLI::Range(1.0, 100000.0))
       ->capture_default_str();
   app.add_option("--sockets", options.max_sockets, "that a controller may have")->check(CLI::Range(100, 100000))->capture_default_str();
-  app.add_option("--trouble", options.trouble, "leader-ends, silence or reconnect, as the measurement begins")
-      ->check(CLI::IsMember({"leader-ends", "silence", "reconnect"}));
+  app.add_option("--trouble", options.fault, "leader-ends, silence or reconnect, as the measurement begins")
+      ->check(CLI::IsMember({kLeaderEnds, kSilence, kReconnect}));
   app.add_option("--seed", options.seed)->capture_default_str();
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  CLI::App app{"thistlefront-load-test: real controllers with hollow workers; one line of JSON a point"};
+  LoadTestOptions options;
+  app.failure_message([](const CLI::App*, const CLI::Error& error) { return std::string(error.what()) + "\n"; });
+  add_options(app, options);
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    const auto point = thistlefront::testbed::play_scale(options);
+    const auto point = run_load_test(options);
     std::cout << point.dump() << std::endl;
     return point.at("rules_broken").empty() ? 0 : 1;
-  } catch (const std::exception& e) {
-    std::cerr << e.what() << "\n";
+  } catch (const std::exception& error) {
+    std::cerr << error.what() << "\n";
     return 2;
   }
 }
