--- a/testbed/checker.cpp
+++ b/testbed/checker.cpp
@@ -5,8 +5,21 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr double kForgottenAfter = 75.0;  // every poll for it fails, while others are answered or all troubles are over
-constexpr double kSlack = 1e-6;
+// Seconds for which every poll for a job may fail while others are answered, or after all faults have ended.
+constexpr double kForgottenAfter = 75.0;
+constexpr double kSlack = 1e-6;  // cores: for sums of fractions
+constexpr const char* kUnknown = "unknown";
+constexpr const char* kRefused = "refused";
+constexpr const char* kDone = "done";
+constexpr const char* kAborted = "aborted";
+
+// Whether a user who is told this status is told that the job exists; and that it has ended.
+bool knows(const std::string& status) {
+  return status != kUnknown && status != kRefused;
+}
+bool ends(const std::string& status) {
+  return status == kDone || status == kAborted;
+}
 }  // namespace
 
 void Checker::broke(const std::string& rule, const std::string& what, double now) {
@@ -33,41 +46,58 @@
   std::lock_guard lock(mutex_);
   const auto it = jobs_.find(uid);
   if (it == jobs_.end()) {
-    if (status != "unknown") broke("invented", uid + " is " + status, now);
+    if (status != kUnknown) broke("invented", uid + " is " + status, now);
     return;
   }
   Job& job = it->second;
-  const bool known = status != "unknown" && status != "refused", ended = status == "done" || status == "aborted";
-  if (!known) {
+  if (ends(status) && !job.last.empty() && status != job.last) broke("went_back", uid + " was " + job.last + " and is " + status, now);
+  note_answer(job, status, sent, now);
+  check_order_of_answers(uid, job, now);
+  check_cancellation(uid, job, status, sent, now);
+  if (status == kDone && job.done.size() < job.spec.task_count) broke("not_done", uid, now);
+  if (status == kAborted && (job.cancelled_at == 0 || now < job.cancelled_at)) job.cancelled_at = now;
+}
+
+void Checker::note_answer(Job& job, const std::string& status, double sent, double now) {
+  if (!knows(status)) {
     job.unknown_asked = std::max(job.unknown_asked, sent);
-  } else {
-    polled_at_ = now;
-    job.failing_since = 0;
-    if (!job.accepted) acceptances_.push_back(job.accepted_at = now);
-    job.accepted = true;
-    job.accepted_at = std::min(job.accepted_at, now);
+    return;
+  }
+  polled_at_ = now;
+  job.failing_since = 0;
+  if (!job.accepted) {
+    job.accepted_at = now;
+    acceptances_.push_back(now);
   }
-  if (ended && !job.last.empty() && status != job.last) broke("went_back", uid + " was " + job.last + " and is " + status, now);
-  if (known && !ended) job.unended_asked = std::max(job.unended_asked, sent);
-  if (ended && (job.last.empty() || now < job.ended_at)) job.ended_at = now;
-  if (ended) job.last = status;
+  job.accepted = true;
+  job.accepted_at = std::min(job.accepted_at, now);
+  if (!ends(status)) {
+    job.unended_asked = std::max(job.unended_asked, sent);
+    return;
+  }
+  if (job.last.empty() || now < job.ended_at) job.ended_at = now;
+  job.last = status;
+}
+
+void Checker::check_order_of_answers(const std::string& uid, Job& job, double now) {
   if (job.accepted && job.unknown_asked > job.accepted_at) {
-    broke("forgotten",
-          uid + " was unknown or refused, asked " + std::to_string(job.unknown_asked - job.accepted_at) + " s after it was accepted", now);
+    const auto later = std::to_string(job.unknown_asked - job.accepted_at);
+    broke("forgotten", uid + " was unknown or refused, asked " + later + " s after it was accepted", now);
     job.unknown_asked = 0;
   }
   if (job.ended_at > 0 && job.unended_asked > job.ended_at) {
-    broke("went_back", uid + " was " + job.last + " and then not, asked " + std::to_string(job.unended_asked - job.ended_at) + " s later",
-          now);
+    const auto later = std::to_string(job.unended_asked - job.ended_at);
+    broke("went_back", uid + " was " + job.last + " and then not, asked " + later + " s later", now);
     job.unended_asked = 0;
   }
+}
+
+void Checker::check_cancellation(const std::string& uid, const Job& job, const std::string& status, double sent, double now) {
   if ((status == "queued" || status == "running") && job.last.empty()) {
     const double above = cancelled_above(uid);
     if (above > 0 && sent > above + cancel_s_) broke("orphaned", uid + " is " + status, now);
   }
-  if (status == "aborted" && !withdrawal_wanted_above(uid)) broke("went_back", uid + " is aborted, and nobody asked for it", now);
-  if (status == "done" && job.done.size() < job.spec.task_count) broke("not_done", uid, now);
-  if (status == "aborted" && (job.cancelled_at == 0 || now < job.cancelled_at)) job.cancelled_at = now;
+  if (status == kAborted && !withdrawal_wanted_above(uid)) broke("went_back", uid + " is aborted, and nobody asked for it", now);
 }
 
 void Checker::failed_poll(const std::string& uid, double now) {
--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -1,5 +1,5 @@
-// The rules of the protocol, checked on what users were told and on what really ran. Knows nothing of the
-// code under test. Pure; times are steady seconds.
+// The rules of the protocol, checked on what users were told and on what really ran. Must never look at the code under test: it is told of
+// answers by users and of tasks by workers. No I/O; all times are given, in steady seconds. Thread-safe.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,7 +12,8 @@
 namespace thistlefront::testbed {
 
 struct SubmittedJob {
-  std::string uid, owner, job_type, zone;  // yard: empty: any
+  std::string uid, owner, job_type;
+  std::string zone;  // empty: any
   std::uint32_t task_count = 1;
   double cores = 1, run_s = 1;
   std::vector<std::string> depends_on = {};
@@ -25,28 +26,31 @@
   // What a team may use from now on; while controllers' settings differ, the highest of them.
   void limit(const std::string& team, double cores);
   void submitted(const SubmittedJob& job, double now);
-  // What a user was told of a job: status as in the protocol, or "unknown" for 404, "refused" for 400 and
-  // 422. It was asked at `sent`, and the answer came at `now`: one that was asked after any answer had come is no older than
-  // that, whichever controllers were asked and in whatever order these calls are made.
+  // A user was told of a job: `status` as in the protocol, "unknown" for 404, or "refused" for 400 and 422. The question was sent at `sent`
+  // and the answer came at `now`. An answer to a question that was sent after another answer had come must not be older than that one,
+  // whichever controllers were asked and in whatever order these calls are made.
   void told(const std::string& uid, const std::string& status, double sent, double now);
-  // Of users that ask one question after the other.
+  // The same, for users that ask one question after the other.
   void told(const std::string& uid, const std::string& status, double now) { told(uid, status, now, now); }
+  // A user is about to ask for this job's cancellation.
   void wants_withdrawn(const std::string& uid);
-  // A poll that got no true answer.
+  // A poll that got no answer, or one that says nothing of the job.
   void failed_poll(const std::string& uid, double now);
-  // A task is on a machine from when it has its image until it is off it.
+  // A task is on a node from when it has its image until it is off it.
   void on(const std::string& uid, std::uint32_t task, const std::string& machine, const std::string& zone, double now);
   void off(const std::string& uid, std::uint32_t task, const std::string& machine, bool done, double now);
-  // Looks for what time alone breaks.
+  // Checks the rules that can be broken by time alone.
   void tick(double now);
-  // All troubles are over: from now on each job is answered for, however others fare.
+  // All faults have ended: from now on polls for each job must succeed, whether or not those for others do.
   void healed(double now);
 
+  // Each broken rule as "rule: what".
   [[nodiscard]] std::vector<std::string> broken() const;
   [[nodiscard]] std::vector<std::string> accepted() const;  // jobs
   [[nodiscard]] double longest_without_acceptance(double from, double until) const;
   [[nodiscard]] std::size_t tasks_done() const;
-  [[nodiscard]] std::size_t ended_tasks(const std::string& uid) const;  // that were done, known to its users or not
+  // A job's tasks that were done, whether or not its users were told.
+  [[nodiscard]] std::size_t ended_tasks(const std::string& uid) const;
   struct DependentJobs {
     double first_accepted = 0;                                    // steady seconds; 0: none
     std::size_t accepted = 0, mark_done = 0, mark_cancelled = 0;  // jobs that wait for others
@@ -69,6 +73,10 @@
   // The earliest cancellation told of a job or of any that it needs; 0: none. And whether one was asked for.
   [[nodiscard]] double cancelled_above(const std::string& uid) const;
   [[nodiscard]] bool withdrawal_wanted_above(const std::string& uid) const;
+  // Parts of told(): records an answer, and checks it against earlier ones and against cancellations.
+  void note_answer(Job& job, const std::string& status, double sent, double now);
+  void check_order_of_answers(const std::string& uid, Job& job, double now);
+  void check_cancellation(const std::string& uid, const Job& job, const std::string& status, double sent, double now);
   void broke(const std::string& rule, const std::string& what, double now);
 
   mutable std::mutex mutex_;
--- a/testbed/cluster.cpp
+++ b/testbed/cluster.cpp
@@ -151,6 +151,7 @@
 
 void Cluster::ask_everywhere(const std::string& uid, const std::string& submission) {
   std::vector<std::jthread> askers;
+  askers.reserve(addresses_.size());
   for (const auto& address : addresses_) {
     askers.emplace_back([&] {
       for (int k = 0; k < 2; ++k) {
--- a/testbed/controller_process.cpp
+++ b/testbed/controller_process.cpp
@@ -22,6 +22,7 @@
   std::vector<std::string> words{program};
   words.insert(words.end(), arguments.begin(), arguments.end());
   std::vector<char*> argv;
+  argv.reserve(words.size() + 1);
   for (auto& w : words) argv.push_back(w.data());
   argv.push_back(nullptr);
   const pid_t pid = ::fork();
@@ -29,7 +30,7 @@
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     ::dup2(fd, STDERR_FILENO);
-    // Sockets of the stand-in cluster are not the process's.
+    // The controller must not inherit the testbed's sockets.
     ::close_range(3, ~0U, 0);
     ::execv(program.c_str(), argv.data());
     ::_exit(127);
--- a/testbed/controller_process.hpp
+++ b/testbed/controller_process.hpp
@@ -1,4 +1,4 @@
-// One real controller process that the rig starts, freezes and ends.
+// One real controller process that the testbed starts, freezes and kills.
 #pragma once
 #include <sys/types.h>
 
@@ -18,8 +18,9 @@
 
   // Starts `program` with `arguments`, in place of the one that runs; its standard error goes to the end of `log`.
   void start(const std::string& program, const std::vector<std::string>& arguments, const std::string& log);
-  // Ends it without a signal that it could heed, and waits until it is gone.
+  // Kills it without a signal that it could handle, and waits until it is gone.
   void end();
+  // Stops it, or lets it go on.
   void freeze(bool frozen) const;
   // 0: none runs.
   [[nodiscard]] pid_t pid() const { return pid_; }
--- a/tests/cancellation_during_outage_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -1,6 +1,6 @@
-// The gap: a leader that cannot tell whether it still leads renews leases, while users were told of cancellations. Real
-// controllers on loopback, machines that keep to the protocol, and the rig's checker: no task of a job is on a machine for
-// longer than cancel_s after its user was told. docs/design.md, "Who may renew a lease in doubt".
+// The gap between a cancellation and the end of its tasks: a leader that cannot tell whether it still leads renews leases, while users were
+// told of cancellations. The checker fails where a task is on a node for longer than cancel_s after its job's user was told.
+// docs/design.md, "Who may renew a lease in doubt".
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -10,8 +10,8 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.1};  // report, lease, cancel, pull
-constexpr double kOutage = 13;                    // longer than cancel_s and what an answer takes
+constexpr testbed::Times kTimes{0.5, 4, 8, 0.1};  // heartbeat, lease, cancel, pull
+constexpr double kOutage = 13;                    // seconds: longer than cancel_s and the time an answer takes
 
 class Gap : public test_support::ClusterFixture {
  protected:
@@ -26,7 +26,7 @@
     }
     first = cluster->leader();
   }
-  // One try by way of this controller; whether its user is told that the job is cancelled.
+  // Cancels once through this controller; whether the user is told that the job is cancelled.
   bool withdraw(std::size_t replica, const std::string& uid) {
     checker.wants_withdrawn(uid);
     const auto r = cluster->ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
@@ -38,17 +38,17 @@
   std::size_t first = 0;
 };
 
-// The first leader is refused by the state service, and its successor hears none of those that stand behind the first one,
-// which goes on renewing leases and knows nothing of the cancellation: its user is told only when they know of the successor.
+// The store refuses the first leader, and its successor can't reach the majority that the first one still reaches. The first leader goes on
+// renewing leases and does not know of the cancellation: a user may be told only when that majority knows of the successor.
 class GapOf : public Gap, public testing::WithParamInterface<std::size_t> {};
-TEST_P(GapOf, ACancellationIsNotToldWhileAMajorityMayStandBehindAnEarlierLeader) {
+TEST_P(GapOf, ACancellationIsNotToldWhileAMajorityMayFollowAnEarlierLeader) {
   const std::size_t n = GetParam();
   begin(n);
-  const std::size_t next = (first + 1) % n, with_it = n > 3 ? (first + 2) % n : next;
-  const auto theirs = [&](std::size_t i) { return i == next || i == with_it; };
+  const std::size_t next = (first + 1) % n, beside = n > 3 ? (first + 2) % n : next;
+  const auto on_its_side = [&](std::size_t i) { return i == next || i == beside; };
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k)
-      if (theirs(i) != theirs(k)) part(i, k, true);
+      if (on_its_side(i) != on_its_side(k)) part(i, k, true);
   for (std::size_t i = 0; i < n; ++i) cluster->state.endpoint(i).refuses = i != next;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() == next; }));
   bool told = false;
@@ -65,9 +65,9 @@
 }
 INSTANTIATE_TEST_SUITE_P(Controllers, GapOf, testing::Values(3, 5));
 
-// Told just before the outage, while no command reaches the machines, which stand still until leadership is uncertain: then
-// they are told with the answers to their reports, and what is not cancelled keeps its lease. Twice in a row.
-TEST_F(Gap, ALeaderInDoubtHandsOutTheKillsOfWhatIsCancelled) {
+// A user is told just before an outage of the store. No command reaches the nodes, which hang until leadership is uncertain: then the
+// answers to their heartbeats carry the kills, and what is not cancelled keeps its lease. Twice in a row.
+TEST_F(Gap, ALeaderInDoubtSendsTheKillsOfCancelledJobs) {
   begin(3);
   for (auto& w : workers) w->cut_commands(true);
   for (const auto* uid : {"j-1", "j-2"}) {
@@ -81,13 +81,13 @@
     ASSERT_TRUE(cluster->eventually(10, [&] { return running(uid) == 0; }));
     if (uid == std::string("j-1")) {
       EXPECT_TRUE(cluster->eventually(10, [&] { return running("j-2") == 2; }));
-      EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease lapsed in the outage";
+      EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease expired in the outage";
     }
   }
 }
 
-// Told just before its leader ended; the next one has the lead and reads nothing for as long as the outage lasts: it knows
-// neither what is cancelled nor since when. With controllers in the machines' zone, and in another one.
+// A user is told just before the leader stops. The next one leads and can't read the ledger while the outage lasts: it knows neither what
+// is cancelled nor since when. With controllers in the nodes' zone, and in another one.
 class GapIn : public Gap, public testing::WithParamInterface<const char*> {};
 TEST_P(GapIn, ALeaderThatHasNotReadTheLedgerLetsTheLeasesEnd) {
   begin(3, GetParam());
@@ -103,8 +103,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Zones, GapIn, testing::Values("", "x"));
 
-// The outage begins as the next leader reads the ledger: it has not taken the lead yet, and the first one, which knows what is
-// cancelled, goes on with the leases.
+// The outage begins as the next leader reads the ledger: it does not lead yet, and the first leader, which knows what is cancelled, goes on
+// renewing leases.
 TEST_F(Gap, AnOutageWhileTheNextLeaderReadsCostsNoLease) {
   begin(3);
   for (auto& w : workers) w->cut_commands(true);
@@ -117,10 +117,10 @@
   EXPECT_FALSE(cluster->state.outage_at_reading) << "it was read";
   cluster->state.outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return running("j-2") == 2; }));
-  EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease lapsed in the outage";
+  EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "no lease expired in the outage";
 }
 
-// The successor has told, and ends inside the outage; it is back at once and leads nothing. Workers report to whom they can.
+// The successor told a user, stops inside the outage and is back at once, without the lead. Workers send to whom they reach.
 TEST_F(Gap, TheSuccessorEndsInsideTheOutage) {
   begin(3, "x");
   for (auto& w : workers) w->cut_commands(true);
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,4 +1,4 @@
-// The rig's checker finds each rule broken, and nothing where none is.
+// The testbed's checker tells of each rule that is broken, and of nothing else.
 #include "testbed/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -6,16 +6,16 @@
 namespace thistlefront::testbed {
 namespace {
 
-class RigChecker : public testing::Test {
+class CheckerTest : public testing::Test {
  protected:
-  RigChecker() : checker({{"red", 3}}, 10) { checker.submitted({"j-1", "red", "batch", "x", 2, 2, 1}, 100); }
+  CheckerTest() : checker({{"red", 3}}, 10) { checker.submitted({"j-1", "red", "batch", "x", 2, 2, 1}, 100); }
   std::string first() const {
     return checker.broken().empty() ? "" : checker.broken().front().substr(0, checker.broken().front().find(':'));
   }
   Checker checker;
 };
 
-TEST_F(RigChecker, AWholeDayBreaksNothing) {
+TEST_F(CheckerTest, ARegularRunBreaksNothing) {
   checker.told("j-1", "queued", 101);
   checker.on("j-1", 0, "m-1", "x", 102);
   checker.off("j-1", 0, "m-1", false, 103);
@@ -29,17 +29,17 @@
   EXPECT_EQ(first(), "");
   EXPECT_EQ(checker.tasks_done(), 2u);
 }
-TEST_F(RigChecker, RanTwice) {
+TEST_F(CheckerTest, RanTwice) {
   checker.on("j-1", 0, "m-1", "x", 102);
   checker.on("j-1", 0, "m-2", "x", 104);
   EXPECT_EQ(first(), "ran_twice");
 }
-TEST_F(RigChecker, Quota) {
+TEST_F(CheckerTest, Quota) {
   checker.on("j-1", 0, "m-1", "x", 102);
   checker.on("j-1", 1, "m-2", "x", 104);
   EXPECT_EQ(first(), "quota");
 }
-TEST_F(RigChecker, QuotaUnderALoweredLimit) {
+TEST_F(CheckerTest, QuotaUnderALoweredLimit) {
   checker.limit("red", 4);
   checker.on("j-1", 0, "m-1", "x", 102);
   checker.limit("red", 1);
@@ -47,11 +47,11 @@
   checker.on("j-1", 1, "m-2", "x", 104);
   EXPECT_EQ(first(), "quota");
 }
-TEST_F(RigChecker, WrongPlace) {
+TEST_F(CheckerTest, WrongPlace) {
   checker.on("j-1", 0, "m-1", "y", 102);
   EXPECT_EQ(first(), "wrong_place");
 }
-TEST_F(RigChecker, RanCancelled) {
+TEST_F(CheckerTest, RanCancelled) {
   checker.on("j-1", 0, "m-1", "x", 102);
   checker.wants_withdrawn("j-1");
   checker.told("j-1", "aborted", 103);
@@ -60,14 +60,14 @@
   checker.tick(114);
   EXPECT_EQ(first(), "ran_cancelled");
 }
-TEST_F(RigChecker, Forgotten) {
+TEST_F(CheckerTest, Forgotten) {
   checker.told("j-1", "unknown", 101);
   EXPECT_EQ(first(), "") << "it was not accepted yet";
   checker.told("j-1", "queued", 102);
   checker.told("j-1", "unknown", 103);
   EXPECT_EQ(first(), "forgotten");
 }
-TEST_F(RigChecker, ForgottenWhereItsPollsFailAndOthersAreAnswered) {
+TEST_F(CheckerTest, ForgottenWhereItsPollsFailAndOthersAreAnswered) {
   checker.submitted({"j-2", "red", "batch", "", 1, 1, 1}, 100);
   checker.told("j-1", "queued", 101);
   for (double t = 102; t < 200; t += 0.5) {
@@ -76,7 +76,7 @@
   }
   EXPECT_EQ(first(), "forgotten");
 }
-TEST_F(RigChecker, WentBackInventedAndNotDone) {
+TEST_F(CheckerTest, WentBackInventedAndNotDone) {
   checker.told("j-1", "aborted", 101);
   EXPECT_EQ(first(), "went_back") << "nobody asked for it";
   checker.told("j-7", "queued", 102);
@@ -90,7 +90,7 @@
 }
 
 // Questions at several nodes at once: which came first is told by when it was asked, and when any answer had come.
-TEST_F(RigChecker, AnOlderAnswerIsOneThatWasAskedForAfterANewerOneHadCome) {
+TEST_F(CheckerTest, AnOlderAnswerIsOneThatWasAskedForAfterANewerOneHadCome) {
   checker.told("j-1", "unknown", 100.1, 101.5);
   checker.told("j-1", "queued", 100.2, 101.0);
   EXPECT_EQ(first(), "") << "both were on their way at once";
@@ -102,7 +102,7 @@
   ASSERT_EQ(checker.broken().size(), 1u);
   EXPECT_TRUE(checker.broken()[0].starts_with("went_back"));
 }
-TEST_F(RigChecker, AnOlderAnswerIsFoundInWhateverOrderTheyAreNoted) {
+TEST_F(CheckerTest, AnOlderAnswerIsFoundInWhateverOrderTheyAreNoted) {
   checker.told("j-1", "queued", 103.1, 103.2);
   checker.wants_withdrawn("j-1");
   checker.told("j-1", "aborted", 102.0, 103.0);
@@ -116,7 +116,7 @@
   ASSERT_EQ(checker.broken().size(), 2u);
   EXPECT_TRUE(checker.broken()[1].starts_with("forgotten"));
 }
-TEST_F(RigChecker, ACancellationCountsFromTheFirstAnswer) {
+TEST_F(CheckerTest, ACancellationCountsFromTheFirstAnswer) {
   checker.on("j-1", 0, "m-1", "x", 101);
   checker.wants_withdrawn("j-1");
   checker.told("j-1", "aborted", 101.5, 105.0);
@@ -125,7 +125,7 @@
   EXPECT_EQ(first(), "ran_cancelled");
 }
 
-TEST_F(RigChecker, WhatStartsBeforeWhatItWaitsForOrOutlivesItsCancellationIsTold) {
+TEST_F(CheckerTest, WhatStartsBeforeWhatItWaitsForOrOutlivesItsCancellationIsTold) {
   checker.submitted({"j-2", "red", "batch", "", 1, 1, 1, {"j-1"}}, 100);
   checker.submitted({"j-3", "red", "batch", "", 1, 1, 1, {"j-2"}}, 100);
   checker.told("j-1", "queued", 100), checker.told("j-2", "queued", 100), checker.told("j-3", "queued", 100);
--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -1,5 +1,5 @@
-// Users who ask at all nodes within milliseconds, and repeat the submission, right after a job was accepted, ended or cancelled:
-// no node may answer something older than any other one did before it was asked, nor give an answer that was held up on its way
+// Users who ask all controllers within milliseconds, and repeat the submission, right after a job was accepted, ended or cancelled: no
+// controller may answer with an older state than any other one told before it was asked, nor give an answer that was held up on its way
 // after another leader could have given a newer one. docs/design.md, "What a freeze just there does".
 #include <gtest/gtest.h>
 
@@ -11,26 +11,26 @@
 using test_support::status_in;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // report, lease, cancel, pull
-constexpr std::size_t kEnoughQuestions = 10;       // asked of a deposed leader in one trouble: more than this
-constexpr double kLongestTrouble = 20;             // seconds
+constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr std::size_t kEnoughQuestions = 10;       // that a deposed leader must be asked while a fault lasts: more than this
+constexpr double kLongestFault = 20;               // seconds
 
-// What a leader answers while it leads is held up on its way through a follower, until the next leader has told a user something
-// newer. Neither the follower nor the first leader's connection to it gives the older one to its user then.
-struct Held {
+// An answer that the leader gave is held up on its way through a follower until the next leader has told a user something newer. The
+// follower must not give the older answer to its user then.
+struct HeldRequest {
   const char* name;
   bool known;                        // the job is accepted before
   const char *method, *path, *body;  // null: the submission of the job
-  friend std::ostream& operator<<(std::ostream& out, const Held& h) { return out << h.name; }
+  friend std::ostream& operator<<(std::ostream& out, const HeldRequest& held) { return out << held.name; }
 };
-class HeldAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<Held> {
+class HeldAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<HeldRequest> {
  protected:
   HeldAnswer() : ClusterFixture(kTimes) {}
 };
 TEST_P(HeldAnswer, IsNotGivenAfterANewerOne) {
-  const Held& held = GetParam();
+  const HeldRequest& held = GetParam();
   Options options = test_support::one_level();
-  options.leader_lease_ms = 500;  // another one leads well within the time for which a follower waits
+  options.leader_lease_ms = 500;  // another controller leads well within the time that a follower waits
   begin(3, 0, "", options);
   bool met = false;
   for (int round = 1; round <= 4 && !met; ++round) {
@@ -41,7 +41,7 @@
     ASSERT_TRUE(cluster->submit_until("j-9", 20));
     const auto leader = cluster->leader(), follower = (leader + 1) % 3, next = (leader + 2) % 3;
     ASSERT_TRUE(cluster->eventually(10, [&] { return cluster->ask(follower, "GET", "/v1/jobs/j-9").is(200); }));
-    // The follower learns nothing of the next leader.
+    // The follower does not learn of the next leader.
     relays.at({next, follower})->cut(true);
     relays.at({follower, leader})->hold_answers(true);
     HttpResult answer;
@@ -59,15 +59,15 @@
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
       newer =
           status_in(held.known || !held.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw") : cluster->submit(next, uid));
-      if (newer == "unknown") newer = status_in(cluster->submit(next, uid));  // what was refused is accepted
+      if (newer == "unknown") newer = status_in(cluster->submit(next, uid));  // a job that was refused before
       return !newer.empty();
     });
     met = !newer.empty() && answered == 0;
-    const double let_out = steady_now();
+    const double released_at = steady_now();
     relays.at({follower, leader})->hold_answers(false);
     user.join();
-    // Only one that came then, and not its time limit, shows anything.
-    met = met && answered - let_out < 0.3;
+    // Only an answer that came when it was let through, and not at its time limit, shows anything.
+    met = met && answered - released_at < 0.3;
     if (met) {
       EXPECT_TRUE(answer.is(503)) << held.name << ": " << answer.status << " " << answer.body << " after " << newer;
     }
@@ -77,10 +77,12 @@
   EXPECT_TRUE(met) << "the answer was held while another one led";
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, HeldAnswer,
-                         testing::Values(Held{"poll", true, "GET", "", nullptr}, Held{"first", false, nullptr, nullptr, nullptr},
-                                         Held{"repeat", true, nullptr, nullptr, nullptr}, Held{"unknown", false, "GET", "", nullptr},
-                                         Held{"withdrawal", false, "POST", "/withdraw", nullptr},
-                                         Held{"malformed", false, nullptr, nullptr, "\",\"pieces\":-1}"}),
+                         testing::Values(HeldRequest{"poll", true, "GET", "", nullptr},
+                                         HeldRequest{"first", false, nullptr, nullptr, nullptr},
+                                         HeldRequest{"repeat", true, nullptr, nullptr, nullptr},
+                                         HeldRequest{"unknown", false, "GET", "", nullptr},
+                                         HeldRequest{"withdrawal", false, "POST", "/withdraw", nullptr},
+                                         HeldRequest{"malformed", false, nullptr, nullptr, "\",\"pieces\":-1}"}),
                          [](const auto& info) { return std::string(info.param.name); });
 
 class CloseLooks : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
@@ -92,7 +94,7 @@
     if (at_deposed && deposed == replica) ++asked_deposed;
     if (status == "done" || status == "aborted") ++told_ended;
   }
-  // At all nodes at once, again and again, submissions repeated among them.
+  // Asks all controllers at once, four times each, submissions among them.
   void look_everywhere(const std::string& uid) {
     std::vector<std::jthread> lookers;
     for (std::size_t i = 0; i < cluster->users.size(); ++i) {
@@ -125,53 +127,53 @@
       }
     }
   }
-  // Asked by its users after others told something newer, while another one leads and it does not know that.
+  // Questions to a deposed leader after others told something newer, while it does not know that another one leads.
   std::atomic<std::size_t> asked_deposed{0}, told_ended{0};
   std::atomic<std::size_t> deposed{SIZE_MAX};
   std::atomic<bool> newer_told{false}, over{false};
 };
 
-TEST_P(CloseLooks, NoNodeAnswersSomethingOlder) {
+TEST_P(CloseLooks, NoControllerAnswersSomethingOlder) {
   const auto n = GetParam();
   begin(n, 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   std::vector<std::jthread> users;
   for (unsigned u = 1; u <= 3; ++u) users.emplace_back([this, u] { use(u); });
   std::vector<std::size_t> asked;
-  // The trouble lasts for `for_s`, and on until `questions` were asked of the deposed leader: how many fall into a fixed time
-  // depends on how busy the machine is.
-  const auto away = [&](std::size_t leader, double for_s, std::size_t questions, const std::function<void(bool)>& trouble) {
-    trouble(true);
+  // The fault lasts for `for_s`, and longer until the deposed leader was asked `questions` times: how many fall into a fixed time depends
+  // on how busy the machine is.
+  const auto depose = [&](std::size_t leader, double for_s, std::size_t questions, const std::function<void(bool)>& fault) {
+    fault(true);
     EXPECT_TRUE(cluster->eventually(10, [&] {
       const auto now = cluster->state.leader();
       return !now.empty() && now != "host-" + std::to_string(leader);
     }));
-    newer_told = false;  // only what is told from here on
+    newer_told = false;  // only what is told from now on counts
     deposed = leader;
     const auto before = asked_deposed.load();
     wait(for_s);
-    cluster->eventually(kLongestTrouble - for_s, [&] { return asked_deposed - before >= questions; });
+    cluster->eventually(kLongestFault - for_s, [&] { return asked_deposed - before >= questions; });
     deposed = SIZE_MAX;
     asked.push_back(asked_deposed - before);
-    trouble(false);
+    fault(false);
     wait(1);
   };
   auto leader = cluster->leader();
-  away(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).refuses = is; });
+  depose(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).refuses = is; });
   leader = cluster->leader();
   // It reaches nobody but its workers and users.
-  away(leader, 3, kEnoughQuestions + 1, [&](bool is) {
+  depose(leader, 3, kEnoughQuestions + 1, [&](bool is) {
     part(leader, is);
     cluster->state.endpoint(leader).refuses = is;
   });
-  EXPECT_GT(asked.back(), kEnoughQuestions) << "asked while it is parted and another one leads";
+  EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while it is parted and another one leads";
   leader = cluster->leader();
-  // What it sends is carried out, and no answer comes: it stands still towards the state service, and is parted.
-  away(leader, 2, kEnoughQuestions + 1, [&](bool is) {
+  // What it sends to the store is executed, and no answer comes; and it reaches nobody but its workers and users.
+  depose(leader, 2, kEnoughQuestions + 1, [&](bool is) {
     part(leader, is);
     cluster->state.endpoint(leader).frozen = is;
   });
-  EXPECT_GT(asked.back(), kEnoughQuestions) << "asked while nothing answers it and another one leads";
+  EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while nothing answers it and another one leads";
   for (const double pause : {0.05, 0.0}) {
     leader = cluster->leader();
     cluster->stop(leader);
@@ -183,8 +185,8 @@
   users.clear();
   EXPECT_GT(told_ended.load(), 50u);
 }
-// With no other trouble: the cancellation meets the end of the last task, a question and a repeated submission at other nodes. It is one or
-// the other for everybody.
+// Without any fault: a cancellation meets the end of the last task, a question and a repeated submission at other controllers. The job is
+// done or cancelled, and the same for everybody.
 TEST_P(CloseLooks, ACancellationAtTheEndOfTheLastTaskIsOneOrTheOther) {
   begin(GetParam(), 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -1,4 +1,5 @@
-// Real controllers on loopback, with an in-memory state service, a cloud that has no machines unless a test gives one, and users.
+// A cluster for tests: real controllers in this process on loopback, a fake key-value store, a cloud that has no machines unless a test
+// gives one, and calls as users make them.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -23,14 +24,14 @@
          R"("loaners":false,"expectedS":10,"snapshotEveryS":0,"snapshotS":0,"dueS":null})";
 }
 
-// Of an ordinary machine without tasks, in zone x.
+// The heartbeat of a node without tasks, in zone x.
 inline std::string heartbeat_body(const std::string& machine, const std::string& address, std::uint64_t serial,
                                   std::uint64_t fencing_token) {
   return R"({"host":")" + machine + R"(","address":")" + address + R"(","hostKind":"big","yard":"x","loaners":false,"tenure":1,"serial":)" +
          std::to_string(serial) + R"(,"epoch":)" + std::to_string(fencing_token) + R"(,"recallS":null,"pieces":[]})";
 }
 
-// What a user is told by an answer, as the rig's checker takes it; empty: nothing.
+// The job status that an answer tells its user, in the checker's terms; empty: none.
 inline std::string status_in(const HttpResult& r) {
   if (r.is(404)) return "unknown";
   if (r.is(400) || r.is(422)) return "refused";
@@ -38,18 +39,20 @@
   return nlohmann::json::parse(r.body).at("status");
 }
 
-// Tests that are not of state levels keep to one. All of them are run twice: with report intake and without (CMakeLists.txt).
+// Options of tests that are not about format versions: none is raised while they run. The suites that CMakeLists.txt names run a second
+// time with the heartbeat relay on.
 inline Options one_level() {
-  Options t;
-  t.format_version_soak_s = 600;
-  t.relay_mode = std::getenv("THISTLEFRONT_TEST_HEARTBEAT_RELAY") != nullptr ? RelayMode::on : RelayMode::off;
-  return t;
+  Options out;
+  out.format_version_soak_s = 600;
+  out.relay_mode = std::getenv("THISTLEFRONT_TEST_HEARTBEAT_RELAY") != nullptr ? RelayMode::on : RelayMode::off;
+  return out;
 }
 
 class Cluster {
  public:
-  // `tunings`: one for each controller, or one for all. `change`: is given the settings before any controller starts.
-  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& tunings = {one_level()},
+  // `options`: one for each controller; the last one is also that of all further ones. `change` is given the settings before any controller
+  // starts. `cloud`: in place of one that has no machines.
+  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& options = {one_level()},
                    const std::function<void(std::vector<Settings>&)>& change = {}, const HttpServer::Handler& cloud = {})
       : state(n, seed), cloud_address_(free_address()), cloud_(cloud_address_, 20, [cloud](const HttpCall& c) -> HttpReply {
           if (cloud) return cloud(c);
@@ -58,10 +61,9 @@
           return {503, R"({"error":"no capacity"})"};
         }) {
     spdlog::set_level(spdlog::level::err);
-    auto& all = settings_;
-    all.resize(n);
+    settings_.resize(n);
     for (std::size_t i = 0; i < n; ++i) {
-      Settings& s = all[i];
+      Settings& s = settings_[i];
       s.label = "host-" + std::to_string(i);
       s.client_listen = free_address();
       s.peer_listen = free_address();
@@ -74,38 +76,38 @@
     }
     for (std::size_t i = 0; i < n; ++i) {
       for (std::size_t k = 0; k < n; ++k)
-        if (k != i) all[i].peers.push_back({all[k].label, "x", all[k].peer_listen});
-      users.push_back(all[i].client_listen);
+        if (k != i) settings_[i].peers.push_back({settings_[k].label, "x", settings_[k].peer_listen});
+      users.push_back(settings_[i].client_listen);
     }
-    if (change) change(all);
+    if (change) change(settings_);
     replicas_.resize(n);
-    for (std::size_t i = 0; i < n; ++i) start(i, tunings[std::min(i, tunings.size() - 1)]);
+    for (std::size_t i = 0; i < n; ++i) start(i, options[std::min(i, options.size() - 1)]);
   }
   ~Cluster() {
     for (std::size_t i = 0; i < users.size(); ++i) {
-      auto& d = state.endpoint(i);
-      d.refuses = d.frozen = false;
-      d.loses = d.late = d.repeats = 0;
+      auto& endpoint = state.endpoint(i);
+      endpoint.refuses = endpoint.frozen = false;
+      endpoint.loses = endpoint.late = endpoint.repeats = 0;
     }
     for (auto& replica : replicas_) replica.thread.request_stop();
   }
-  // A controller begins anew, with other flags or as another build.
+  // Starts a controller, with other options or as another build, in place of the one that runs.
   void start(std::size_t i, const Options& options) {
     stop(i);
     replicas_[i].controller = std::make_unique<Controller>(settings_[i], options);
-    replicas_[i].thread = std::jthread([c = replicas_[i].controller.get()](std::stop_token st) { c->run(st); });
+    replicas_[i].thread = std::jthread([c = replicas_[i].controller.get()](std::stop_token stop) { c->run(stop); });
   }
   void stop(std::size_t i) {
     replicas_[i].thread = {};
     replicas_[i].controller.reset();
   }
-  // A line of a controller's metrics; empty when it is not there.
+  // A line of a controller's metrics, the first whose name begins so; empty: there is none.
   std::string metric(std::size_t replica, const std::string& name) const {
     const auto text = "\n" + ask(replica, "GET", "/metrics").body;
     const auto at = text.find("\nthistlefront_" + name);
     return at == std::string::npos ? "" : text.substr(at + 1, text.find('\n', at + 1) - at - 1);
   }
-  // Of a controller, from its next start on.
+  // The settings that a controller gets at its next start.
   Settings& settings(std::size_t i) { return settings_[i]; }
   std::string format_version() { return state.value(kActiveVersionKey); }
 
@@ -114,7 +116,7 @@
     return client.call(method, path, body, 5);
   }
   HttpResult submit(std::size_t replica, const std::string& uid) const { return ask(replica, "POST", "/v1/jobs", job_body(uid)); }
-  // Until some controller accepts it; false when none did in time.
+  // Submits until some controller accepts the job; false when none did in time.
   bool submit_until(const std::string& uid, double within_s) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
       for (std::size_t i = 0; i < users.size(); ++i) {
@@ -125,6 +127,7 @@
     }
     return false;
   }
+  // Waits until some controller leads.
   std::size_t leader() {
     for (const double until = steady_now() + 20; steady_now() < until;) {
       const auto label = state.leader();
@@ -135,6 +138,7 @@
     ADD_FAILURE() << "no leader";
     return 0;
   }
+  // Whether it holds within this time.
   bool eventually(double within_s, const std::function<bool()>& holds) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
       if (holds()) return true;
@@ -142,7 +146,7 @@
     }
     return false;
   }
-  // Every accepted job stands in the ledger, once as an acceptance or as written anew.
+  // How often the ledger holds the acceptance of each job; once is right.
   std::map<std::string, int> accepted_in_ledger() {
     std::map<std::string, int> out;
     for (const auto& [key, value] : state.entries())
@@ -152,7 +156,7 @@
   }
 
   FakeStateStore state;
-  std::vector<std::string> users;
+  std::vector<std::string> users;  // addresses that users call, by controller
 
  private:
   std::string cloud_address_;
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -1,4 +1,5 @@
-// Real controllers on loopback with the network between them, machines that keep to the protocol, and the rig's checker.
+// A test fixture with a cluster of real controllers, relays on the network between them, stand-in workers that keep to the protocol, and
+// the checker of the protocol's rules: a test fails where any rule is broken.
 #pragma once
 #include "cluster.hpp"
 #include "testbed/checker.hpp"
@@ -14,8 +15,8 @@
 
 class ClusterFixture : public testing::Test {
  protected:
-  explicit ClusterFixture(testbed::Times t) : times(t), checker({{"red", 1000}}, t.cancel) {}
-  // `site`: of all controllers; the machines are in zone x.
+  explicit ClusterFixture(const testbed::Times& protocol_times) : times(protocol_times), checker({{"red", 1000}}, protocol_times.cancel) {}
+  // Starts `n` controllers, all in zone `site`, and the workers, in zone x.
   void begin(std::size_t n, std::size_t machines, const std::string& site = "", const Options& options = one_level()) {
     cluster = std::make_unique<Cluster>(
         n, 1, std::vector<Options>{options},
@@ -34,8 +35,9 @@
         },
         cloud);
     for (std::size_t i = 0; i < machines; ++i)
-      workers.push_back(std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, 7 + i));
-    ticker = std::jthread([this](std::stop_token stop) {
+      workers.push_back(
+          std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, static_cast<unsigned>(7 + i)));
+    ticker = std::jthread([this](const std::stop_token& stop) {
       while (pause_for(stop, 0.02)) checker.tick(steady_now());
     });
   }
@@ -48,7 +50,7 @@
     relays.clear();
     EXPECT_TRUE(checker.broken().empty()) << checker.broken().size() << " broken, first " << checker.broken().front();
   }
-  // Asks of this job, and notes what its user is told, and when it was asked; returns it.
+  // Makes a call about this job and tells the checker what its user is told; returns that.
   template <class Ask>
   std::string told(const std::string& uid, const Ask& ask) {
     const double sent = steady_now();
@@ -70,7 +72,7 @@
     const auto at = r.body.find("\"running\":");
     return at == std::string::npos ? 0 : std::stoul(r.body.substr(at + 10));
   }
-  // Between this controller and another one, both ways; and between it and all others.
+  // Cuts the network between two controllers, both ways; and between one and all others.
   void part(std::size_t a, std::size_t b, bool is) {
     relays.at({a, b})->cut(is);
     relays.at({b, a})->cut(is);
@@ -79,6 +81,7 @@
     for (std::size_t k = 0; k < cluster->users.size(); ++k)
       if (k != a) part(a, k, is);
   }
+  // Freezes all workers.
   void hang(double for_s) {
     for (auto& w : workers) w->hang(steady_now() + for_s);
   }
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -1,6 +1,6 @@
-// Jobs are cancelled in the seconds in which one controller's work changes hands: before, in and after the last commit of the one that
-// hands over, wherever the record is (queued, on its way, in the ledger, read by the next one). Who was told stays right; who was
-// not asks again, and is told by the next one.
+// Jobs are cancelled in the seconds in which one leader hands over to the next: before, in and after its last commit, wherever the record
+// is (queued, sent, in the ledger, read by the successor). What a user was told stays true; a user who was told nothing asks again and is
+// answered by the successor.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -10,8 +10,8 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
-constexpr int kUsers = 6, kJobsEach = 40, kMachines = 3, kReachedByPeers = 10;
+constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr int kUsers = 6, kJobsEach = 40, kMachines = 3, kNodesSeenByPeersOnly = 10;
 
 class HandOver : public test_support::ClusterFixture, public testing::WithParamInterface<double> {
  protected:
@@ -23,7 +23,7 @@
   };
 };
 
-// The share of answers of the state service that are lost for transactions that were carried out; the rest is on time.
+// The parameter: share of executed transactions whose answers from the store are lost.
 TEST_P(HandOver, CancellationsInItAreToldOnceAndStay) {
   begin(3, kMachines);
   for (int u = 0; u < kUsers; ++u) {
@@ -36,12 +36,12 @@
   }
   const auto first = cluster->leader(), other = (first + 1) % 3;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->metric(first, "placed_tasks") == "thistlefront_placed_tasks 24"; }));
-  for (auto& w : workers) w->cut_commands(true);  // it asks some machines itself, and none answers
+  for (auto& w : workers) w->cut_commands(true);  // the leader asks some nodes itself, and none answers
   cluster->state.endpoint(first).loses = GetParam();
-  // Machines that reach it by way of another controller alone, so that it hands over.
-  std::jthread reporters([&](std::stop_token stop) {
+  // Nodes whose heartbeats reach the leader through another controller alone, so that it hands over.
+  std::jthread heartbeats([&](const std::stop_token& stop) {
     for (std::uint64_t serial = 1; pause_for(stop, 0.2); ++serial) {
-      for (int w = 0; w < kReachedByPeers && cluster->state.leader() == "host-" + std::to_string(first); ++w)
+      for (int w = 0; w < kNodesSeenByPeersOnly && cluster->state.leader() == "host-" + std::to_string(first); ++w)
         cluster->ask(other, "POST", "/v1/report",
                      test_support::heartbeat_body("p-" + std::to_string(w), "127.0.0.1:1", serial, cluster->state.fencing_token()));
     }
@@ -56,7 +56,7 @@
     cluster->state.endpoint(first).loses = 0;
     over_at = steady_now() + 2;
   });
-  // Each job is called off once, a few each second, and then again until it is told.
+  // Each user cancels one job after the other, and repeats each until it is answered.
   std::mutex mutex;
   std::vector<Withdrawal> all;
   std::vector<std::jthread> users;
@@ -64,7 +64,7 @@
     users.emplace_back([&, u] {
       std::mt19937 random(static_cast<unsigned>(u) + 1);
       for (int k = 0; k < kJobsEach; ++k) {
-        // Slowly until it comes near, and then as fast as it goes.
+        // Slowly until the hand-over is near, and then as fast as it goes.
         while (k > 8 && handed_over == 0 && cluster->metric(first, "handed_over_total").empty()) wait(0.01);
         const std::string uid = "j-" + std::to_string(u * 100 + k);
         checker.wants_withdrawn(uid);
@@ -85,9 +85,9 @@
   users.clear();
   watch.join();
   ASSERT_GT(handed_over.load(), 0);
-  reporters = {};
+  heartbeats = {};
   EXPECT_EQ(cluster->metric(first, "handed_over_total"), "thistlefront_handed_over_total 1");
-  const double near = GetParam() > 0 ? 8 : 1.5;  // seconds; each answer that is lost takes over a second
+  const double near = GetParam() > 0 ? 8 : 1.5;  // seconds; a lost answer takes over a second
   std::size_t before = 0, refused = 0, after = 0, across = 0;
   for (const auto& w : all) {
     before += w.told && w.answered < handed_over && w.answered > handed_over - near;
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -1,5 +1,5 @@
-// Report intake with real controllers: workers stay with whichever controller they found, and nothing that happens to it, to the
-// leader or to the link between them costs a lease or a machine.
+// The heartbeat relay with real controllers: workers stay with whichever controller they found, which relays their heartbeats to the
+// leader. Nothing that happens to the relaying controller, to the leader or to the link between them costs a lease or a machine.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,15 +15,15 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // report, lease, cancel, pull
+constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // heartbeat, lease, cancel, pull
 constexpr std::size_t kMachinesPerController = 8, kTasks = 2;
 
-class IntakeOf : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
+class HeartbeatRelayOf : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
  protected:
-  IntakeOf() : ClusterFixture(kTimes) {
+  HeartbeatRelayOf() : ClusterFixture(kTimes) {
     cloud = [this](const HttpCall& call) -> HttpReply {
       if (call.target == kMachineTypesPath) return {200, test_support::kMachineTypes};
-      if (call.method == "GET") return {200, all_begun ? listed() : R"({"hosts":[],"truncated":false})"};
+      if (call.method == "GET") return {200, workers_made ? machine_list() : R"({"hosts":[],"truncated":false})"};
       if (call.target == "/rentals/release") ++releases;
       return {503, R"({"error":"no capacity"})"};
     };
@@ -35,7 +35,7 @@
   }
   void begin_with_work(bool relay = true) {
     begin(GetParam(), kMachinesPerController * GetParam(), "x", options(relay));
-    all_begun = true;
+    workers_made = true;
     for (int i = 0; i < 6; ++i) {
       jobs.push_back("j-" + std::to_string(i + 1));
       checker.submitted({jobs.back(), "red", "batch", "", kTasks, 1, 1000}, steady_now());
@@ -47,8 +47,8 @@
   bool all_run() {
     return std::all_of(jobs.begin(), jobs.end(), [&](const auto& uid) { return running(uid) == kTasks; });
   }
-  // No lease lapsed: each machine is in its first session.
-  void expect_first_sessions(const char* when) {
+  // No lease expired: each agent is in its first incarnation.
+  void expect_no_lease_expired(const char* when) {
     for (auto& w : workers) EXPECT_EQ(w->agent_incarnation(), 1u) << w->name() << ", " << when;
     EXPECT_EQ(releases, 0) << "no machine is given back, " << when;
   }
@@ -56,17 +56,17 @@
     const auto text = cluster->metric(replica, name + " ");
     return text.empty() ? 0 : std::strtod(text.substr(text.find(' ')).c_str(), nullptr);
   }
-  // Reports that followers passed on so far.
+  // Heartbeats that followers relayed so far.
   double relayed() {
     double out = 0;
     for (std::size_t i = 0; i < GetParam(); ++i) out += metric(i, "reports_passed_on_total");
     return out;
   }
-  bool passes_on() {
+  bool relays_heartbeats() {
     const double before = relayed();
     return cluster->eventually(5, [&] { return relayed() > before + 3; });
   }
-  std::string listed() {
+  std::string machine_list() {
     nlohmann::json nodes = nlohmann::json::array();
     for (const auto& w : workers)
       nodes.push_back({{"uid", w->name()},
@@ -81,16 +81,16 @@
 
   std::vector<std::string> jobs;
   std::atomic<int> releases{0};
-  std::atomic<bool> all_begun{false};  // the machines may be listed
+  std::atomic<bool> workers_made{false};  // from then on the cloud lists them
 };
 
-TEST_P(IntakeOf, WorkersStayAndAreStartedAndCancelledByWayOfIt) {
+TEST_P(HeartbeatRelayOf, TasksAreStartedAndCancelledThroughIt) {
   begin_with_work();
-  EXPECT_TRUE(passes_on());
+  EXPECT_TRUE(relays_heartbeats());
   checker.wants_withdrawn("j-1");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-1") == "aborted"; }));
   wait(1);
-  // By its answers alone too, where no direct command reaches the machines.
+  // Through its answers alone, where no direct command reaches the workers.
   for (auto& w : workers) w->cut_commands(true);
   checker.wants_withdrawn("j-2");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-2") == "aborted"; }));
@@ -98,10 +98,10 @@
     return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& w) { return sum + w->holds(); }) ==
            4 * kTasks;
   }));
-  expect_first_sessions("at the end");
+  expect_no_lease_expired("at the end");
 }
 
-TEST_P(IntakeOf, ALeaderThatEndsCostsNoLease) {
+TEST_P(HeartbeatRelayOf, ALeaderThatStopsCostsNoLease) {
   begin_with_work();
   for (int round = 0; round < 2; ++round) {
     const auto first = cluster->leader();
@@ -109,63 +109,63 @@
     ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
     cluster->start(first, options(true));
     wait(2 * kTimes.lease);
-    expect_first_sessions("after a leader ended");
+    expect_no_lease_expired("after a leader stopped");
     EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
   }
 }
 
-// It must not look like the loss of its workers: they come back by way of another one.
-TEST_P(IntakeOf, AnIntakeThatEndsCostsNoLeaseAndNoMachine) {
+// A relaying controller that stops must not look like the loss of its workers: their heartbeats come through another one.
+TEST_P(HeartbeatRelayOf, ARelayThatStopsCostsNoLeaseAndNoMachine) {
   begin_with_work();
   for (double away : {0.05, 2 * kTimes.lease}) {
-    const auto one = (cluster->leader() + 1) % GetParam();
-    cluster->stop(one);
+    const auto relay = (cluster->leader() + 1) % GetParam();
+    cluster->stop(relay);
     wait(away);
-    cluster->start(one, options(true));
+    cluster->start(relay, options(true));
     wait(2 * kTimes.lease);
-    expect_first_sessions("after an intake ended");
+    expect_no_lease_expired("after a relay stopped");
     EXPECT_TRUE(all_run());
   }
 }
 
 // Controllers that can't reach each other, while the workers reach all of them.
-TEST_P(IntakeOf, AnIntakeCutFromTheLeaderAloneSendsItsWorkersToIt) {
+TEST_P(HeartbeatRelayOf, ARelayCutFromTheLeaderAloneSendsItsWorkersToIt) {
   begin_with_work();
   const auto leader = cluster->leader();
-  const auto one = (leader + 1) % GetParam();
-  part(one, leader, true);
+  const auto relay = (leader + 1) % GetParam();
+  part(relay, leader, true);
   wait(3 * kTimes.lease);
-  part(one, leader, false);
-  expect_first_sessions("after the cut");
+  part(relay, leader, false);
+  expect_no_lease_expired("after the cut");
   EXPECT_TRUE(all_run());
-  // And is one of them again.
+  // Afterwards it relays again.
   EXPECT_TRUE(cluster->eventually(30, [&] {
-    const double before = metric(one, "reports_passed_on_total");
+    const double before = metric(relay, "reports_passed_on_total");
     wait(0.7);
-    return metric(one, "reports_passed_on_total") > before;
+    return metric(relay, "reports_passed_on_total") > before;
   }));
 }
 
-// Cut from the leader and from the state service it is inside a cut, most likely with its workers: it keeps their leases, which are of its
-// own zone. Sent to the leader instead, 120 to 151 of some 400 machines lost theirs (lienzo fleet, zone).
-TEST_P(IntakeOf, AnIntakeCutOffWithItsZoneKeepsItsWorkersLeases) {
+// Cut from the leader and from the store: its workers are most likely cut off with it, so it keeps the leases of those in its own zone.
+// When it sent them to the leader instead, 120 to 151 of some 400 nodes lost theirs.
+TEST_P(HeartbeatRelayOf, ARelayCutOffWithItsZoneKeepsItsWorkersLeases) {
   begin_with_work();
-  const auto one = (cluster->leader() + 1) % GetParam();
-  ASSERT_TRUE(cluster->eventually(20, [&] { return metric(one, "reports_passed_on_total") > 3; }));
-  part(one, true);
-  cluster->state.endpoint(one).refuses = true;
-  EXPECT_TRUE(cluster->eventually(6, [&] { return metric(one, "kept_in_cuts_total") > 0; }));
+  const auto relay = (cluster->leader() + 1) % GetParam();
+  ASSERT_TRUE(cluster->eventually(20, [&] { return metric(relay, "reports_passed_on_total") > 3; }));
+  part(relay, true);
+  cluster->state.endpoint(relay).refuses = true;
+  EXPECT_TRUE(cluster->eventually(6, [&] { return metric(relay, "kept_in_cuts_total") > 0; }));
   wait(2 * kTimes.lease);
-  expect_first_sessions("in the cut");
-  part(one, false);
-  cluster->state.endpoint(one).refuses = false;
+  expect_no_lease_expired("in the cut");
+  part(relay, false);
+  cluster->state.endpoint(relay).refuses = false;
   wait(kTimes.lease);
-  expect_first_sessions("after the cut");
+  expect_no_lease_expired("after the cut");
   EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
 }
 
-// Held up by a cut, batches reach a leader that was deposed meanwhile, and its answers come back late.
-TEST_P(IntakeOf, ADeposedLeadersLateAnswersHarmNothing) {
+// Batches held up by a cut reach a leader that was deposed meanwhile, and its answers come back late.
+TEST_P(HeartbeatRelayOf, ADeposedLeadersLateAnswersHarmNothing) {
   begin_with_work();
   const auto first = cluster->leader();
   part(first, true);
@@ -183,10 +183,10 @@
   EXPECT_EQ(releases, 0);
 }
 
-// Operators switch it on and off by restarting one controller after the other; older builds are like ones with it off.
-TEST_P(IntakeOf, SwitchedOnAndOffOneControllerAfterTheOther) {
+// Operators switch the relay on and off by restarting one controller after the other; older builds behave as with the relay off.
+TEST_P(HeartbeatRelayOf, SwitchedOnAndOffOneControllerAfterTheOther) {
   begin_with_work(false);
-  EXPECT_EQ(relayed(), 0) << "off: workers are with the leader";
+  EXPECT_EQ(relayed(), 0) << "off: workers send to the leader";
   for (const bool on : {true, false}) {
     for (std::size_t i = 0; i < GetParam(); ++i) {
       cluster->start(i, options(on));
@@ -194,15 +194,15 @@
       EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); })) << i << (on ? " on" : " off");
     }
     if (!on) continue;
-    EXPECT_TRUE(passes_on());
+    EXPECT_TRUE(relays_heartbeats());
   }
   const double before = relayed();
   wait(2);
   EXPECT_EQ(relayed(), before);
-  expect_first_sessions("after both");
+  expect_no_lease_expired("after both");
 }
 
-TEST_P(IntakeOf, AMalformedBatchChangesNothing) {
+TEST_P(HeartbeatRelayOf, AMalformedBatchChangesNothing) {
   begin_with_work();
   const auto leader = cluster->leader();
   FramePool peer(cluster->settings(leader).peer_listen, 2);
@@ -213,27 +213,27 @@
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 400u);
   }
-  // Well formed, and of another lead: not taken.
+  // Well formed, and for another leader: not taken.
   const auto answer = peer.ask(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
   ASSERT_TRUE(answer);
-  const auto other_lead = unpack_heartbeat_batch_answer(*answer);
-  ASSERT_TRUE(other_lead);
-  EXPECT_EQ(other_lead->takeover_token, 0u);
+  const auto refusal = unpack_heartbeat_batch_answer(*answer);
+  ASSERT_TRUE(refusal);
+  EXPECT_EQ(refusal->takeover_token, 0u);
   wait(kTimes.lease);
-  expect_first_sessions("after malformed batches");
+  expect_no_lease_expired("after malformed batches");
   EXPECT_TRUE(all_run());
 }
 
-// The worker's older connection at another intake: a copy of its report comes by that way when it has moved on.
-TEST_P(IntakeOf, AnOldReportByWayOfAnotherIntakeRenewsNothing) {
+// A worker's heartbeat is delayed and arrives at another controller after newer ones.
+TEST_P(HeartbeatRelayOf, AnOldHeartbeatThroughAnotherRelayRenewsNothing) {
   begin_with_work();
   for (auto& w : workers) w->copy_heartbeats(true);
   wait(3 * kTimes.lease);
-  expect_first_sessions("with copies of reports at any controller");
+  expect_no_lease_expired("with old copies of heartbeats at any controller");
   EXPECT_TRUE(all_run());
 }
 
-INSTANTIATE_TEST_SUITE_P(Controllers, IntakeOf, testing::Values(3, 5));
+INSTANTIATE_TEST_SUITE_P(Controllers, HeartbeatRelayOf, testing::Values(3, 5));
 
 }  // namespace
 }  // namespace thistlefront
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,5 +1,5 @@
-// Leadership and the ledger's writer: real controllers on loopback against an in-memory state service that refuses,
-// loses, delays and repeats. What users were told must hold for ever after, whoever leads.
+// Leadership and the ledger's writer: real controllers on loopback against a fake store that refuses, loses, delays and repeats. What users
+// were told must stay true, whoever leads.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -14,14 +14,14 @@
 using test_support::Cluster;
 using test_support::free_address;
 
-TEST(Leadership, OneThatTheStateServiceAloneRefusesHandsOverAndFollows) {
+TEST(Leadership, ALeaderThatTheStoreRefusesHandsOverAndFollows) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
   c.state.endpoint(first).refuses = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  // The one refused takes requests still: it forwards them.
+  // The refused controller still takes requests, and forwards them.
   EXPECT_TRUE(c.eventually(20, [&] { return c.submit(first, "j-3").is(201) || c.submit(first, "j-3").is(200); }));
   for (const auto* uid : {"j-1", "j-2", "j-3"})
     for (std::size_t i = 0; i < 3; ++i)
@@ -29,7 +29,7 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// Frozen between check and send: by the time its transaction arrives, its hold is over and another leads.
+// A leader frozen between check and send: when its transaction arrives, its session lease has expired and another one leads.
 TEST(Leadership, ADeposedLeadersLateTransactionChangesNothing) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
@@ -41,7 +41,7 @@
   c.state.expire_session_leases();
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   ASSERT_TRUE(c.submit_until("j-3", 20));
-  ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late one was to be executed";
+  ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late transaction was to be executed";
   user.join();
   EXPECT_EQ(c.state.unfenced(), 0u);
   EXPECT_FALSE(c.accepted_in_ledger().contains("j-2"));
@@ -67,8 +67,8 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// The answers of the state service, renewals among them, stand still for longer than the hold: what the leader says
-// meanwhile must not be older than what its successor says.
+// The store's answers, also to renewals, are held up for longer than the session lease: what the leader says meanwhile must not be older
+// than what its successor says.
 TEST(Leadership, ALeaderWithoutAnswersTellsUsersNothingThatMayBeOld) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
@@ -92,9 +92,9 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// A worker that takes commands and does not answer leaves starts in doubt: the leader raises its epoch while users'
-// records are on their way into the ledger, and loses none of them.
-TEST(Leadership, TheEpochIsRaisedBetweenCommits) {
+// A worker that takes commands and does not answer leaves starts in doubt: the leader raises its fencing token while users' records are on
+// their way into the ledger, and loses none of them.
+TEST(Leadership, TheFencingTokenIsRaisedBetweenCommits) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
@@ -116,16 +116,16 @@
     return commands > 0 && c.state.fencing_token() > before;
   }));
   EXPECT_GT(accepted, 0);
-  EXPECT_EQ(c.leader(), first) << "the same leader, under a higher epoch";
+  EXPECT_EQ(c.leader(), first) << "the same leader, with a higher fencing token";
   const auto in_ledger = c.accepted_in_ledger();
   for (std::uint64_t i = 1; i <= serial; ++i) EXPECT_TRUE(in_ledger.contains("j-1" + std::to_string(i)));
   EXPECT_EQ(c.state.unfenced(), 0u);
   ending = true;
 }
 
-// Cut from the workers only: their reports come by way of the other controller, and none of them answers this one. It
-// keeps its hold and its peer, and must give the lead up all the same.
-TEST(Leadership, OneThatWorkersReachByWayOfOthersOnlyHandsOver) {
+// The leader is cut from the workers only: their heartbeats come through the other controller, and none answers its commands. It keeps its
+// session lease and its peer, and must give up the lead all the same.
+TEST(Leadership, ALeaderThatWorkersReachThroughOthersOnlyHandsOver) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
@@ -143,32 +143,32 @@
   EXPECT_TRUE(c.submit_until("j-2", 20));
 }
 
-// The key that an ended process left is there for as long as its hold (here for ever): the process that comes back under its
-// name knows that it has ended, and takes it away, and another one leads. The key of any other name stays.
-TEST(Leadership, TheLeadOfItsOwnEarlierProcessIsGivenBackAndNoOther) {
+// A process that ended leaves its leader key for as long as its session lease lasts (here for ever). The next process of the same name
+// knows that the earlier one has ended and removes the key, and another controller leads. A key of any other name stays.
+TEST(Leadership, TheLeaderKeyOfItsOwnEarlierProcessIsRemovedAndNoOther) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
-  const auto begin_anew_under = [&](const std::string& label) {
+  const auto restart_with_leader_key_of = [&](const std::string& label) {
     for (std::size_t i = 0; i < 3; ++i) c.stop(i);
     c.state.put(c.state.lead(), R"({"label":")" + label + R"(","incarnation":7})");
     const auto left = c.state.fencing_token();
     for (std::size_t i = 0; i < 3; ++i) c.start(i, {});
     return left;
   };
-  const auto left = begin_anew_under("host-1");
+  const auto left = restart_with_leader_key_of("host-1");
   EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > left && !c.state.leader().empty(); }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   EXPECT_EQ(c.state.unfenced(), 0u);
 
-  const auto others = begin_anew_under("host-7");
+  const auto others = restart_with_leader_key_of("host-7");
   EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != others; }));
   EXPECT_TRUE(c.submit(0, "j-3").is(503));
   c.state.remove(c.state.lead());
   EXPECT_TRUE(c.submit_until("j-3", 20));
 }
 
-// A try to take the lead that got no answer is carried out just before the next one of the same controller, which then finds a key
-// of its own, attached to a hold that it does not renew: it led on while another one could take the lead.
+// A try to take the leader key that got no answer is executed just before the next try of the same controller, which then finds a key of
+// its own, attached to a session lease that it does not renew: it once led on while another controller could take the lead.
 TEST(Leadership, ALeadTakenByALateTransactionIsNotTheNextTrysOwn) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
@@ -186,38 +186,37 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// A process that ends for a cause of its own, over and over, must not use up what the state service allows: in its first second a
-// start costs one read, and one watch.
+// A process that crashes over and over must not use up the store's rate limit: in its first second a start costs one read and one watch.
 TEST(Leadership, AStartCostsNoChangeBeforeItHasLivedForASecond) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
   auto& endpoint = c.state.endpoint(other);
-  endpoint.fuse = 1;  // the second request finds nobody who answers
+  endpoint.fuse = 1;  // the second request gets no answer
   c.start(other, {});
-  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it looks who leads";
+  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it reads who leads";
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   EXPECT_FALSE(endpoint.blown);
-  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "then it enlists";
+  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "then it writes its registry record";
   endpoint.blown = false;
 }
 
-// Users of three controllers, while the state service's doors refuse, lose, delay and repeat at random and holds end.
-TEST(Leadership, WhatUsersWereToldHoldsOnADayOfRandomTrouble) {
+// Users of three controllers, while the store's endpoints refuse, lose, delay and repeat at random and session leases expire.
+TEST(Leadership, WhatUsersWereToldStaysTrueUnderRandomFaults) {
   Cluster c(3, 7);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
-  for (std::size_t i = 0; i < 3; ++i) c.state.endpoint(i).late_most = 6;  // well after newer ones of the same controller
+  for (std::size_t i = 0; i < 3; ++i) c.state.endpoint(i).late_most = 6;  // well after newer transactions of the same controller
   std::jthread trouble([&] {
     std::mt19937 random(11);
     while (!over) {
-      auto& d = c.state.endpoint(random() % 3);
+      auto& endpoint = c.state.endpoint(random() % 3);
       switch (random() % 5) {
-        case 0: d.refuses = !d.refuses; break;
-        case 1: d.loses = d.loses > 0 ? 0 : 0.3; break;
-        case 2: d.late = d.late > 0 ? 0 : 0.2; break;
-        case 3: d.repeats = d.repeats > 0 ? 0 : 0.3; break;
+        case 0: endpoint.refuses = !endpoint.refuses; break;
+        case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.3; break;
+        case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.2; break;
+        case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.3; break;
         default:
           if (random() % 3 == 0) c.state.expire_session_leases();
       }
@@ -271,9 +270,9 @@
   users.clear();
   trouble.join();
   for (std::size_t i = 0; i < 3; ++i) {
-    auto& d = c.state.endpoint(i);
-    d.refuses = false;
-    d.loses = d.late = d.repeats = 0;
+    auto& endpoint = c.state.endpoint(i);
+    endpoint.refuses = false;
+    endpoint.loses = endpoint.late = endpoint.repeats = 0;
   }
   ASSERT_TRUE(c.submit_until("j-9", 30));
   EXPECT_TRUE(broken.empty()) << broken.size() << " broken, first " << (broken.empty() ? "" : broken.front());
@@ -285,7 +284,7 @@
       body = r.body;
       return r.is(200);
     })) << uid;
-    // What got no answer may have been done all the same, but nothing that was not asked for.
+    // A withdrawal that got no answer may have been executed, but nothing that was not asked for.
     const bool aborted = body.find("aborted") != std::string::npos;
     EXPECT_TRUE(aborted || !withdrawn.contains(uid)) << uid << ": " << body;
     EXPECT_TRUE(!aborted || asked.contains(uid)) << uid << ": " << body;
@@ -293,8 +292,7 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// Made before the process stood still, given after: the server looks once more just before it sends.
-// More connections than a process may have threads for: the ones that say nothing go, and nothing else is lost by it.
+// More connections than the process may have threads for: idle ones are closed, and nothing else is lost.
 TEST(Leadership, ConnectionsPastTheBudgetCostNeitherTheLeadNorTheUsers) {
   Options few;
   few.threads = ResourceBudget::kLeastThreads;
@@ -315,6 +313,7 @@
   EXPECT_LE(std::stoul(metrics.substr(at + 32)), split_resource_budget(few.threads, 400, 0).clients + ResourceBudget::kOver);
 }
 
+// An answer made before the process was frozen and sent after: the server checks its validity once more just before it sends.
 TEST(HttpServer, AnAnswerPastItsTimeIsNotGiven) {
   const auto address = free_address();
   HttpServer server(address, 5, [](const HttpCall& call) -> HttpReply {
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -1,5 +1,6 @@
-// A transaction is carried out at once and only its answer is lost, while other controllers read what it wrote: for each kind that is
-// written. The writer goes on telling what it knows; whoever reads tells what is there; then the writer learns, and tells it once.
+// A transaction is executed and only its answer is lost, while other controllers read what it wrote: for each kind of write. The writer
+// goes on telling what it knows, readers tell what they read; then the writer learns that the write is its own, and does not write it
+// again.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -12,13 +13,13 @@
 using test_support::Cluster;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
+constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
 
 struct Kind {
-  const char *name, *before, *after;  // what users are told of the job without the record, and with it
-  bool successor;                     // another one leads, and reads the record; else its writer learns by itself
-  friend std::ostream& operator<<(std::ostream& out, const Kind& k) {
-    return out << k.name << (k.successor ? ", read by a successor" : "");
+  const char *name, *before, *after;  // the job's status without the record, and with it
+  bool successor;                     // another controller leads and reads the record; else its writer learns by itself
+  friend std::ostream& operator<<(std::ostream& out, const Kind& kind) {
+    return out << kind.name << (kind.successor ? ", read by a successor" : "");
   }
 };
 
@@ -30,7 +31,7 @@
 TEST_P(LostAnswer, OfARecordInTheLedger) {
   const Kind& kind = GetParam();
   const std::string name = kind.name;
-  // Long enough for the writer to be in doubt while it leads.
+  // Long enough for the writer to be in doubt about its write while it leads.
   Options options = test_support::one_level();
   options.leader_lease_ms = 2000;
   begin(3, 2, "", options);
@@ -52,7 +53,7 @@
     endpoint.loses_next = "ledger/";
     user = std::jthread([&] { withdraw(writer, "j-1"); });
   } else {
-    // The record of the last end: of the first, or of both at once.
+    // The record of the second task's end, which may be that of both.
     endpoint.loses_next = "ledger/";
     ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost == 1; }));
     if (checker.tasks_done() < 2) {
@@ -61,8 +62,8 @@
     }
   }
   ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost >= 1 && endpoint.loses_next == nullptr; }));
-  // It is there, and its writer does not know.
-  EXPECT_NE(std::string(kind.before).find(poll(writer, "j-1")), std::string::npos) << "it goes on telling what it knows";
+  // The record is there, and its writer does not know.
+  EXPECT_NE(std::string(kind.before).find(poll(writer, "j-1")), std::string::npos) << "the writer goes on telling what it knows";
   if (kind.successor) {
     endpoint.refuses = true;
     ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->leader() != writer; }));
@@ -71,7 +72,7 @@
   for (int k = 0; k < 10; ++k)
     for (std::size_t i = 0; i < 3; ++i) poll(i, "j-1");
   if (!kind.successor) {
-    EXPECT_EQ(cluster->state.fencing_token(), fencing_token) << "it knows its own record, and leads on";
+    EXPECT_EQ(cluster->state.fencing_token(), fencing_token) << "the writer knows its own record and leads on";
   }
   endpoint.refuses = false;
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(cluster->eventually(10, [&] { return poll(i, "j-1") == kind.after; })) << i;
@@ -87,8 +88,8 @@
                            return std::string(info.param.name) + (info.param.successor ? "AndReadByASuccessor" : "");
                          });
 
-// The others see that it leads before it does. It finds its key, under the hold that it asked for.
-TEST(LostAnswerOf, TheLeadTakenIsItsOwn) {
+// The others see that it leads before it does itself. It then finds the leader key attached to the session lease that it asked for.
+TEST(LostAnswerOf, TheLeaderKeyTakenIsItsOwn) {
   Options options = test_support::one_level();
   options.leader_lease_ms = 4000;
   Cluster c(3, 1, {options});
@@ -101,7 +102,7 @@
   const auto next = c.leader();
   const auto fencing_token = c.state.fencing_token();
   EXPECT_TRUE(c.eventually(5, [&] { return c.metric(3 - first - next, "epoch") == "thistlefront_epoch " + std::to_string(fencing_token); }))
-      << "another one knows of it";
+      << "another controller knows of it";
   EXPECT_NE(c.metric(next, "leading"), "thistlefront_leading 1") << "it does not know yet";
   EXPECT_TRUE(c.eventually(5, [&] { return c.metric(next, "leading") == "thistlefront_leading 1"; }));
   EXPECT_EQ(c.state.fencing_token(), fencing_token) << "taken once";
@@ -109,8 +110,8 @@
   EXPECT_EQ(lost(), 1u);
 }
 
-// The others see a higher epoch before its holder does; it leads on under that, with what was queued.
-TEST(LostAnswerOf, TheRaisedEpochIsItsOwn) {
+// The others see the raised fencing token before the leader does; it leads on with that and with what was queued.
+TEST(LostAnswerOf, TheRaisedFencingTokenIsItsOwn) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
@@ -140,8 +141,8 @@
   ending = true;
 }
 
-// The level is on for all who read before the leader that switched it on knows; it leads on, and writes at that level.
-TEST(LostAnswerOf, TheStateLevelIsItsOwn) {
+// Other controllers read the new format version before the leader that raised it knows; it leads on, and writes with it.
+TEST(LostAnswerOf, TheFormatVersionIsItsOwn) {
   Options options;
   options.format_version_soak_s = 0.2;
   Cluster c(3, 1, {options});
@@ -159,13 +160,13 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// Looked at once more, its own record is as it wrote it: nothing is written again.
-TEST(LostAnswerOf, TheRosterRecordIsWrittenOnce) {
+// The controller reads its own registry record back as it wrote it: nothing is written again.
+TEST(LostAnswerOf, TheRegistryRecordIsWrittenOnce) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const std::string key = std::string(kRegistryPrefix) + "host-1";
   ASSERT_TRUE(c.eventually(10, [&] { return c.state.mod_revision(key) > 0; }));
-  // A leader would write it for another one that it hears.
+  // Both are stopped: a leader would write the record for another controller that it hears.
   c.stop(0);
   c.stop(1);
   c.state.remove(key);
@@ -179,8 +180,8 @@
   EXPECT_EQ(c.state.mod_revision(key), mod_revision);
 }
 
-// It gave back the lead of its own earlier process, does not know, and another one leads by now: that one's key stays.
-TEST(LostAnswerOf, TheLeadGivenBackIsNotAnothersNextOne) {
+// A controller removed the leader key of its own earlier process and does not know it; another one leads by now, whose key must stay.
+TEST(LostAnswerOf, TheLeaderKeyGivenBackIsNotTheNextLeaders) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   for (std::size_t i = 0; i < 3; ++i) c.stop(i);
@@ -190,7 +191,7 @@
   for (std::size_t i = 0; i < 3; ++i) c.start(i, test_support::one_level());
   ASSERT_TRUE(c.eventually(10, [&] { return endpoint.lost == 1; }));
   ASSERT_TRUE(c.eventually(10, [&] { return !c.state.leader().empty() && c.state.leader() != "host-1"; }))
-      << "another one reads that it is free";
+      << "another controller reads that there is no leader";
   const auto fencing_token = c.state.fencing_token();
   EXPECT_TRUE(c.submit_until("j-2", 10));
   wait(4);
@@ -198,8 +199,8 @@
   EXPECT_TRUE(c.eventually(5, [&] { return c.ask(1, "GET", "/v1/jobs/j-2").is(200); })) << "it follows";
 }
 
-// Two leaders one after the other write an entry of the same number, under the same key and with the same sequence number: the first
-// one's answer was lost, or it was never carried out. What is there is one's own only if it is what one wrote.
+// Two leaders in a row write an entry under the same key with the same sequence number: the first one's answer was lost, or its write was
+// never executed. An entry is a leader's own only if it is what that leader wrote.
 TEST(LostAnswerOf, AnEntryIsItsOwnOnlyIfItSaysTheSame) {
   for (const std::uint32_t format_version : {1u, 2u, 4u}) {
     const ClusterState cluster_state({Team{"red", {}, {}}});
@@ -210,8 +211,8 @@
     const Put mine = entry_with("j-1"), others = entry_with("j-2");
     EXPECT_EQ(mine.key, others.key);
     EXPECT_EQ(parse_entry(mine.value).seq, parse_entry(others.value).seq);
-    EXPECT_FALSE(is_as_written(mine, others.value)) << "level " << format_version;
-    EXPECT_TRUE(is_as_written(mine, nlohmann::json::parse(mine.value).dump(2))) << "as the state service may print it";
+    EXPECT_FALSE(is_as_written(mine, others.value)) << "format version " << format_version;
+    EXPECT_TRUE(is_as_written(mine, nlohmann::json::parse(mine.value).dump(2))) << "as the store may print it";
     EXPECT_FALSE(is_as_written(mine, "no entry"));
   }
 }
--- a/tests/new_machines_test.cpp
+++ b/tests/new_machines_test.cpp
@@ -1,5 +1,5 @@
-// New machines are up at once and get work while writes lag and the machine list does not know of them, and the leader ends: none is
-// released with work on it, nothing starts twice, nothing is lost.
+// New machines are up at once and get tasks while writes lag and the cloud's list does not have them yet, and the leader goes: no machine
+// is released with tasks on it, nothing starts twice, nothing is lost.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -9,15 +9,15 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // report, lease, cancel, pull
-constexpr double kAbsent = 1.0, kBooting = 6.0;    // seconds for which the list lacks a machine, and for which it calls it booting
+constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr double kUnlisted = 1.0, kBooting = 6.0;  // seconds for which the list lacks a machine, and for which it says that it boots
 
 class NewMachines : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
   NewMachines() : ClusterFixture(kTimes) {
-    cloud = [this](const HttpCall& c) { return answer(c); };
+    cloud = [this](const HttpCall& c) { return answer_as_cloud(c); };
   }
-  HttpReply answer(const HttpCall& c) {
+  HttpReply answer_as_cloud(const HttpCall& c) {
     using nlohmann::json;
     if (c.target == kMachineTypesPath)
       return {200, R"({"hostKinds":[{"sku":"big","cores":8,"accelerators":0,"ramGb":32,"cacheGb":50,"fetchGbPerS":1,)"
@@ -27,7 +27,7 @@
     if (c.method == "GET") {
       json nodes = json::array();
       for (const auto& [name, at] : rented_at)
-        if (now - at > kAbsent && c.target.find("from=") == std::string_view::npos)
+        if (now - at > kUnlisted && c.target.find("from=") == std::string_view::npos)
           nodes.push_back({{"uid", name},
                            {"address", ""},
                            {"hostKind", "big"},
@@ -51,7 +51,8 @@
     json nodes = json::array();
     for (unsigned k = 0; k < body.at("count").get<unsigned>() && rented_at.size() < kMost; ++k) {
       const auto name = "m-" + std::to_string(workers.size());
-      workers.push_back(std::make_unique<testbed::Worker>(name, "x", cluster->users, checker, times, 70 + workers.size()));
+      workers.push_back(
+          std::make_unique<testbed::Worker>(name, "x", cluster->users, checker, times, static_cast<unsigned>(70 + workers.size())));
       rented_at[name] = now;
       nodes.push_back(name);
     }
@@ -64,8 +65,7 @@
   std::size_t released_at_work = 0;
 };
 
-// The leader stops in order, or is cut off from the state service and its peers; the machines stand still as its successor begins, and it
-// has not heard of them yet.
+// The leader stops, or is cut off from the store and its peers; the nodes hang as its successor begins, which has not heard of them yet.
 TEST_P(NewMachines, UpAtOnceWithWorkWhileWritesLagAndTheLeaderGoes) {
   begin(3, 0);
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->submit(0, "j-9").is(201); }));
@@ -84,7 +84,7 @@
     for (auto& w : workers) n += w->holds();
     return n;
   };
-  ASSERT_TRUE(cluster->eventually(20, [&] { return at_work() >= 8; })) << "rented, up and at work";
+  ASSERT_TRUE(cluster->eventually(20, [&] { return at_work() >= 8; })) << "rented, up and with tasks";
   {
     std::lock_guard lock(mutex);
     for (const auto& [name, at] : rented_at) EXPECT_LT(steady_now() - at, 4) << "within seconds";
@@ -101,9 +101,9 @@
     part(first, true);
     cluster->state.endpoint(first).refuses = true;
   }
-  // Another lead, by a process that has heard of no machine: of the one that stopped its next process may be the first to lead.
+  // A new leader that has heard of no node; it may be the next process of the controller that stopped.
   ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.fencing_token() != fencing_token; }));
-  EXPECT_GT(at_work(), 0u) << "they have work as the next one leads";
+  EXPECT_GT(at_work(), 0u) << "the nodes have tasks as the next leader begins";
   wait(4);
   part(first, false);
   for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).refuses = false, cluster->state.endpoint(i).slow = 0;
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -1,6 +1,5 @@
-// Threads and sockets are split so that a controller of any size can lead: at fleet size a thread for each
-// worker beside one for each connection came to more than a process may have, and it ended (kaubaalus fleet,
-// calm: 8 times).
+// Threads and sockets are split so that a controller of any size can lead. With a thread for each worker beside one for each connection, a
+// leader of a whole fleet once exceeded what its process may have, and crashed.
 #include "controller/resource_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +40,7 @@
   EXPECT_GT(b.worker_connections, 900u);
 }
 
-TEST(CommandQueue, OneIsServedByOneSenderAndAgainWhenItBecameDueMeanwhile) {
+TEST(CommandQueue, ANodeIsServedByOneSenderAndAgainWhenItBecameDueMeanwhile) {
   CommandQueue due(2);
   due.enqueue(NodeIndex{1}, false, 0);
   due.enqueue(NodeIndex{1}, true, 0);
@@ -50,26 +49,26 @@
   EXPECT_TRUE(first->announce);
   EXPECT_FALSE(due.dequeue());
   due.enqueue(NodeIndex{1}, false, 0);
-  EXPECT_FALSE(due.has_ready());  // it is being served
+  EXPECT_FALSE(due.has_ready());  // a sender serves it
   due.complete(NodeIndex{1});
   const auto again = due.dequeue();
   ASSERT_TRUE(again);
   EXPECT_FALSE(again->announce);
 }
 
-TEST(CommandQueue, ThoseThatDoNotAnswerNeverHoldUpTheOthers) {
+TEST(CommandQueue, NodesThatDoNotAnswerNeverHoldUpTheOthers) {
   CommandQueue due(2);
-  // Ten that die together: each fails once.
+  // Ten nodes die together: each fails once.
   for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(NodeIndex{i}, false, 0);
   for (std::uint32_t i = 0; i < 10; ++i) due.back_off(due.dequeue()->node, 1.5);
   due.enqueue(NodeIndex{0}, false, 1);
-  EXPECT_FALSE(due.has_ready());  // left alone for a while
+  EXPECT_FALSE(due.has_ready());  // backs off
   for (std::uint32_t i = 0; i < 10; ++i) due.enqueue(NodeIndex{i}, false, 2);
   due.enqueue(NodeIndex{50}, false, 2);
   EXPECT_EQ(due.dequeue()->node, NodeIndex{50});
   EXPECT_TRUE(due.dequeue());
   EXPECT_TRUE(due.dequeue());
-  EXPECT_FALSE(due.dequeue());  // two wait for slow ones: no third
+  EXPECT_FALSE(due.dequeue());  // two senders wait for slow nodes: no third
   due.enqueue(NodeIndex{51}, false, 2);
   EXPECT_EQ(due.dequeue()->node, NodeIndex{51});
   due.complete(NodeIndex{0});  // it answers again
@@ -77,29 +76,29 @@
   EXPECT_EQ(due.dequeue()->node, NodeIndex{0});
 }
 
-TEST(ConnectionPool, OverTheBoundTheOneLongestUnusedGoes) {
+TEST(ConnectionPool, OverTheBoundTheLeastRecentlyUsedConnectionIsClosed) {
   const std::string first = test_support::free_address();
   HttpServer server(first, 10, [](const HttpCall&) { return HttpReply{200, "{}"}; });
   const std::string second = test_support::free_address();
   HttpServer other(second, 10, [](const HttpCall&) { return HttpReply{200, "{}"}; });
-  ConnectionPool lines(1);
+  ConnectionPool pool(1);
   for (const auto& address : {first, second}) {
-    auto client = lines.acquire(address);
+    auto client = pool.acquire(address);
     ASSERT_TRUE(client->get("/", 2).ok());
-    lines.release(address, std::move(client));
+    pool.release(address, std::move(client));
   }
-  EXPECT_EQ(lines.size(), 1u);
-  EXPECT_FALSE(lines.acquire(first)->connected());
-  EXPECT_TRUE(lines.acquire(second)->connected());
+  EXPECT_EQ(pool.size(), 1u);
+  EXPECT_FALSE(pool.acquire(first)->connected());
+  EXPECT_TRUE(pool.acquire(second)->connected());
 }
 
-// At times 1.5 the leader has a connection for each of 1,554 workers and room for few users: a crowd of those must not cost a worker
-// that holds tasks its own.
-TEST(HttpServer, PastItsBoundUsersGoBeforeWorkersThatHoldTasks) {
+// A leader of a large fleet has a connection for each worker and room for few users: a crowd of users must not cost a worker with tasks its
+// connection.
+TEST(HttpServer, PastItsBoundUsersAreEvictedBeforeWorkersThatHoldTasks) {
   const auto address = test_support::free_address();
   HttpServer server(address, 3, [](const HttpCall& call) {
     HttpReply reply{200, "{}"};
-    reply.evict_last = call.target == "/dear";
+    reply.evict_last = call.target == "/evict-last";
     return reply;
   });
   std::vector<std::unique_ptr<Stream>> workers, users;
@@ -114,11 +113,11 @@
   };
   const auto closed = [&](Stream& stream) {
     stream.deadline(steady_now() + 0.2);
-    stream.read_exact(answer, sizeof answer, ec);  // what is left of it, and then the end or nothing
+    stream.read_exact(answer, sizeof answer, ec);  // the rest of the answer, and then the end or a timeout
     return ec == boost::asio::error::eof;
   };
-  ask(workers, "/dear");
-  ask(workers, "/dear");
+  ask(workers, "/evict-last");
+  ask(workers, "/evict-last");
   for (int i = 0; i < 4; ++i) ask(users, "/");
   for (auto& w : workers) EXPECT_FALSE(closed(*w));
   EXPECT_TRUE(closed(*users[0])) << "the longest idle of the others";
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,5 +1,5 @@
-// Roll-outs on real controllers: mixed builds, a level switched on and lowered again, and a ledger that
-// nobody, or only some, can read. An older build that knows of levels is played by `max_readable_format_version`.
+// Rollouts with real controllers: mixed builds, a format version raised and lowered again, and a ledger that no controller, or only some,
+// can read. `max_readable_format_version` makes a controller behave like an older build.
 #include <gtest/gtest.h>
 
 #include "cluster.hpp"
@@ -10,31 +10,33 @@
 
 using test_support::Cluster;
 
+// A build of format version 2, which raises the version after this time.
 Options soaking(double seconds) {
-  Options t;
-  t.format_version_soak_s = seconds;
-  t.max_readable_format_version = 2;
-  return t;
+  Options out;
+  out.format_version_soak_s = seconds;
+  out.max_readable_format_version = 2;
+  return out;
 }
+// A build of format version 1.
 Options older() {
-  Options t = soaking(0);
-  t.max_readable_format_version = 1;
-  return t;
+  Options out = soaking(0);
+  out.max_readable_format_version = 1;
+  return out;
 }
+// A build of format version 2 that an operator holds at a lower one.
 Options held_at(std::uint32_t format_version) {
-  Options t = soaking(0);
-  t.max_format_version = format_version;
-  return t;
+  Options out = soaking(0);
+  out.max_format_version = format_version;
+  return out;
 }
-
-// This build as it is, with nothing waited for.
+// This build, which raises the format version at once.
 Options at_once() {
-  Options t;
-  t.format_version_soak_s = 0;
-  return t;
+  Options out;
+  out.format_version_soak_s = 0;
+  return out;
 }
 
-constexpr const char* kTwo = R"({"level":2})";
+constexpr const char* kVersionTwo = R"({"level":2})";
 
 void expect_all_known(Cluster& c, const std::vector<std::string>& uids) {
   for (const auto& uid : uids)
@@ -42,37 +44,37 @@
       EXPECT_TRUE(c.eventually(15, [&] { return c.ask(i, "GET", "/v1/jobs/" + uid).is(200); })) << uid << " at " << i;
 }
 
-bool all_entries_of(Cluster& c, bool level_two) {
+bool all_entries_have_version_two(Cluster& c, bool wanted) {
   const auto entries = c.state.entries();
   return !entries.empty() && std::all_of(entries.begin(), entries.end(),
-                                         [&](const auto& e) { return (e.second.find("\"level\":2") != std::string::npos) == level_two; });
+                                         [&](const auto& e) { return (e.second.find("\"level\":2") != std::string::npos) == wanted; });
 }
 
-TEST(Rollout, OneThatLacksTheLevelHoldsItBackAndTheLastOneSwitchesItOn) {
+TEST(Rollout, AControllerWithoutTheVersionHoldsItBackAndTheLastOneRaisesIt) {
   Cluster c(3, 1, {soaking(0), soaking(0), older()});
   ASSERT_TRUE(c.submit_until("j-1", 20));
-  // The older build may lead and be followed, and says what it has.
+  // The older build may lead and be followed, and its registry record says what it has.
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.value("roster/host-2").empty(); }));
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(c.format_version(), "");
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
   }
-  EXPECT_TRUE(all_entries_of(c, false)) << "what an older build reads, as long as there is one";
+  EXPECT_TRUE(all_entries_have_version_two(c, false)) << "what an older build reads, as long as there is one";
   c.start(2, soaking(0));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
-  EXPECT_NE(c.state.value("leader").find("(state level 2)"), std::string::npos) << "kept by nobody, for builds from before levels";
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
+  EXPECT_NE(c.state.value("leader").find("(state level 2)"), std::string::npos)
+      << "held by no session lease, for builds from before format versions";
   ASSERT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_TRUE(c.eventually(20, [&] { return all_entries_of(c, true); })) << "old entries are written anew";
+  EXPECT_TRUE(c.eventually(20, [&] { return all_entries_have_version_two(c, true); })) << "old entries are rewritten";
   expect_all_known(c, {"j-1", "j-2"});
-  // And a leader's end changes nothing of it.
+  // A new leader changes nothing of it.
   c.state.expire_session_leases();
   ASSERT_TRUE(c.submit_until("j-3", 20));
   expect_all_known(c, {"j-1", "j-2", "j-3"});
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// Down for the whole roll-out: a controller counts with what it last had, and one never seen as of an old
-// build.
+// A controller that is down for the whole rollout counts with the version it last had, and one never seen as an old build.
 TEST(Rollout, AControllerThatIsDownOrWasNeverSeenIsWaitedFor) {
   Cluster c(3, 1, {soaking(0), soaking(0), older()});
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.value("roster/host-2").empty(); }));
@@ -85,9 +87,9 @@
   EXPECT_EQ(c.format_version(), "");
 }
 
-TEST(Rollout, AfterTheSwitchAnOlderBuildFollowsAndNeverLeads) {
+TEST(Rollout, AfterTheVersionIsRaisedAnOlderBuildFollowsAndNeverLeads) {
   Cluster c(2, 1, {soaking(0)});
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
   ASSERT_TRUE(c.submit_until("j-1", 20));
   c.start(1, older());
   expect_all_known(c, {"j-1"});
@@ -103,18 +105,18 @@
   expect_all_known(c, {"j-1", "j-2"});
 }
 
-TEST(Rollout, AMajorityHeldBelowLowersTheLevelAndOlderBuildsLeadAgain) {
+TEST(Rollout, AMajorityHeldBelowLowersTheVersionAndOlderBuildsLeadAgain) {
   Cluster c(3, 1, {soaking(0)});
   ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kTwo; }));
+  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
   ASSERT_TRUE(c.submit_until("j-2", 20));
   c.start(0, held_at(1));
   ASSERT_TRUE(c.submit_until("j-3", 20));
   std::this_thread::sleep_for(std::chrono::seconds(2));
-  EXPECT_EQ(c.format_version(), kTwo) << "one flag that was forgotten lowers nothing";
+  EXPECT_EQ(c.format_version(), kVersionTwo) << "one flag that was forgotten lowers nothing";
   c.start(1, held_at(1));
   ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == R"({"level":1})"; }));
-  EXPECT_TRUE(all_entries_of(c, false)) << "before it is on";
+  EXPECT_TRUE(all_entries_have_version_two(c, false)) << "before it is on";
   EXPECT_EQ(c.state.value("lead"), "");
   for (std::size_t i = 0; i < 3; ++i) c.start(i, older());
   ASSERT_TRUE(c.submit_until("j-4", 20));
@@ -122,23 +124,22 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// Leaders that end, transactions that are late, lost and repeated, and controllers that begin anew, around
-// the switch.
-TEST(Rollout, SwitchingOnSurvivesTroubleInEachOfItsSteps) {
+// Session leases that expire, transactions that are late, lost and repeated, and controllers that restart while the version is raised.
+TEST(Rollout, RaisingTheVersionSurvivesFaultsInEachOfItsSteps) {
   for (unsigned seed = 1; seed <= 2; ++seed) {
     Cluster c(3, seed, {soaking(1)});
     std::mt19937 random(seed);
     std::vector<std::string> told;
-    // Five seconds of trouble; where nothing could be accepted in them, which happens by chance, it goes on.
+    // Five seconds of faults, and more where nothing could be accepted in them, which happens by chance.
     const double began = steady_now();
     while (steady_now() < began + 5 || (told.empty() && steady_now() < began + 25)) {
       const auto replica = random() % 3;
-      auto& d = c.state.endpoint(replica);
+      auto& endpoint = c.state.endpoint(replica);
       switch (random() % 6) {
-        case 0: d.refuses = !d.refuses; break;
-        case 1: d.loses = d.loses > 0 ? 0 : 0.4; break;
-        case 2: d.late = d.late > 0 ? 0 : 0.3; break;
-        case 3: d.repeats = d.repeats > 0 ? 0 : 0.4; break;
+        case 0: endpoint.refuses = !endpoint.refuses; break;
+        case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.4; break;
+        case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.3; break;
+        case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.4; break;
         case 4: c.state.expire_session_leases(); break;
         default: c.start(replica, random() % 2 == 0 ? soaking(1) : older());
       }
@@ -147,12 +148,12 @@
       // An older build may have had to stand by: then nobody leads for a while.
     }
     for (std::size_t i = 0; i < 3; ++i) {
-      auto& d = c.state.endpoint(i);
-      d.refuses = false;
-      d.loses = d.late = d.repeats = 0;
+      auto& endpoint = c.state.endpoint(i);
+      endpoint.refuses = false;
+      endpoint.loses = endpoint.late = endpoint.repeats = 0;
       c.start(i, soaking(0));
     }
-    ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == kTwo; })) << "seed " << seed;
+    ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == kVersionTwo; })) << "seed " << seed;
     ASSERT_TRUE(c.submit_until("j-9", 30)) << "seed " << seed;
     EXPECT_FALSE(told.empty());
     expect_all_known(c, told);
@@ -160,7 +161,7 @@
   }
 }
 
-// The newest terms of a team in the ledger; nothing: none are there.
+// The newest quota of a team in the ledger, if there is one.
 std::optional<TeamQuotaRecord> team_in_ledger(Cluster& c, const std::string& name) {
   std::optional<TeamQuotaRecord> out;
   for (const auto& [key, value] : c.state.entries())
@@ -169,7 +170,7 @@
   return out;
 }
 
-// A settings file with another limit and one team more, controller by controller, with takeovers in between.
+// A settings file with another limit and one more team is rolled out controller by controller, with new leaders in between.
 TEST(Rollout, ChangedTeamsComeIntoForceWhenAllControllersHaveThem) {
   const Options now = at_once();
   Cluster c(3, 1, {now});
@@ -187,7 +188,7 @@
     return red->agreed == before && red->proposed && red->proposed->limit.cores == 6;
   }));
   ASSERT_TRUE(c.eventually(30, [&] { return team_in_ledger(c, "green").has_value(); }));
-  // Whoever leads, it is as the ledger says, for the team that is in one file only as well.
+  // Whoever leads, the ledger's quota holds, also for the team that is in one file only.
   auto green = nlohmann::json::parse(test_support::job_body("j-20"));
   green["owner"] = "green";
   for (int i = 0; i < 2; ++i) {
@@ -203,7 +204,7 @@
     const auto red = team_in_ledger(c, "red");
     return red->agreed->limit.cores == 6 && !red->proposed;
   }));
-  // What needs more than the new limit can never run; a team that nobody has is refused for good.
+  // A job that needs more than the new limit can never run, and an unknown team is refused for good.
   auto large = nlohmann::json::parse(test_support::job_body("j-30"));
   large["shape"] = "group";
   large["pieces"] = 7;
@@ -221,9 +222,9 @@
   return j.dump();
 }
 
-// As its users meet it: refused for a while until all controllers have the level, and then, whoever is asked and whoever
-// leads, accepted, refused for good, cancelled through another.
-TEST(Rollout, JobsThatWaitForOthersComeWithTheLevelAndAreKnownToEachLeader) {
+// Jobs that depend on others, as users meet them: refused for a while until all controllers have the version; then, whoever is asked and
+// whoever leads, accepted, refused for good, or cancelled with the job they depend on.
+TEST(Rollout, DependentJobsComeWithTheVersionAndAreKnownToEachLeader) {
   const Options now = at_once();
   Options before = now;
   before.max_readable_format_version = 3;
@@ -238,7 +239,7 @@
     EXPECT_TRUE(r.is(503)) << "never taken as if it waited for nothing";
     EXPECT_TRUE(submit(i, "j-2", "j-1").is(400) || submit(i, "j-2", "j-1").is(503));
   }
-  EXPECT_TRUE(c.eventually(10, [&] { return submit(0, "j-1", {"j-77"}).is(200); })) << "known, and not judged anew";
+  EXPECT_TRUE(c.eventually(10, [&] { return submit(0, "j-1", {"j-77"}).is(200); })) << "known, and not checked again";
   EXPECT_TRUE(c.eventually(10, [&] { return submit(1, "j-3", nlohmann::json::array()).is(201); })) << "waits for none";
   c.start(2, now);
   ASSERT_TRUE(c.eventually(20, [&] { return submit(0, "j-2", {"j-1", "j-1", "j-3"}).is(201); }));
@@ -270,8 +271,8 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// The state service takes a quarter from some moment on: with entries of both sizes, and the largest job that is taken.
-TEST(Rollout, LoweredLimitsOfTheStateServiceStopNothing) {
+// The store's limits fall to a quarter: with entries of both sizes, and the largest job that is accepted.
+TEST(Rollout, LoweredLimitsOfTheStoreStopNothing) {
   const Options now = at_once();
   Cluster c(3, 1, {now});
   ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
@@ -285,7 +286,7 @@
   EXPECT_TRUE(c.eventually(20, [&] { return c.ask(0, "POST", "/v1/jobs", waiting_body("j-30", names)).is(201); }));
   for (int i = 0; i < 160; ++i) names.push_back("j-1" + std::to_string(i % 40) + std::string(8, '0') + std::to_string(i));
   EXPECT_TRUE(c.eventually(20, [&] { return c.ask(0, "POST", "/v1/jobs", waiting_body("j-31", names)).is(422); }))
-      << "told at the door that it is too long, or that it names what nobody knows";
+      << "refused as too long, or because it names an unknown job";
   for (int i = 0; i < 30; ++i) ASSERT_TRUE(c.submit_until("j-4" + std::to_string(i), 20));
   c.state.expire_session_leases();
   ASSERT_TRUE(c.submit_until("j-50", 20));
@@ -294,8 +295,8 @@
   EXPECT_EQ(c.state.too_large(), 0u);
 }
 
-// Where it takes less than its settings say, it is found out: smaller pieces, and nobody steps down in turn for ever.
-TEST(Rollout, AStateServiceThatTakesLessThanItSaysIsGivenSmallerPieces) {
+// A store that takes less than the settings say: leaders find out and write smaller transactions, and don't step down one after the other.
+TEST(Rollout, AStoreThatTakesLessThanItSaysIsGivenSmallerTransactions) {
   const Options now = at_once();
   Cluster c(2, 1, {now});
   ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
@@ -312,14 +313,13 @@
   return j.dump();
 }
 
-// One newer controller led for a moment: those that can't read its entry held the lead in turn, and nobody
-// served.
-TEST(Rollout, OneThatCantReadTheLedgerGivesTheLeadToOneThatCan) {
+// One newer controller led for a moment: those that can't read its entry once took the lead in turn, and nobody served.
+TEST(Rollout, AControllerThatCantReadTheLedgerGivesTheLeadToOneThatCan) {
   Cluster c(2, 1, {older(), held_at(1)});
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto entries = c.state.entries();
   auto j = nlohmann::json::parse(entries.begin()->second);
-  // Of level 2, though level 1 is on: only the newer build reads it.
+  // An entry of version 2 while version 1 is active: only the newer build reads it.
   const auto entry = parse_entry(entries.begin()->second);
   c.stop(0);
   c.stop(1);
@@ -362,9 +362,9 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   leaders.erase("");
-  EXPECT_GT(leaders.size(), 1u) << "each has its try";
+  EXPECT_GT(leaders.size(), 1u) << "each controller tries";
   EXPECT_GT(kept, 10u);
-  // Mended, it goes on without anyone.
+  // Once the entry is readable again, service resumes by itself.
   c.state.put(entry.first, entry.second);
   EXPECT_TRUE(c.submit_until("j-2", 30));
   expect_all_known(c, {"j-1", "j-2"});
