--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -2,6 +2,9 @@
 // were told must stay true, whoever leads.
 #include <gtest/gtest.h>
 
+#include <atomic>
+#include <mutex>
+#include <random>
 #include <set>
 
 #include "cluster.hpp"
@@ -202,82 +205,107 @@
   endpoint.blown = false;
 }
 
+// What the users of a test were told together.
+struct ToldUsers {
+  void complain(const std::string& what) {
+    std::lock_guard lock(mutex);
+    broken.push_back(what);
+  }
+  std::mutex mutex;
+  std::vector<std::string> broken;
+  std::set<std::string> accepted, withdrawn, asked;
+};
+
+// Submits, cancels and polls at random, and complains of each answer that contradicts an earlier one.
+class RandomUser {
+ public:
+  RandomUser(Cluster& cluster, ToldUsers& told, int user)
+      : cluster_(cluster), told_(told), user_(user), random_(static_cast<unsigned>(user)) {}
+  void run(const std::atomic<bool>& over) {
+    while (!over) {
+      const auto replica = random_() % 3;
+      if (mine_.size() < 4 || random_() % 3 == 0) {
+        submit(replica);
+      } else if (random_() % 4 == 0) {
+        withdraw(replica, mine_[random_() % mine_.size()]);
+      } else {
+        poll(replica, mine_[random_() % mine_.size()]);
+      }
+    }
+    std::lock_guard lock(told_.mutex);
+    told_.accepted.insert(mine_.begin(), mine_.end());
+    told_.withdrawn.insert(gone_.begin(), gone_.end());
+    told_.asked.insert(wanted_.begin(), wanted_.end());
+  }
+
+ private:
+  void submit(std::size_t replica) {
+    const std::string uid = "j-" + std::to_string(user_ * 1000 + ++submitted_);
+    const auto r = cluster_.submit(replica, uid);
+    if (r.is(400) || r.is(422)) told_.complain(uid + ": refused");
+    if (r.is(201) || r.is(200)) mine_.push_back(uid);
+  }
+  void withdraw(std::size_t replica, const std::string& uid) {
+    const auto r = cluster_.ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
+    wanted_.insert(uid);
+    if (r.is(404)) told_.complain(uid + ": withdrawal not found");
+    if (r.is(200)) gone_.insert(uid);
+  }
+  void poll(std::size_t replica, const std::string& uid) {
+    const auto r = cluster_.ask(replica, "GET", "/v1/jobs/" + uid);
+    if (r.is(404)) told_.complain(uid + ": forgotten");
+    if (r.is(200) && gone_.contains(uid) && r.body.find("aborted") == std::string::npos) told_.complain(uid + ": went back");
+    if (r.is(200) && r.body.find("\"status\":\"done\"") != std::string::npos) told_.complain(uid + ": done, and nothing ran");
+  }
+
+  Cluster& cluster_;
+  ToldUsers& told_;
+  const int user_;
+  std::mt19937 random_;
+  std::vector<std::string> mine_;
+  std::set<std::string> gone_, wanted_;
+  int submitted_ = 0;
+};
+
+void play_random_faults(Cluster& c, const std::atomic<bool>& over) {
+  std::mt19937 random(11);
+  while (!over) {
+    auto& endpoint = c.state.endpoint(random() % 3);
+    switch (random() % 5) {
+      case 0: endpoint.refuses = !endpoint.refuses; break;
+      case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.3; break;
+      case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.2; break;
+      case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.3; break;
+      default:
+        if (random() % 3 == 0) c.state.expire_session_leases();
+    }
+    std::this_thread::sleep_for(std::chrono::milliseconds(250));
+  }
+}
+
 // Users of three controllers, while the store's endpoints refuse, lose, delay and repeat at random and session leases expire.
 TEST(Leadership, WhatUsersWereToldStaysTrueUnderRandomFaults) {
   Cluster c(3, 7);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
   for (std::size_t i = 0; i < 3; ++i) c.state.endpoint(i).late_most = 6;  // well after newer transactions of the same controller
-  std::jthread trouble([&] {
-    std::mt19937 random(11);
-    while (!over) {
-      auto& endpoint = c.state.endpoint(random() % 3);
-      switch (random() % 5) {
-        case 0: endpoint.refuses = !endpoint.refuses; break;
-        case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.3; break;
-        case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.2; break;
-        case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.3; break;
-        default:
-          if (random() % 3 == 0) c.state.expire_session_leases();
-      }
-      std::this_thread::sleep_for(std::chrono::milliseconds(250));
-    }
-  });
-  std::mutex mutex;
-  std::vector<std::string> broken;
-  std::set<std::string> accepted, withdrawn, asked;
-  const auto complain = [&](const std::string& what) {
-    std::lock_guard lock(mutex);
-    broken.push_back(what);
-  };
+  std::jthread faults([&] { play_random_faults(c, over); });
+  ToldUsers told;
   std::vector<std::jthread> users;
-  for (int u = 1; u <= 4; ++u) {
-    users.emplace_back([&, u] {
-      std::mt19937 random(static_cast<unsigned>(u));
-      std::vector<std::string> mine;
-      std::set<std::string> gone, wanted;
-      int n = 0;
-      while (!over) {
-        const auto replica = random() % 3;
-        if (mine.size() < 4 || random() % 3 == 0) {
-          const std::string uid = "j-" + std::to_string(u * 1000 + ++n);
-          const auto r = c.submit(replica, uid);
-          if (r.is(400) || r.is(422)) complain(uid + ": refused");
-          if (r.is(201) || r.is(200)) mine.push_back(uid);
-        } else if (random() % 4 == 0) {
-          const auto& uid = mine[random() % mine.size()];
-          const auto r = c.ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
-          wanted.insert(uid);
-          if (r.is(404)) complain(uid + ": withdrawal not found");
-          if (r.is(200)) gone.insert(uid);
-        } else {
-          const auto& uid = mine[random() % mine.size()];
-          const auto r = c.ask(replica, "GET", "/v1/jobs/" + uid);
-          if (r.is(404)) complain(uid + ": forgotten");
-          if (r.is(200) && gone.contains(uid) && r.body.find("aborted") == std::string::npos) complain(uid + ": went back");
-          if (r.is(200) && r.body.find("done") != std::string::npos && r.body.find("\"status\":\"done\"") != std::string::npos)
-            complain(uid + ": done, and nothing ran");
-        }
-      }
-      std::lock_guard lock(mutex);
-      accepted.insert(mine.begin(), mine.end());
-      withdrawn.insert(gone.begin(), gone.end());
-      asked.insert(wanted.begin(), wanted.end());
-    });
-  }
+  for (int u = 1; u <= 4; ++u) users.emplace_back([&, u] { RandomUser(c, told, u).run(over); });
   std::this_thread::sleep_for(std::chrono::seconds(8));
   over = true;
   users.clear();
-  trouble.join();
+  faults.join();
   for (std::size_t i = 0; i < 3; ++i) {
     auto& endpoint = c.state.endpoint(i);
     endpoint.refuses = false;
     endpoint.loses = endpoint.late = endpoint.repeats = 0;
   }
   ASSERT_TRUE(c.submit_until("j-9", 30));
-  EXPECT_TRUE(broken.empty()) << broken.size() << " broken, first " << (broken.empty() ? "" : broken.front());
-  EXPECT_GT(accepted.size(), 10u);
-  for (const auto& uid : accepted) {
+  EXPECT_TRUE(told.broken.empty()) << told.broken.size() << " broken, first " << (told.broken.empty() ? "" : told.broken.front());
+  EXPECT_GT(told.accepted.size(), 10u);
+  for (const auto& uid : told.accepted) {
     std::string body;
     ASSERT_TRUE(c.eventually(10, [&] {
       const auto r = c.ask(0, "GET", "/v1/jobs/" + uid);
@@ -286,8 +314,8 @@
     })) << uid;
     // A withdrawal that got no answer may have been executed, but nothing that was not asked for.
     const bool aborted = body.find("aborted") != std::string::npos;
-    EXPECT_TRUE(aborted || !withdrawn.contains(uid)) << uid << ": " << body;
-    EXPECT_TRUE(!aborted || asked.contains(uid)) << uid << ": " << body;
+    EXPECT_TRUE(aborted || !told.withdrawn.contains(uid)) << uid << ": " << body;
+    EXPECT_TRUE(!aborted || told.asked.contains(uid)) << uid << ": " << body;
   }
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
