--- a/testbed/fault_run.cpp
+++ b/testbed/fault_run.cpp
@@ -241,7 +241,7 @@
 }
 
 void FaultRun::deafen_workers() {
-  enum Share : std::size_t { one, some, zone, shares };
+  enum Share : std::uint8_t { one, some, zone, shares };
   const auto share = draw(shares);
   const double until = steady_now() + 3 + static_cast<double>(draw(25));
   const auto cut_zone = cluster.workers.empty() ? std::string() : cluster.workers.front()->zone();
