--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -8,6 +8,7 @@
 
 #include "model/identifiers.hpp"
 #include "model/resources.hpp"
+#include "scheduling/capacity_profile.hpp"
 #include "scheduling/planner.hpp"
 
 namespace thistlefront {
@@ -161,7 +162,7 @@
     // Plain: every moment at which something ends, each zone, machines that have the room from then on.
     double first = kForever;
     std::vector<double> times{in.now};
-    std::vector<Profile> profiles;
+    std::vector<CapacityProfile> profiles;
     for (const auto& h : in.nodes) profiles.emplace_back(h, in.now, in.overrun_s);
     for (const auto& p : profiles)
       for (const auto& s : p.steps()) times.push_back(s.at);
