--- a/src/scheduling/pass_pacing.hpp
+++ b/src/scheduling/pass_pacing.hpp
@@ -1,4 +1,5 @@
-// How long the planner rests after a pass, so that planning leaves the processor to requests and lease renewals. Pure.
+// How long the leader rests after a pass, so that planning leaves the processor to requests and lease renewals. Called after
+// each pass. Pure.
 #pragma once
 
 namespace thistlefront {
--- a/src/scheduling/starvation_guard.cpp
+++ b/src/scheduling/starvation_guard.cpp
@@ -7,29 +7,32 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kShare = 0.05;    // of the cores that come free
-constexpr double kSavings = 20.0;  // seconds' worth of it at most
+constexpr double kShare = 0.05;              // of the cores that come free
+constexpr double kMaxSavingsSeconds = 20.0;  // so many seconds' worth of it at most is saved up
 }  // namespace
 
 void StarvationGuard::accrue(double rate, double now) {
-  const double since = at_ < 0 ? 0 : std::min(now - at_, kSavings);
+  const double earning_s = at_ < 0 ? 0 : std::min(now - at_, kMaxSavingsSeconds);
   at_ = now;
-  balance_ = std::min(balance_ + kShare * rate * since, std::max(kShare * rate * kSavings, balance_));
+  // A balance above the bound stays, as the rate may have fallen since it was earned.
+  const double most = std::max(kShare * rate * kMaxSavingsSeconds, balance_);
+  balance_ = std::min(balance_ + kShare * rate * earning_s, most);
 }
 
 std::vector<StarvationGuard::Promotion> StarvationGuard::promote(std::vector<StarvingJob> starving) const {
+  constexpr double kLeastCores = 1e-3;
   std::stable_sort(starving.begin(), starving.end(), [](const StarvingJob& a, const StarvingJob& b) { return a.waited_s > b.waited_s; });
-  std::vector<Promotion> out;
-  double left = balance_;
-  for (const auto& s : starving) {
-    if (left <= 0) break;
-    const double cores = std::max(s.unit_cores, 1e-3);
-    const auto whole = static_cast<std::uint32_t>(std::min(left / cores, static_cast<double>(s.units)));
-    const auto units = std::max<std::uint32_t>(whole, 1);
-    out.push_back({s.position, units});
-    left -= units * cores;
+  std::vector<Promotion> promotions;
+  double balance = balance_;
+  for (const auto& job : starving) {
+    if (balance <= 0) break;
+    const double unit_cores = std::max(job.unit_cores, kLeastCores);
+    const auto affordable = static_cast<std::uint32_t>(std::min(balance / unit_cores, static_cast<double>(job.units)));
+    const auto units = std::max<std::uint32_t>(affordable, 1);
+    promotions.push_back({job.position, units});
+    balance -= units * unit_cores;
   }
-  return out;
+  return promotions;
 }
 
 void StarvationGuard::charge(JobIndex job, double cores) {
--- a/src/scheduling/starvation_guard.hpp
+++ b/src/scheduling/starvation_guard.hpp
@@ -1,7 +1,8 @@
-// A floor for what goes last. Rank goes before the key, so that where more of a higher rank is asked for than the fleet can do,
-// nothing below it ever runs. A small share of the cores that come free by themselves goes to the jobs of which nothing runs and
-// that have waited longest; nothing stops what it started for rank alone. Only what guarantees leave. Pure; times are steady
-// seconds.
+// Keeps jobs of low priority from starving. Priority goes before the key, so that where more work of a higher priority is
+// submitted than the cluster can do, nothing below it would ever run. A small share of the cores that come free by themselves
+// goes to the jobs that have waited longest and of which nothing runs; what it started is never preempted for priority alone.
+// It never takes from what teams are guaranteed. Called in each pass, by promote_starving_jobs and the leader. Pure; times are
+// steady seconds.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -16,7 +17,7 @@
 class StarvationGuard {
  public:
   struct StarvingJob {
-    std::size_t position = 0;  // the caller's position of it
+    std::size_t position = 0;  // in the caller's list
     JobIndex job;
     double waited_s = 0;
     double unit_cores = 0;
@@ -27,23 +28,25 @@
     std::uint32_t units = 0;
     friend bool operator==(const Promotion&, const Promotion&) = default;
   };
-  // `rate`: cores that come free in a second, lately.
+  // Earns the share for the time since the last call. `rate`: cores that come free in a second, lately.
   void accrue(double rate, double now);
-  // Which go first in this pass, and how many units of each: the longest wait first, as far as what was earned lasts. One
-  // unit is never too large: what it takes beyond is owed, and earned before the next one.
+  // Which jobs go first in this pass, and how many units of each: the longest wait first, as far as the balance lasts. While
+  // it is above zero, one unit of any size is promoted; the balance is then below zero until as much has been earned.
   [[nodiscard]] std::vector<Promotion> promote(std::vector<StarvingJob> starving) const;
-  // Units of a raised job were started.
+  // Units of a promoted job were started.
   void charge(JobIndex job, double cores);
-  // Jobs that run by it are spared while anything of them runs; the others are forgotten.
+  // Forgets protected jobs of which nothing runs any more.
   void prune_protected(const ClusterState& cluster_state);
+  // Jobs started as promoted: they are not preempted for priority alone.
   [[nodiscard]] const std::set<JobIndex>& protected_jobs() const { return protected_jobs_; }
 
  private:
-  double balance_ = 0, at_ = -1;  // cores
+  double balance_ = 0;  // cores
+  double at_ = -1;      // of the last accrual; below zero: none yet
   std::set<JobIndex> protected_jobs_;
 };
 
-// So long a job of which nothing runs has waited when the floor is for it: seconds.
+// Seconds after which a waiting job of which nothing runs counts as starving.
 inline constexpr double kStarvesAfter = 60.0;
 
 }  // namespace thistlefront
--- a/tests/pass_pacing_test.cpp
+++ b/tests/pass_pacing_test.cpp
@@ -14,14 +14,14 @@
   EXPECT_DOUBLE_EQ(rest_after_pass({0.05, 0}, {0.1, 1}), 0.2);
 }
 
-// Lienzo lean: passes of 3 ms ten times a second took 0.8 of a share of 3.8% of a core, and renewals came late.
+// Once, passes of 3 ms ten times a second took 0.8 of a share of 3.8% of a core, and renewals came late.
 TEST(PassPacing, TakesNoMoreThanAQuarterOfTheProcessorShare) {
   const double processor_s = 0.003, share = 0.038;
   const double rest = rest_after_pass({0, processor_s}, {0.1, share});
   EXPECT_NEAR(processor_s / rest, share / 4, 1e-12);
 }
 
-TEST(PassPacing, GoesOnWithinASecondUnderAnyLoad) {
+TEST(PassPacing, RestsNoLongerThanASecondUnderAnyLoad) {
   EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {0.1, 0.001}), kLongestPassRest);
   EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {30, 0.001}), 30) << "the operator's own period is kept";
 }
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -1,5 +1,5 @@
-// The timetable at the size of a grown fleet: some 400 machines and thousands of waiting tasks. Checked is the
-// timetable itself, against the machines' room and the plan's own order, and how much was looked at to make it.
+// Plans for a large cluster: some 400 nodes and thousands of waiting tasks. Checked are the plan itself, against the nodes' room
+// and the order of the jobs, and how many nodes were examined to make it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace thistlefront {
 namespace {
 
-PlanInput fleet(unsigned seed, std::size_t nodes, std::size_t jobs) {
+PlanInput make_cluster(unsigned seed, std::size_t nodes, std::size_t jobs) {
   std::mt19937 random(seed);
   const auto some = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
   PlanInput in;
@@ -33,7 +33,7 @@
       const Resources need{1.0 + some(4), 0, 2.0 + some(8)};
       if (!need.fits(left)) break;
       left -= need;
-      // Some have overrun their estimate, some run for ever.
+      // Some are over their estimate, some never end.
       h.occupants.push_back({need, some(8) == 0 ? kForever : 990.0 + some(80)});
     }
     for (std::uint32_t image = 0; image < 12; ++image)
@@ -89,13 +89,13 @@
   }
 }
 
-TEST(PlannerAtSize, NoRoomIsTakenTwiceAndJobsKeepTheirRules) {
-  std::size_t holds = 0;
+TEST(PlannerScale, TakesNoRoomTwiceAndKeepsTheJobsRules) {
+  std::size_t reservations = 0;
   for (unsigned seed = 1; seed <= 5; ++seed) {
-    const auto in = fleet(seed, 420, 60);
+    const auto in = make_cluster(seed, 420, 60);
     const Plan plan = make_plan(in);
     ASSERT_FALSE(plan.starts.empty());
-    holds += plan.reservations.size();
+    reservations += plan.reservations.size();
     expect_room(in, plan);
     if (HasFatalFailure()) return;
     std::vector<Resources> team(2);
@@ -121,13 +121,13 @@
       for (const auto& [z, in_zone] : zones[j]) EXPECT_LE(in_zone, job.max_tasks_per_zone);
     }
   }
-  EXPECT_GT(holds, 100u);
+  EXPECT_GT(reservations, 100u);
 }
 
-// What comes later in the order changes nothing for what came before it: its slots are the same as without it.
-TEST(PlannerAtSize, NoHeldSlotIsDelayedByWhatComesBehind) {
+// Jobs later in the order change nothing for those before them: their slots are the same as without the later ones.
+TEST(PlannerScale, LaterJobsNeverDelayReservations) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
-    auto in = fleet(seed, 420, 40);
+    auto in = make_cluster(seed, 420, 40);
     std::stable_sort(in.jobs.begin(), in.jobs.end(),
                      [](const PlanJob& a, const PlanJob& b) { return a.tier != b.tier ? a.tier > b.tier : a.key > b.key; });
     for (std::uint32_t i = 0; i < in.jobs.size(); ++i) in.jobs[i].job = JobIndex{i};
@@ -144,12 +144,12 @@
   }
 }
 
-// The first time at which enough machines take a unit at all is where a gang's search begins; a plain search over all
-// times finds the same first slot.
-TEST(PlannerAtSize, AGangsFirstSlotIsThatOfThePlainSearch) {
+// A gang's search begins at the first time at which enough nodes take a unit at all; an exhaustive search over all times finds
+// the same first slot.
+TEST(PlannerScale, FindsAGangsFirstSlotLikeAnExhaustiveSearch) {
   std::size_t later = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
-    auto in = fleet(seed, 60, 1);
+    auto in = make_cluster(seed, 60, 1);
     PlanJob& job = in.jobs[0];
     job = {};
     job.job = JobIndex{0};
@@ -159,7 +159,7 @@
     job.estimated_run_s = 50;
     job.team = TeamIndex{0};
     const Plan plan = make_plan(in);
-    // Plain: every moment at which something ends, each zone, machines that have the room from then on.
+    // Exhaustive: every moment at which something ends, each zone, all nodes that have the room from then on.
     double first = kForever;
     std::vector<double> times{in.now};
     std::vector<CapacityProfile> profiles;
@@ -183,10 +183,10 @@
   EXPECT_GT(later, 0u);
 }
 
-// Work, not seconds: a pass over this fleet looks at each machine a few times for a job, not once for each task or step.
-TEST(PlannerAtSize, LooksStayNearMachinesTimesJobs) {
+// Counts work, not seconds: a pass examines each node a few times for a job, not once for each task or profile step.
+TEST(PlannerScale, ExaminedNodesStayNearNodesTimesJobs) {
   for (unsigned seed = 1; seed <= 5; ++seed) {
-    const auto in = fleet(seed, 420, 60);
+    const auto in = make_cluster(seed, 420, 60);
     std::size_t units = 0;
     for (const auto& j : in.jobs) units += j.units;
     ASSERT_GT(units, 2000u);
@@ -194,9 +194,9 @@
   }
 }
 
-// With no later slot left to give, tasks that need no less than one for which nothing was free are passed over; smaller
-// ones, and those that may use other machines, are still looked for.
-TEST(PlannerAtSize, WhatFoundNothingHidesOnlyWhatNeedsNoLess) {
+// With no reservation left to give, tasks that need no less than one for which nothing was free are passed over; for smaller
+// ones, and those that may use other nodes, the search still runs.
+TEST(PlannerScale, AFailedSearchSkipsOnlyTasksThatNeedNoLess) {
   PlanInput in;
   in.now = 100;
   in.max_reservations = 0;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,4 +1,4 @@
-// Runs the kept traces: a queue and a fleet in, a timetable out.
+// Runs the traces: each file holds nodes and waiting jobs, and the plan that is expected for them.
 #include "scheduling/planner.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
     } else if (what == "expect") {
       std::getline(words >> std::ws, line);
       t.expected.push_back(line);
-    } else if (what == "host") {
+    } else if (what == "node") {
       words >> name;
       PlanNode h;
       h.node = NodeIndex{static_cast<std::uint32_t>(t.nodes.size())};
@@ -144,19 +144,19 @@
 
 class PlannerTrace : public testing::TestWithParam<std::filesystem::path> {};
 
-TEST_P(PlannerTrace, GivesTheTimetable) {
+TEST_P(PlannerTrace, GivesTheExpectedPlan) {
   const Trace t = read_trace(GetParam());
   ASSERT_FALSE(t.expected.empty());
   const Plan plan = make_plan(t.input);
   std::vector<std::string> got;
-  const auto say = [&](const Slot& s, bool start) {
+  const auto describe = [&](const Slot& s, bool start) {
     std::ostringstream out;
-    out << (start ? "start " : "hold ") << t.jobs[s.job.value] << ' ' << t.nodes[s.node.value] << " x" << s.count;
+    out << (start ? "start " : "reserve ") << t.jobs[s.job.value] << ' ' << t.nodes[s.node.value] << " x" << s.count;
     if (!start) out << " at " << s.at;
     got.push_back(out.str());
   };
-  for (const auto& s : plan.starts) say(s, true);
-  for (const auto& s : plan.reservations) say(s, false);
+  for (const auto& s : plan.starts) describe(s, true);
+  for (const auto& s : plan.reservations) describe(s, false);
   auto expected = t.expected;
   std::sort(expected.begin(), expected.end());
   std::sort(got.begin(), got.end());
@@ -170,7 +170,7 @@
   return out;
 }
 
-INSTANTIATE_TEST_SUITE_P(Kept, PlannerTrace, testing::ValuesIn(traces()), [](const auto& info) { return info.param.stem().string(); });
+INSTANTIATE_TEST_SUITE_P(Files, PlannerTrace, testing::ValuesIn(traces()), [](const auto& info) { return info.param.stem().string(); });
 
 }  // namespace
 }  // namespace thistlefront
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// Preemption: who may be stopped for whom, and that nobody is stopped in turns.
+// Preemption: which tasks may be stopped for which jobs, and that no two jobs stop each other in turns.
 #include "scheduling/preemption.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
     if (placed) cluster_state.apply(TasksStartedRecord{uid, 1, 0, {{"m-1", 1, {{0, placed}}}}});
     return cluster_state.find(uid);
   }
-  std::vector<Victim> claim(JobIndex j, const std::set<JobIndex>& within) {
+  std::vector<Victim> victims_for(JobIndex j, const std::set<JobIndex>& within) {
     PlanInput in;
     in.now = 1000;
     PlanNode h;
@@ -53,64 +53,65 @@
     in.jobs.push_back(p);
     in.teams.assign(2, TeamHeadroom{{1e9, 1e9, 1e9}});
     const Plan plan = make_plan(in);
-    return choose_victims({cluster_state, in, plan, within, 1000, release_rate, {}, spared}).victims;
+    return choose_victims({cluster_state, in, plan, within, 1000, release_rate, {}, protected_jobs}).victims;
   }
   ClusterState cluster_state;
   double release_rate = 0;
-  std::set<JobIndex> spared;
+  std::set<JobIndex> protected_jobs;
 };
 
-// What the floor started would be the first to go again: it is the freshest, of the lowest rank, on a full fleet.
-TEST_F(Preemption, WhatTheFloorStartedGivesWayToServicesAlone) {
-  spared.insert(add("j-1", "red", JobType::array, Priority::idle, 4, 4));
-  EXPECT_TRUE(claim(add("j-2", "blue", JobType::array, Priority::high, 1, 0), {}).empty());
-  EXPECT_EQ(claim(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {}).size(), 1u);
-  spared.clear();
-  EXPECT_EQ(claim(cluster_state.find("j-2"), {}).size(), 1u);
+// Without protection, what the starvation guard started would be the first to be stopped again: it is the freshest work of the
+// lowest priority on a full cluster.
+TEST_F(Preemption, ProtectedJobsAreStoppedForServicesAlone) {
+  protected_jobs.insert(add("j-1", "red", JobType::array, Priority::idle, 4, 4));
+  EXPECT_TRUE(victims_for(add("j-2", "blue", JobType::array, Priority::high, 1, 0), {}).empty());
+  EXPECT_EQ(victims_for(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {}).size(), 1u);
+  protected_jobs.clear();
+  EXPECT_EQ(victims_for(cluster_state.find("j-2"), {}).size(), 1u);
 }
 
-TEST_F(Preemption, ProductionStopsLowerRankButNeverItsEqual) {
+TEST_F(Preemption, ProductionStopsLowerPriorityButNeverItsEqual) {
   const auto batch = add("j-1", "red", JobType::array, Priority::standard, 3, 3);
   add("j-2", "red", JobType::service, Priority::production, 1, 1);
-  const auto victims = claim(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {});
+  const auto victims = victims_for(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {});
   ASSERT_EQ(victims.size(), 1u);
   EXPECT_EQ(victims[0].ref.job, batch);
-  EXPECT_TRUE(claim(add("j-4", "blue", JobType::array, Priority::standard, 1, 0), {}).empty());
+  EXPECT_TRUE(victims_for(add("j-4", "blue", JobType::array, Priority::standard, 1, 0), {}).empty());
 }
 
-TEST_F(Preemption, WhatComesFreeByItselfInTimeIsNotMadeByStopping) {
+TEST_F(Preemption, StopsNothingWhereRoomComesFreeByItselfInTime) {
   add("j-1", "red", JobType::array, Priority::standard, 4, 4);
   const auto urgent = add("j-2", "blue", JobType::array, Priority::high, 1, 0);
-  EXPECT_EQ(claim(urgent, {}).size(), 1u);
+  EXPECT_EQ(victims_for(urgent, {}).size(), 1u);
   release_rate = 2;
-  EXPECT_TRUE(claim(urgent, {}).empty());
+  EXPECT_TRUE(victims_for(urgent, {}).empty());
   release_rate = 0.5;  // less than a core within its patience
-  EXPECT_EQ(claim(urgent, {}).size(), 1u);
+  EXPECT_EQ(victims_for(urgent, {}).size(), 1u);
   const auto replica = add("j-3", "blue", JobType::service, Priority::production, 1, 0);
   release_rate = 100;
-  EXPECT_EQ(claim(replica, {}).size(), 1u) << "replicas do not wait";
+  EXPECT_EQ(victims_for(replica, {}).size(), 1u) << "replicas do not wait";
 }
 
-TEST_F(Preemption, AGuaranteeStopsOnlyWhatAnotherTeamHasBeyondItsOwn) {
+TEST_F(Preemption, AGuaranteeStopsOnlyWhatAnotherTeamRunsBeyondItsOwn) {
   const auto beyond = add("j-1", "red", JobType::array, Priority::standard, 4, 4);
   const auto mine = add("j-2", "blue", JobType::array, Priority::standard, 1, 0);
-  EXPECT_TRUE(claim(mine, {}).empty()) << "not within its guarantee";
-  const auto victims = claim(mine, {mine});
+  EXPECT_TRUE(victims_for(mine, {}).empty()) << "not within its guarantee";
+  const auto victims = victims_for(mine, {mine});
   ASSERT_EQ(victims.size(), 1u);
   EXPECT_EQ(victims[0].ref.job, beyond);
-  EXPECT_TRUE(claim(mine, {mine, beyond}).empty()) << "the other lies within its own guarantee";
+  EXPECT_TRUE(victims_for(mine, {mine, beyond}).empty()) << "the other lies within its own guarantee";
 }
 
-// Lienzo steady: replicas of two teams, both within their guarantees, stopped each other ten times a second.
-TEST_F(Preemption, ReplicasOfEqualRankAreNeverStoppedForAGuarantee) {
+// Once, replicas of two teams, both within their guarantees, stopped each other ten times a second.
+TEST_F(Preemption, ReplicasOfEqualPriorityAreNeverStoppedForAGuarantee) {
   add("j-1", "red", JobType::service, Priority::production, 4, 4);
   const auto mine = add("j-2", "blue", JobType::service, Priority::production, 1, 0);
-  EXPECT_TRUE(claim(mine, {mine}).empty());
+  EXPECT_TRUE(victims_for(mine, {mine}).empty());
 }
 
-// Lienzo and kaubaalus grown, steady: replicas started on machines that had room but not their image, and served only
-// when it was fetched. A little batch work makes way where the image is; much does not.
-TEST_F(Preemption, AReplicaGetsRoomWhereItsImageIsWhenLittleWorkIsLost) {
+// Once, replicas started on nodes that had room but not their image, and served only when it was fetched. A little batch work is
+// stopped where the image is; much is not.
+TEST_F(Preemption, AReplicaGetsRoomWhereItsImageIsCachedWhenLittleWorkIsLost) {
   cluster_state.describe_node(cluster_state.find_or_add_node("m-2"), "", "big", "y", false);
   const auto batch = add("j-1", "red", JobType::array, Priority::standard, 4, 4);
   const auto mine = add("j-2", "blue", JobType::service, Priority::production, 1, 0);
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are rented: kept stories of fleets whose machines come, come late, or never come.
+// Which machines are rented while others boot in time, boot late, or never come up.
 #include "scheduling/scale_out.hpp"
 
 #include <gtest/gtest.h>
@@ -12,20 +12,20 @@
 namespace thistlefront {
 namespace {
 
-class Renting : public testing::Test {
+class ScaleOut : public testing::Test {
  protected:
-  Renting() : cluster_state(book_of_red(1e6)) {
+  ScaleOut() : cluster_state(book_of_red(1e6)) {
     MachineType small{"small", {4, 0, 16}, 50, 1, 0.2, 0.1, 30, {"x", "y"}};
     MachineType large{"large", {32, 0, 64}, 50, 1, 1.3, 0.6, 30, {"x"}};
-    MachineType evict_last{"dear", {64, 8, 384}, 50, 1, 15, 6, 50, {"x", "y"}};
-    cluster_state.apply(MachineTypesRecord{{small, large, evict_last}});
+    MachineType accelerated{"dear", {64, 8, 384}, 50, 1, 15, 6, 50, {"x", "y"}};
+    cluster_state.apply(MachineTypesRecord{{small, large, accelerated}});
     JobSpec s = submission("j-1", 40, 1);
     s.allows_spot = true;
     cluster_state.apply(JobAcceptedRecord{s, 0.5, 0});
   }
-  Node& machine(const std::string& name, const std::string& kind, const std::string& zone, bool spot, double age_s) {
+  Node& machine(const std::string& name, const std::string& machine_type, const std::string& zone, bool spot, double age_s) {
     const NodeIndex h = cluster_state.find_or_add_node(name);
-    cluster_state.describe_node(h, "", kind, zone, spot);
+    cluster_state.describe_node(h, "", machine_type, zone, spot);
     Node& node = cluster_state.node(h);
     node.instance.listed = true;
     node.instance.status = Instance::Status::booting;
@@ -44,7 +44,7 @@
   double now = 1000;
 };
 
-TEST_F(Renting, TheCheapestOfferForWhatMachinesOfThatKindOnTheirWayDoNotServe) {
+TEST_F(ScaleOut, RequestsTheCheapestOfferForWhatBootingMachinesOfThatTypeDoNotServe) {
   auto r = choose(40);
   ASSERT_TRUE(r);
   EXPECT_EQ(offer(*r), "large x spot");
@@ -55,8 +55,8 @@
   EXPECT_FALSE(choose(40));
 }
 
-// As it was, one that never came was waited for until four times its boot time.
-TEST_F(Renting, AMachineOverItsTimeIsReplacedElsewhere) {
+// Before, a machine that never came up was waited for until four times its boot time.
+TEST_F(ScaleOut, ReplacesALateMachineByAnotherOffer) {
   machine("m-1", "large", "x", true, 5);
   machine("m-2", "large", "x", true, 5);
   EXPECT_FALSE(choose(40));
@@ -67,15 +67,15 @@
   EXPECT_EQ(r->late, 2u);
 }
 
-TEST_F(Renting, LateMachinesAreReplacedOnlySoOften) {
+TEST_F(ScaleOut, BoundsHowManyLateMachinesAreReplaced) {
   for (int i = 0; i < 10; ++i) machine("m-" + std::to_string(i), "small", i % 2 ? "x" : "y", true, 70);
   machine("m-10", "large", "x", true, 70);
   machine("m-11", "large", "x", false, 70);
-  EXPECT_FALSE(choose(4)) << "twelve late ones stand beside one or two wanted";
+  EXPECT_FALSE(choose(4)) << "twelve late machines stand beside one or two wanted";
   EXPECT_TRUE(choose(400));
 }
 
-TEST_F(Renting, AMachineThatIsUpOrGivenUpIsNotExpected) {
+TEST_F(ScaleOut, DoesNotExpectAMachineThatIsUpOrGivenUp) {
   Node& m = machine("m-1", "large", "x", true, 5);
   const MachineType* f = cluster_state.machine_type(m.machine_type);
   EXPECT_EQ(boot_progress(m, f, now), BootProgress::on_time);
@@ -87,8 +87,9 @@
   EXPECT_FALSE(has_failed_to_boot(m, f, now + 130));
 }
 
-// Rented by an earlier leader: only the list tells for how long, and an old list may say that it boots still.
-TEST_F(Renting, WhatAnEarlierLeaderRentedCountsByTheList) {
+// Of a machine that an earlier leader requested, only the cloud's list tells the age, and an outdated list may say that it still
+// boots.
+TEST_F(ScaleOut, TakesTheAgeOfAnEarlierLeadersMachineFromTheList) {
   Node& m = machine("m-1", "large", "x", true, 0);
   m.instance.requested_at = 0;
   m.instance.listed_at = now - 10;
@@ -97,7 +98,7 @@
   EXPECT_EQ(boot_progress(m, cluster_state.machine_type(m.machine_type), now), BootProgress::late);
 }
 
-TEST_F(Renting, RefusedOffersAreNotAskedForAgain) {
+TEST_F(ScaleOut, DoesNotRequestRefusedOffers) {
   refused.insert({cluster_state.find_machine_type("large"), "x", true});
   EXPECT_EQ(offer(*choose(40)), "small x spot");
 }
