--- /dev/null
+++ b/tests/plan_input_builder_test.cpp
@@ -0,0 +1,184 @@
+// The planner's input: which nodes and jobs it holds, and how planned starts become records.
+#include "scheduling/plan_input_builder.hpp"
+
+#include <gtest/gtest.h>
+
+#include "model/job.hpp"
+#include "model/ledger_records.hpp"
+#include "model/machine.hpp"
+#include "scheduling/start_records.hpp"
+
+namespace thistlefront {
+namespace {
+
+constexpr double kWall = 5000, kSteady = 800;
+constexpr std::uint64_t kTakeoverToken = 7;
+
+// Two nodes of 8 cores and one with accelerators; red is guaranteed 4 cores.
+class PlanInputBuilding : public testing::Test {
+ protected:
+  PlanInputBuilding() : cluster_state({{"red", {4, 0, 0}, {}, {}}, {"blue", {}, {}, {}}}) {
+    cluster_state.apply(
+        MachineTypesRecord{{{"plain", {8, 0, 32}, 50, 0.2, 1, 1, 30, {"x"}}, {"accelerated", {64, 8, 384}, 50, 0.2, 15, 6, 50, {"x"}}}});
+    add_node("m-1", "plain");
+    add_node("m-2", "plain");
+    add_node("m-3", "accelerated");
+  }
+  void add_node(const std::string& name, const std::string& machine_type) {
+    const NodeIndex index = cluster_state.find_or_add_node(name);
+    cluster_state.describe_node(index, "", machine_type, "x", false);
+    Node& node = cluster_state.node(index);
+    node.agent.incarnation = 3;
+    node.agent.has_reported = true;
+    node.agent.last_heartbeat_at = kSteady;
+    node.agent.highest_token = kTakeoverToken;
+  }
+  JobIndex add_job(const std::string& uid, const std::string& team, JobType job_type, std::uint32_t tasks, double accepted_at,
+                   Resources demand = {1, 0, 1}) {
+    JobAcceptedRecord record;
+    record.job.uid = uid;
+    record.job.owner = team;
+    record.job.job_class = job_type == JobType::service ? "web" : "batch";
+    record.job.job_type = job_type;
+    record.job.task_count = tasks;
+    record.job.demand = demand;
+    record.job.estimated_run_s = 20;
+    record.at = accepted_at;
+    cluster_state.apply(record);
+    return cluster_state.find(uid);
+  }
+  Node& node(const std::string& name) { return cluster_state.node(cluster_state.find_node(name)); }
+  PlanInput build() { return builder.build(cluster_state, context, jobs_within_guarantee(cluster_state)); }
+  std::vector<std::string> planned_nodes() {
+    std::vector<std::string> names;
+    for (const auto& plan_node : build().nodes) names.push_back(cluster_state.node(plan_node.node).name);
+    return names;
+  }
+
+  ClusterState cluster_state;
+  PassContext context{kWall, kSteady, kTakeoverToken, kSteady - 100, false};
+  PlanInputBuilder builder{{0.1 / 3600, 5, 1, {{"batch", {30, 100}}}}};
+};
+
+using Names = std::vector<std::string>;
+
+TEST_F(PlanInputBuilding, IsEmptyWhereNoJobWaits) {
+  const PlanInput input = build();
+  EXPECT_TRUE(input.nodes.empty());
+  EXPECT_TRUE(input.jobs.empty());
+  EXPECT_EQ(input.now, kWall);
+}
+
+TEST_F(PlanInputBuilding, LeavesOutNodesThatMayNotTakeTasks) {
+  add_job("j-1", "red", JobType::array, 1, kWall);
+  EXPECT_EQ(planned_nodes(), (Names{"m-1", "m-2", "m-3"}));
+  node("m-1").agent.last_heartbeat_at = kSteady - 2.6;  // over one and a half intervals and a second
+  EXPECT_EQ(planned_nodes(), (Names{"m-2", "m-3"}));
+  node("m-2").releasing = true;
+  EXPECT_EQ(planned_nodes(), (Names{"m-3"}));
+}
+
+TEST_F(PlanInputBuilding, TakesANodeOnlyOnceItHasSeenThisLeadersToken) {
+  add_job("j-1", "red", JobType::array, 1, kWall);
+  node("m-1").agent.highest_token = kTakeoverToken - 1;
+  EXPECT_EQ(planned_nodes(), (Names{"m-2", "m-3"}));
+  context.first_term_ever = true;
+  EXPECT_EQ(planned_nodes(), (Names{"m-1", "m-2", "m-3"}));
+  context.first_term_ever = false;
+  node("m-1").instance.requested_at = kSteady - 50;
+  EXPECT_EQ(planned_nodes(), (Names{"m-1", "m-2", "m-3"}));
+}
+
+TEST_F(PlanInputBuilding, CountsRunningTasksUntilTheirExpectedEnd) {
+  const JobIndex running = add_job("j-1", "red", JobType::array, 3, kWall - 50);
+  cluster_state.apply(TasksStartedRecord{"j-1", 1, kWall - 10, {{"m-1", 3, {{0, 2}}}}});
+  for (auto& [task, placement] : cluster_state.job(running).placed) placement.reported = true, placement.running_since = kWall - 8;
+  const PlanInput input = build();
+  ASSERT_EQ(input.nodes.size(), 3u);
+  ASSERT_EQ(input.nodes[0].occupants.size(), 1u) << "tasks that end together are one occupant";
+  EXPECT_EQ(input.nodes[0].occupants[0].demand, (Resources{2, 0, 2}));
+  EXPECT_EQ(input.nodes[0].occupants[0].until, kWall + 12);
+  ASSERT_EQ(input.jobs.size(), 1u);
+  EXPECT_EQ(input.jobs[0].units, 1u);
+}
+
+TEST_F(PlanInputBuilding, JobsWithinTheGuaranteeComeFirstInTheirTeamsOrder) {
+  const JobIndex first = add_job("j-1", "red", JobType::array, 3, kWall - 30);
+  add_job("j-2", "red", JobType::array, 2, kWall - 20);  // 5 cores together: beyond the guarantee
+  add_job("j-3", "blue", JobType::array, 1, kWall - 10);
+  EXPECT_EQ(jobs_within_guarantee(cluster_state), (std::set<JobIndex>{first}));
+  const PlanInput input = build();
+  ASSERT_EQ(input.jobs.size(), 3u);
+  EXPECT_GT(input.jobs[0].tier, input.jobs[1].tier);
+  EXPECT_EQ(input.jobs[1].tier, input.jobs[2].tier);
+}
+
+TEST_F(PlanInputBuilding, WaitsForASlotUntilTheNextTargetThatIsNotPast) {
+  add_job("j-1", "red", JobType::array, 1, kWall - 10);
+  add_job("j-2", "red", JobType::array, 1, kWall - 40);
+  add_job("j-3", "red", JobType::array, 1, kWall - 400);
+  add_job("j-4", "red", JobType::service, 1, kWall);
+  const PlanInput input = build();
+  ASSERT_EQ(input.jobs.size(), 4u);
+  EXPECT_DOUBLE_EQ(input.jobs[0].patience_s, 19.5);
+  EXPECT_DOUBLE_EQ(input.jobs[1].patience_s, 59.5);
+  EXPECT_DOUBLE_EQ(input.jobs[2].patience_s, 2);
+  EXPECT_DOUBLE_EQ(input.jobs[3].patience_s, 2);
+}
+
+TEST_F(PlanInputBuilding, KeepsNodesForRecentAcceleratorWork) {
+  add_job("j-1", "red", JobType::array, 1, kWall);
+  add_job("j-2", "blue", JobType::gang, 1, kWall, {57, 8, 310});
+  PlanInput input = build();
+  ASSERT_EQ(input.nodes.size(), 3u);
+  EXPECT_EQ(input.nodes[2].lending, PlanNode::Lending::kept);
+  EXPECT_EQ(input.nodes[2].lent, (Resources{7, 0, 74}));
+  cluster_state.apply(JobCancelledRecord{"j-2"});
+  context.steady += 30;
+  for (const char* name : {"m-1", "m-2", "m-3"}) node(name).agent.last_heartbeat_at = context.steady;
+  EXPECT_EQ(build().nodes.at(2).lending, PlanNode::Lending::kept) << "the demand fades slowly";
+  context.steady += 300;
+  for (const char* name : {"m-1", "m-2", "m-3"}) node(name).agent.last_heartbeat_at = context.steady;
+  EXPECT_EQ(build().nodes.at(2).lending, PlanNode::Lending::not_to_services);
+}
+
+TEST_F(PlanInputBuilding, PromotesAStarvingJobOnlyWhereNoGuaranteedJobWaits) {
+  const JobIndex starving = add_job("j-1", "blue", JobType::array, 5, kWall - 100);
+  cluster_state.job(starving).urgency.priority = Priority::idle;
+  add_job("j-2", "blue", JobType::array, 1, kWall);
+  const auto promote = [&](const std::set<JobIndex>& within) {
+    PlanInput input = build();
+    StarvationGuard guard;
+    guard.accrue(20, kSteady - 2);  // then a twentieth of 40 cores
+    const auto promoted = promote_starving_jobs(input, cluster_state, guard, 20, context, within);
+    return std::pair(promoted, input);
+  };
+  EXPECT_TRUE(promote({cluster_state.find("j-2")}).first.empty());
+  const auto [promoted, input] = promote({});
+  EXPECT_EQ(promoted, (std::set<JobIndex>{starving}));
+  ASSERT_EQ(input.jobs.size(), 3u) << "the rest of its units keeps its place";
+  EXPECT_EQ(input.jobs[0].units, 2u);
+  EXPECT_GT(input.jobs[0].tier, input.jobs[1].tier);
+  EXPECT_EQ(input.jobs[2].units, 3u);
+  EXPECT_LT(input.jobs[2].tier, input.jobs[1].tier);
+}
+
+TEST_F(PlanInputBuilding, PlannedStartsTakeTheLowestPendingTasks) {
+  const JobIndex job = add_job("j-1", "red", JobType::array, 6, kWall);
+  cluster_state.apply(TasksStartedRecord{"j-1", 1, kWall, {{"m-3", 3, {{1, 2}}}}});
+  const NodeIndex first = cluster_state.find_node("m-1"), second = cluster_state.find_node("m-2");
+  const PlannedStarts planned = assign_tasks(cluster_state, {{job, first, 2, kWall, 0}, {job, second, 9, kWall, 0}}, kWall);
+  EXPECT_EQ(planned.nodes, (std::set<NodeIndex>{first, second}));
+  ASSERT_EQ(planned.records.size(), 1u);
+  const TasksStartedRecord& record = planned.records.at(job);
+  EXPECT_EQ(record.uid, "j-1");
+  EXPECT_EQ(record.attempt, cluster_state.job(job).attempts + 1);
+  ASSERT_EQ(record.assignments.size(), 2u);
+  EXPECT_EQ(record.assignments[0].node, "m-1");
+  EXPECT_EQ(record.assignments[0].agent_incarnation, 3u);
+  EXPECT_EQ(record.assignments[0].tasks, (TaskRanges{{0, 1}, {2, 3}}));
+  EXPECT_EQ(record.assignments[1].tasks, (TaskRanges{{3, 6}}));
+}
+
+}  // namespace
+}  // namespace thistlefront
