--- a/src/heartbeat_relay/heartbeat_delta.hpp
+++ b/src/heartbeat_relay/heartbeat_delta.hpp
@@ -1,7 +1,9 @@
-// The two ends of a stream of reports between an intake and the leader. The sender turns a report into what differs from the last
-// one that the leader is known to have; the receiver turns that into the report again, or asks for the whole of it. A report is
-// known by its worker, session and serial, so a difference is never applied to another report than it was made from. Pure.
+// The two ends of a stream of heartbeats from a relay (a follower that takes agents' heartbeats) to the leader. The encoder sends
+// how a heartbeat differs from the last one that the leader is known to have; the decoder restores the heartbeat, or asks for the
+// whole of it. Pure. A heartbeat is identified by its node, incarnation and serial, so that a difference is never applied to
+// another heartbeat than the one it was made from.
 #pragma once
+#include <cstddef>
 #include <string>
 
 #include "model/heartbeat.hpp"
@@ -10,31 +12,31 @@
 
 namespace thistlefront {
 
-// On the intake, for one lead.
+// On the relay, for one term of the leader.
 class HeartbeatDeltaEncoder {
  public:
-  // What is to be sent of this report.
+  // What is to be sent of this heartbeat: the smaller of a difference and the whole.
   [[nodiscard]] HeartbeatDelta encode(const Heartbeat& heartbeat) const;
-  // The leader has this report.
+  // The leader has this heartbeat.
   void record_acknowledged(const Heartbeat& heartbeat);
-  // The leader does not have the report that the last delta of this worker was built on.
+  // The leader does not have the heartbeat that the last delta of this node was based on.
   void forget(const std::string& node);
-  // Another lead: nothing is known of what it has.
+  // Another term began: nothing is known of what its leader has.
   void clear() { acknowledged_.clear(); }
 
  private:
-  NameMap<Heartbeat> acknowledged_;  // by worker: the newest
+  NameMap<Heartbeat> acknowledged_;  // by node: the newest
 };
 
-// On the leader, for one lead.
+// On the leader, for one term.
 class HeartbeatDeltaDecoder {
  public:
-  // The report that was sent, valid until the next call; null where the whole of it is needed.
+  // The heartbeat that was sent, valid until the next call; null where the whole of it is needed.
   const Heartbeat* decode(const HeartbeatDelta& delta);
   [[nodiscard]] std::size_t size() const { return received_.size(); }
 
  private:
-  NameMap<Heartbeat> received_;  // by worker: the newest
+  NameMap<Heartbeat> received_;  // by node: the newest
 };
 
 }  // namespace thistlefront
--- a/src/heartbeat_relay/worker_balancer.cpp
+++ b/src/heartbeat_relay/worker_balancer.cpp
@@ -6,76 +6,84 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLately = 3.0;          // seconds: an intake speaks each second at least
-constexpr double kLeaderWeight = 0.5;    // of an intake's share: the leader has the rest of the work
-constexpr double kTolerance = 1.2;       // times its share a controller may hold
-constexpr double kToleranceWorkers = 4;  // and so many more
-constexpr double kEvenOutSeconds = 30;   // all workers may be moved once within this time
-constexpr double kMostAtOnce = 16;
+
+constexpr double kRecentS = 3.0;       // a relay sends a message at least once a second
+constexpr double kLeaderWeight = 0.5;  // of a relay's share, as the leader has other work as well
+// A controller may serve this many times its share, and this many agents more, before any are redirected.
+constexpr double kToleranceFactor = 1.2;
+constexpr double kToleranceWorkers = 4;
+constexpr double kRebalanceAllS = 30;  // within this time all agents may be redirected once
+constexpr double kMaxBurst = 16;       // redirections that may be saved up
+
 }  // namespace
 
 void WorkerBalancer::record_worker_count(const std::string& relay, std::uint32_t workers, double now) {
   relays_[relay] = {workers, now};
 }
 
-bool WorkerBalancer::is_recent(const Relay& relay, double now) const {
-  return now - relay.heard_at < kLately;
+bool WorkerBalancer::is_recent(const Relay& relay, double now) {
+  return now - relay.heard_at < kRecentS;
 }
 
 std::size_t WorkerBalancer::workers_at_relays(double now) const {
   std::size_t out = 0;
-  for (const auto& [label, relay] : relays_)
+  for (const auto& [name, relay] : relays_)
     if (is_recent(relay, now)) out += relay.workers;
   return out;
 }
 
 double WorkerBalancer::relay_share(double now) const {
-  const auto active = std::count_if(relays_.begin(), relays_.end(), [&](const auto& i) { return is_recent(i.second, now); });
+  const auto active = std::count_if(relays_.begin(), relays_.end(), [&](const auto& entry) { return is_recent(entry.second, now); });
   return static_cast<double>(workers_at_relays(now) + own_) / (static_cast<double>(active) + kLeaderWeight);
 }
 
-const std::pair<const std::string, WorkerBalancer::Relay>* WorkerBalancer::least_loaded(const std::string& but, double now) const {
-  const std::pair<const std::string, Relay>* out = nullptr;
+const std::pair<const std::string, WorkerBalancer::Relay>* WorkerBalancer::least_loaded(const std::string& excluded, double now) const {
+  const std::pair<const std::string, Relay>* least = nullptr;
   for (const auto& entry : relays_) {
-    if (entry.first == but || !is_recent(entry.second, now)) continue;
-    if (!out || entry.second.workers < out->second.workers) out = &entry;
+    if (entry.first == excluded || !is_recent(entry.second, now)) continue;
+    if (!least || entry.second.workers < least->second.workers) least = &entry;
   }
-  return out;
+  return least;
 }
 
 std::uint32_t WorkerBalancer::take_allowance(double wanted, double now) {
-  const double rate = std::max(1.0, static_cast<double>(workers_at_relays(now) + own_) / kEvenOutSeconds);
-  allowance_ = std::min(allowance_ + std::max(0.0, now - allowance_at_) * rate, std::max(1.0, std::min(rate, kMostAtOnce)));
-  allowance_at_ = now;
-  const double out = std::floor(std::min(wanted, allowance_));
-  allowance_ -= out;
-  return static_cast<std::uint32_t>(out);
+  const double per_second = std::max(1.0, static_cast<double>(workers_at_relays(now) + own_) / kRebalanceAllS);
+  const double max_allowance = std::max(1.0, std::min(per_second, kMaxBurst));
+  const double elapsed_s = std::max(0.0, now - allowance_as_of_);
+  allowance_ = std::min(allowance_ + elapsed_s * per_second, max_allowance);
+  allowance_as_of_ = now;
+  const double taken = std::floor(std::min(wanted, allowance_));
+  allowance_ -= taken;
+  return static_cast<std::uint32_t>(taken);
 }
 
 WorkerBalancer::Redirection WorkerBalancer::redirect_from_relay(const std::string& relay, double now) {
   const auto it = relays_.find(relay);
-  const auto* other = least_loaded(relay, now);
-  if (it == relays_.end() || !other) return {};
+  const auto* least = least_loaded(relay, now);
+  if (it == relays_.end() || !least) return {};
   const double share = relay_share(now), workers = it->second.workers;
-  if (workers <= share * kTolerance + kToleranceWorkers || other->second.workers + 1 > share) return {};
-  const auto count = take_allowance(std::min(workers - share, share - other->second.workers), now);
-  const std::string to = other->first;
-  relays_[to].workers += count;  // until it says itself
-  return {count, count > 0 ? to : std::string()};
+  const bool overloaded = workers > share * kToleranceFactor + kToleranceWorkers;
+  const bool target_has_room = least->second.workers + 1 <= share;
+  if (!overloaded || !target_has_room) return {};
+  const auto count = take_allowance(std::min(workers - share, share - least->second.workers), now);
+  const std::string target = least->first;
+  relays_[target].workers += count;  // until it tells its count itself
+  return {count, count > 0 ? target : std::string()};
 }
 
 std::optional<std::string> WorkerBalancer::redirect_from_leader(std::size_t own, double now) {
   own_ = own;
-  const auto* other = least_loaded({}, now);
-  if (!other) return std::nullopt;
+  const auto* least = least_loaded({}, now);
+  if (!least) return std::nullopt;
   const double share = relay_share(now);
-  if (static_cast<double>(own) <= share * kLeaderWeight * kTolerance + kToleranceWorkers || other->second.workers > share)
-    return std::nullopt;
+  const bool overloaded = static_cast<double>(own) > share * kLeaderWeight * kToleranceFactor + kToleranceWorkers;
+  const bool target_has_room = least->second.workers <= share;
+  if (!overloaded || !target_has_room) return std::nullopt;
   if (take_allowance(1, now) == 0) return std::nullopt;
-  const std::string to = other->first;
-  ++relays_[to].workers;
+  const std::string target = least->first;
+  ++relays_[target].workers;  // until it tells its count itself
   --own_;
-  return to;
+  return target;
 }
 
 }  // namespace thistlefront
--- a/src/heartbeat_relay/worker_balancer.hpp
+++ b/src/heartbeat_relay/worker_balancer.hpp
@@ -1,10 +1,11 @@
-// Keeps workers spread over the controllers: those that hold more than their share send some to the one that holds fewest, a few a
-// second. Kept by the leader for one lead. Pure; times are steady seconds.
+// Keeps agents spread evenly over the controllers: one that serves more than its share redirects some to the one that serves the
+// fewest, a few per second. Used by the leader, which keeps one balancer for each term. Pure; times are steady seconds.
 #pragma once
 #include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 
 #include "model/identifiers.hpp"
 
@@ -12,18 +13,18 @@
 
 class WorkerBalancer {
  public:
-  // Workers to be sent to another controller; 0: none.
+  // Agents to be redirected to another controller; `count` 0: none.
   struct Redirection {
     std::uint32_t count = 0;
     std::string target;
   };
-  // An intake said how many workers it holds.
+  // A relay told how many agents it serves.
   void record_worker_count(const std::string& relay, std::uint32_t workers, double now);
-  // What that intake is to send away.
+  // What this relay is to redirect.
   Redirection redirect_from_relay(const std::string& relay, double now);
-  // Where the leader is to send one of its own workers, of which it holds `own`.
+  // Where the leader is to redirect one of the `own` agents that it serves itself.
   std::optional<std::string> redirect_from_leader(std::size_t own, double now);
-  // Workers at intakes that were heard of lately.
+  // Agents at relays that were heard from recently.
   [[nodiscard]] std::size_t workers_at_relays(double now) const;
 
  private:
@@ -31,16 +32,17 @@
     std::uint32_t workers = 0;
     double heard_at = 0;
   };
-  [[nodiscard]] bool is_recent(const Relay& relay, double now) const;
-  // The intake that holds fewest, but this one; null where there is none.
-  const std::pair<const std::string, Relay>* least_loaded(const std::string& but, double now) const;
+  [[nodiscard]] static bool is_recent(const Relay& relay, double now);
+  // The relay that serves the fewest agents, other than `excluded`; null where there is none.
+  [[nodiscard]] const std::pair<const std::string, Relay>* least_loaded(const std::string& excluded, double now) const;
+  // How many agents a relay serves when all controllers serve their share.
   [[nodiscard]] double relay_share(double now) const;
-  // How many of these may go now.
+  // How many of `wanted` agents may be redirected now, which are then deducted from the allowance.
   std::uint32_t take_allowance(double wanted, double now);
 
   NameMap<Relay> relays_;
-  std::size_t own_ = 0;
-  double allowance_ = 0, allowance_at_ = 0;
+  std::size_t own_ = 0;                         // agents that the leader serves itself
+  double allowance_ = 0, allowance_as_of_ = 0;  // redirections left, and when they were last replenished
 };
 
 }  // namespace thistlefront
--- a/src/leadership/partition_lease.hpp
+++ b/src/leadership/partition_lease.hpp
@@ -1,61 +1,68 @@
-// Keeping leases alive in a cut. A follower that a cut parts from the leader may, for a while, go on
-// answering the workers of its own zone under the leader's epoch, without orders: so their leases do not
-// lapse. Pure; docs/design.md has the proof.
+// Keeps the leases of agents alive across a network partition. A follower that is separated from the leader may, for a bounded
+// time, renew the leases of the agents in its own zone under the leader's fencing token and without any commands, so that they
+// do not expire. Called by the leadership code of the controller. Pure.
+//
+// Invariant: a partition lease plus one lease of an agent ends within `cancel_s` after the moment from which it was granted. So a
+// cancellation that was confirmed to its user after that moment is carried out in time even if no command reaches the node.
+// docs/design.md has the proof.
 #pragma once
 #include <cstdint>
 
 namespace thistlefront {
 
-// The longest that a follower may go on: what was cancelled in that time must be gone within cancel_s of its
-// user being told, and a worker answered last at its end runs for one lease more.
+// The longest partition lease, in seconds. An agent whose lease is renewed at its very end runs for one lease more.
 double max_partition_lease_s(double cancel_s, double lease_s);
 
-// On the follower, and on a leader for the time when it can't renew its hold. Times are its own steady
-// seconds.
+// The follower's side: what this controller was granted. A leader grants one to itself whenever it is certain to lead, and uses it
+// when it no longer is.
+// Times are steady seconds of this controller.
 class PartitionLease {
  public:
-  // What an earlier process of this controller did is bounded by this one's start.
+  // `started_at`: when this process started. An earlier process of this controller renewed no lease after that.
   PartitionLease(double span_s, double started_at) : span_s_(span_s), last_renewal_(started_at) {}
 
-  // The leader answered what was asked at `asked_at`. `oldest_cancellation_age_s`: how long ago the oldest cancellation was made
-  // that is not yet carried out in this zone; it must be carried out in time as well.
+  // The leader answered what this follower asked at `asked_at`. The lease runs from then, and is shorter by the age of the oldest
+  // cancellation that is not carried out in this zone yet, for that has to be carried out in time as well.
   void grant(std::uint64_t fencing_token, double asked_at, double oldest_cancellation_age_s);
-  // A leader of this takeover was heard of: what an earlier one granted is over, also where it was of the same name.
+  // A message of the leader with this takeover token arrived. What an earlier leader granted is over, also where that was the same
+  // controller.
   void observe_leader(std::uint64_t takeover_token);
-  // Another leads.
+  // Another controller leads.
   void revoke();
-  // Nothing was heard of the leader for some time, and not yet for too long.
+  // Whether leases may be renewed under it: the leader has been silent for some time, and not yet for too long.
   [[nodiscard]] bool is_active(double now) const;
-  // The same for one that has meanwhile taken the lead itself, without knowing the ledger: what it was granted is not over.
-  [[nodiscard]] bool is_granted(double now) const { return now < until_; }
+  // Whether it has not ended, however recently the leader was heard. Only for a controller that has meanwhile taken over itself
+  // and has not read the ledger yet.
+  [[nodiscard]] bool is_granted(double now) const { return now < ends_at_; }
   void record_renewal(double now) { last_renewal_ = now; }
+  // When this controller last renewed an agent's lease under it.
   [[nodiscard]] double last_renewal() const { return last_renewal_; }
-  // Under which it was granted: a later one, known by other ways only, may be another leader's.
+  // The token under which it was granted. A higher one, learned in another way, may belong to another leader.
   [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
   double span_s_, last_renewal_;
-  double asked_at_ = 0, until_ = 0;
+  double asked_at_ = 0, ends_at_ = 0;
   std::uint64_t fencing_token_ = 0, takeover_token_ = 0;
 };
 
-// On the leader, for one peer: until when the peer may have answered workers on its own. Times are the
-// leader's steady seconds.
+// The leader's side, for one peer: until when that peer may have renewed leases on its own. Times are steady seconds of the
+// leader.
 class PartitionLeaseGrant {
  public:
   PartitionLeaseGrant() = default;
-  // An earlier leader's grants were made before it ceased to lead, which was before `taken_over_at`.
+  // An earlier leader granted nothing after it ceased to lead, which was before `taken_over_at`.
   PartitionLeaseGrant(double span_s, double taken_over_at) : span_s_(span_s), taken_over_at_(taken_over_at) {}
 
-  // A beat goes out that gives the mark of the peer's latest answer back. What it grants counts from that
-  // mark, however often it is sent: with the time of sending, a peer that was cut off for good seemed to keep
-  // its zone for good.
+  // A peer heartbeat is sent that echoes the peer's latest answer. It grants a lease that runs from that answer, however often it
+  // is sent. If it ran from the time of sending, a peer that is cut off for good would seem to hold its lease for ever.
   void record_sent() { granted_at_ = acked_at_; }
-  // The peer answered the beat sent at `sent_at`, which answered its own of the beat sent at `echoed_sent_at`
-  // (0: of none).
+  // The peer answered a heartbeat that echoed its answer to the one sent at `echoed_sent_at` (0: that echoed none). It last renewed a
+  // lease under a partition lease `last_renewal_age_s` ago.
   void record_ack(double echoed_sent_at, double now, double last_renewal_age_s);
-  // Under this leader's epoch; and under an earlier one, which no worker takes that has seen this leader's.
+  // Until when it may have renewed leases under this leader's token.
   [[nodiscard]] double renewals_until(double now) const;
+  // The same under an earlier leader's token, which no agent accepts that has seen this leader's.
   [[nodiscard]] double earlier_renewals_until(double now) const;
 
  private:
--- a/src/worker_control/command_queue.cpp
+++ b/src/worker_control/command_queue.cpp
@@ -4,60 +4,60 @@
 
 namespace thistlefront {
 
-void CommandQueue::queue(NodeIndex h, Worker& w) {
-  w.queued = true;
-  (w.slow ? slow_ : prompt_).push_back(h);
+void CommandQueue::push(NodeIndex node, NodeStatus& status) {
+  status.queued = true;
+  (status.slow ? slow_ : prompt_).push_back(node);
 }
 
-void CommandQueue::enqueue(NodeIndex h, bool greet, double now) {
-  Worker& w = workers_[h];
-  w.announce = w.announce || greet;
-  if (w.being_served) {
-    w.again = true;
-  } else if (!w.queued && now >= w.not_before) {
-    queue(h, w);
+void CommandQueue::enqueue(NodeIndex node, bool announce, double now) {
+  NodeStatus& status = statuses_[node];
+  status.announce = status.announce || announce;
+  if (status.being_served) {
+    status.due_again = true;
+  } else if (!status.queued && now >= status.not_before) {
+    push(node, status);
   }
 }
 
 std::optional<CommandQueue::Item> CommandQueue::dequeue() {
   if (!has_ready()) return std::nullopt;
-  auto& from = prompt_.empty() ? slow_ : prompt_;
-  const NodeIndex h = from.front();
-  from.pop_front();
-  Worker& w = workers_[h];
-  w.queued = false;
-  w.being_served = true;
-  w.counted_as_slow = w.slow;
-  slow_now_ += w.counted_as_slow;
-  return Item{h, std::exchange(w.announce, false)};
+  auto& queue = prompt_.empty() ? slow_ : prompt_;
+  const NodeIndex node = queue.front();
+  queue.pop_front();
+  NodeStatus& status = statuses_[node];
+  status.queued = false;
+  status.being_served = true;
+  status.counted_as_slow = status.slow;
+  if (status.counted_as_slow) ++slow_in_service_;
+  return Item{node, std::exchange(status.announce, false)};
 }
 
-void CommandQueue::end(NodeIndex h, Worker& w) {
-  slow_now_ -= std::exchange(w.counted_as_slow, false);
-  w.being_served = false;
-  if (std::exchange(w.again, false) && !w.slow) queue(h, w);
+void CommandQueue::end_service(NodeIndex node, NodeStatus& status) {
+  if (std::exchange(status.counted_as_slow, false)) --slow_in_service_;
+  status.being_served = false;
+  if (std::exchange(status.due_again, false) && !status.slow) push(node, status);
 }
 
-void CommandQueue::complete(NodeIndex h) {
-  const auto it = workers_.find(h);
-  if (it == workers_.end()) return;
+void CommandQueue::complete(NodeIndex node) {
+  const auto it = statuses_.find(node);
+  if (it == statuses_.end()) return;
   it->second.slow = false;
-  end(h, it->second);
+  end_service(node, it->second);
 }
 
-void CommandQueue::back_off(NodeIndex h, double until) {
-  const auto it = workers_.find(h);
-  if (it == workers_.end()) return;
+void CommandQueue::back_off(NodeIndex node, double until) {
+  const auto it = statuses_.find(node);
+  if (it == statuses_.end()) return;
   it->second.slow = true;
   it->second.not_before = until;
-  end(h, it->second);
+  end_service(node, it->second);
 }
 
 void CommandQueue::clear() {
   prompt_.clear();
   slow_.clear();
-  workers_.clear();
-  slow_now_ = 0;
+  statuses_.clear();
+  slow_in_service_ = 0;
 }
 
 }  // namespace thistlefront
--- /dev/null
+++ b/src/worker_control/command_selection.cpp
@@ -0,0 +1,110 @@
+#include "worker_control/command_selection.hpp"
+
+#include <algorithm>
+#include <string>
+
+#include "model/job.hpp"
+#include "model/task.hpp"
+#include "worker_control/task_lookup.hpp"
+
+namespace thistlefront {
+
+namespace {
+
+// Commands in one message, which keeps it well below 64 KiB.
+constexpr std::size_t kMaxCommands = 400;
+
+bool is_cancelled(const ClusterState& cluster_state, JobIndex job) {
+  return job.valid() && cluster_state.job(job).status == JobStatus::cancelled;
+}
+
+// The placement of the reported attempt on this node; null where the cluster state has none.
+const Placement* placement_of(const ClusterState& cluster_state, NodeIndex node_index, const ReportedTask& reported) {
+  if (!reported.ref.job.valid()) return nullptr;
+  const auto& placements = cluster_state.job(reported.ref.job).placed;
+  const auto it = placements.find(reported.ref.task);
+  if (it == placements.end()) return nullptr;
+  const std::uint64_t agent_incarnation = cluster_state.node(node_index).agent.incarnation;
+  return is_placement_of(&it->second, node_index, agent_incarnation, reported.attempt) ? &it->second : nullptr;
+}
+
+Command kill(TaskId id, std::uint64_t attempt, double grace_period_s) {
+  return {CommandType::kill, std::move(id), attempt, grace_period_s};
+}
+
+// Kills and acknowledgements for what the agent reports.
+void add_commands_for_reported_tasks(const ClusterState& cluster_state, NodeIndex node_index, std::uint64_t fencing_token,
+                                     std::vector<Command>& commands) {
+  const Node& node = cluster_state.node(node_index);
+  // While a start may still be on its way, the agent must remember the attempts that have exited, or it would run one again.
+  const bool may_acknowledge = node.has_no_uncertain_start(node.agent.highest_token) && node.agent.highest_token >= fencing_token;
+  for (const ReportedTask& reported : node.agent.tasks) {
+    if (commands.size() >= kMaxCommands) return;
+    const bool exited = reported.phase == TaskPhase::exited;
+    const TaskId id{reported.ref.job.valid() ? cluster_state.job(reported.ref.job).uid : reported.uid, reported.ref.task};
+    if (const Placement* placement = placement_of(cluster_state, node_index, reported)) {
+      // A task that writes its checkpoint is left to finish it. If its job was cancelled since, the checkpoint is of no use, and a
+      // second kill ends it at once.
+      const bool finishes_checkpoint = reported.phase == TaskPhase::checkpointing && !is_cancelled(cluster_state, reported.ref.job);
+      if (placement->stopping && !exited && !finishes_checkpoint) commands.push_back(kill(id, reported.attempt, placement->grace_period_s));
+    } else if (!exited) {
+      commands.push_back(kill(id, reported.attempt, 0));
+    } else if (may_acknowledge) {
+      commands.push_back({CommandType::acknowledge_exit, id, reported.attempt, 0});
+    }
+  }
+}
+
+// Starts and kills for what is placed on the node and not reported by its agent.
+void add_commands_for_unreported_placements(const ClusterState& cluster_state, const Node& node, std::vector<Command>& commands) {
+  for (const auto& placed : node.placed) {
+    if (commands.size() >= kMaxCommands) return;
+    const Placement& placement = *placed.placement;
+    if (placement.end_pending || placement.agent_incarnation != node.agent.incarnation) continue;
+    if (find_reported_task(node.agent, placed, placement.attempt)) continue;
+    const TaskId id{cluster_state.job(placed.job).uid, placed.task};
+    if (placement.stopping) {
+      commands.push_back(kill(id, placement.attempt, placement.grace_period_s));
+    } else {
+      commands.push_back({CommandType::run, id, placement.attempt, 0});
+    }
+  }
+}
+
+}  // namespace
+
+std::vector<Command> pending_commands(const ClusterState& cluster_state, NodeIndex node_index, std::uint64_t fencing_token) {
+  std::vector<Command> commands;
+  const Node& node = cluster_state.node(node_index);
+  if (node.terminated || node.lease_expired || node.agent.incarnation == 0) return commands;
+  // Kills and acknowledgements first: they free the resources that the starts need.
+  add_commands_for_reported_tasks(cluster_state, node_index, fencing_token, commands);
+  add_commands_for_unreported_placements(cluster_state, node, commands);
+  return commands;
+}
+
+std::vector<Command> kills_for_cancelled_jobs(const ClusterState& cluster_state, NodeIndex node_index) {
+  std::vector<Command> commands;
+  const Node& node = cluster_state.node(node_index);
+  if (node.terminated || node.agent.incarnation == 0) return commands;
+  const auto add_kill = [&](TaskRef ref, std::uint64_t attempt) {
+    if (commands.size() < kMaxCommands) commands.push_back(kill({cluster_state.job(ref.job).uid, ref.task}, attempt, 0));
+  };
+  for (const ReportedTask& reported : node.agent.tasks)
+    if (reported.phase != TaskPhase::exited && is_cancelled(cluster_state, reported.ref.job)) add_kill(reported.ref, reported.attempt);
+  // Tasks that were never reported: a start that was on its way may have been carried out since the last message.
+  for (const auto& placed : node.placed) {
+    const Placement& placement = *placed.placement;
+    if (is_cancelled(cluster_state, placed.job) && !placement.reported && placement.agent_incarnation == node.agent.incarnation)
+      add_kill(placed, placement.attempt);
+  }
+  return commands;
+}
+
+void record_commands_sent(Node& node, std::uint64_t serial, const std::vector<Command>& commands) {
+  const bool has_start =
+      std::any_of(commands.begin(), commands.end(), [](const Command& command) { return command.type == CommandType::run; });
+  if (has_start) node.commands.last_run_serial = std::max(node.commands.last_run_serial, serial);
+}
+
+}  // namespace thistlefront
--- a/src/worker_control/one_way_partition.cpp
+++ b/src/worker_control/one_way_partition.cpp
@@ -1,61 +1,75 @@
 #include "worker_control/one_way_partition.hpp"
 
 #include <algorithm>
+#include <cstddef>
 #include <map>
-
-#include "model/heartbeat.hpp"
-#include "model/identifiers.hpp"
+#include <utility>
 
 namespace thistlefront {
 
 namespace {
-constexpr double kSurelyHears = 1.3;                // leases of one tenure: some answer renewed it
-constexpr double kUnreportedStartHeartbeats = 2.5;  // report periods after which a start must have been told of
-constexpr double kUnreportedStartSlack = 1.5;
-constexpr double kGivenUpLeases = 3;
-constexpr std::size_t kFew = 3;  // one in so many of a zone
+
+// An incarnation that has lasted for so many leases received an answer: nothing else renews its lease.
+constexpr double kAnsweredAfterLeases = 1.3;
+// Heartbeat intervals, and seconds more, after which a start must have been reported.
+constexpr double kUnreportedStartHeartbeats = 2.5;
+constexpr double kUnreportedStartSlackS = 1.5;
+constexpr double kReplacedAfterLeases = 3;
+// A node is replaced only where no more than one in so many nodes of its zone is unresponsive.
+constexpr std::size_t kOneInMayBeUnresponsive = 3;
+
+struct ZoneCount {
+  std::size_t known = 0, unresponsive = 0;
+};
+
 }  // namespace
 
 void observe_message(Node& node, const Heartbeat& heartbeat, bool is_heartbeat, double now, double lease_s) {
-  if (std::pair(heartbeat.agent_incarnation, heartbeat.serial) <= std::pair(node.agent.incarnation, node.agent.serial)) return;
-  const bool began_anew = node.agent.incarnation > 0 && heartbeat.agent_incarnation > node.agent.incarnation;
-  if (began_anew && is_heartbeat && node.agent.last_answered_at > 0 && now - node.agent.last_answered_at < lease_s) {
-    if (node.agent.unresponsive_since == 0) node.agent.unresponsive_since = now;
-    node.agent.unresponsive_token = heartbeat.fencing_token;
+  AgentState& agent = node.agent;
+  if (std::pair(heartbeat.agent_incarnation, heartbeat.serial) <= std::pair(agent.incarnation, agent.serial)) return;
+  const bool new_incarnation = agent.incarnation > 0 && heartbeat.agent_incarnation > agent.incarnation;
+  const bool answered_within_lease = agent.last_answered_at > 0 && now - agent.last_answered_at < lease_s;
+  if (new_incarnation && is_heartbeat && answered_within_lease) {
+    if (agent.unresponsive_since == 0) agent.unresponsive_since = now;
+    agent.unresponsive_token = heartbeat.fencing_token;
     return;
   }
-  if (node.agent.unresponsive_since == 0) return;
-  // A command that it answered, a token that it had not seen, or a tenure that outlived its lease.
-  const bool outlived = !began_anew && node.agent.incarnation_since > 0 && now - node.agent.incarnation_since > kSurelyHears * lease_s;
-  if (!is_heartbeat || heartbeat.fencing_token > node.agent.unresponsive_token || outlived) node.agent.unresponsive_since = 0;
+  if (agent.unresponsive_since == 0) return;
+  const bool answered_command = !is_heartbeat;
+  const bool saw_new_token = heartbeat.fencing_token > agent.unresponsive_token;
+  const bool outlived_lease =
+      !new_incarnation && agent.incarnation_since > 0 && now - agent.incarnation_since > kAnsweredAfterLeases * lease_s;
+  if (answered_command || saw_new_token || outlived_lease) agent.unresponsive_since = 0;
 }
 
 bool is_unresponsive(const Node& node, double wall, double heartbeat_interval_s) {
   if (node.agent.unresponsive_since > 0) return true;
-  return std::any_of(node.placed.begin(), node.placed.end(), [&](const PlacedTask& ref) {
-    const Placement& p = *ref.placement;
-    return !p.reported && !p.end_pending && p.agent_incarnation == node.agent.incarnation &&
-           wall - p.decided_at > kUnreportedStartHeartbeats * heartbeat_interval_s + kUnreportedStartSlack;
+  const double start_reported_within_s = kUnreportedStartHeartbeats * heartbeat_interval_s + kUnreportedStartSlackS;
+  return std::any_of(node.placed.begin(), node.placed.end(), [&](const PlacedTask& placed) {
+    const Placement& placement = *placed.placement;
+    const bool awaits_start = !placement.reported && !placement.end_pending && placement.agent_incarnation == node.agent.incarnation;
+    return awaits_start && wall - placement.decided_at > start_reported_within_s;
   });
 }
 
 std::vector<NodeIndex> unresponsive_nodes_to_replace(const ClusterState& cluster_state, double now, double lease_s) {
-  std::map<ZoneIndex, std::pair<std::size_t, std::size_t>> zones;  // known, deaf
-  std::vector<NodeIndex> out;
+  std::map<ZoneIndex, ZoneCount> zones;
+  std::vector<NodeIndex> to_replace;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
     if (!node.agent.has_reported || node.terminated || node.lease_expired) continue;
-    auto& [known, unresponsive] = zones[node.zone];
-    ++known;
-    unresponsive += node.agent.unresponsive_since > 0;
-    if (node.agent.unresponsive_since > 0 && now - node.agent.unresponsive_since > kGivenUpLeases * lease_s && node.placed.empty())
-      out.push_back(NodeIndex{i});
+    ZoneCount& zone = zones[node.zone];
+    ++zone.known;
+    if (node.agent.unresponsive_since <= 0) continue;
+    ++zone.unresponsive;
+    const bool long_enough = now - node.agent.unresponsive_since > kReplacedAfterLeases * lease_s;
+    if (long_enough && node.placed.empty()) to_replace.push_back(NodeIndex{i});
   }
-  std::erase_if(out, [&](NodeIndex h) {
-    const auto& [known, unresponsive] = zones[cluster_state.node(h).zone];
-    return kFew * unresponsive > known && unresponsive > 1;
+  std::erase_if(to_replace, [&](NodeIndex node_index) {
+    const ZoneCount& zone = zones[cluster_state.node(node_index).zone];
+    return zone.unresponsive > 1 && kOneInMayBeUnresponsive * zone.unresponsive > zone.known;
   });
-  return out;
+  return to_replace;
 }
 
 }  // namespace thistlefront
--- a/src/worker_control/reachability.cpp
+++ b/src/worker_control/reachability.cpp
@@ -7,16 +7,36 @@
 
 namespace thistlefront {
 
-Reachability measure_reachability(const ClusterState& cluster_state, double now, double lately_s) {
+namespace {
+
+// A node with tasks that was never heard from since the takeover may have died together with the earlier leader. If it were left out, its
+// replicas would wait for a whole lease: 12 nodes failed like that in one recorded incident.
+bool may_run_tasks(const Node& node) {
+  if (node.terminated || node.lease_expired) return false;
+  return node.agent.has_reported || (!node.placed.empty() && !node.address.empty());
+}
+
+// Whether a task of the job may still be on a node in this zone. A node whose zone is not known may be in any.
+bool is_placed_in_zone(const ClusterState& cluster_state, const Job& job, const std::string& zone_name) {
+  return std::any_of(job.placed.begin(), job.placed.end(), [&](const auto& entry) {
+    const ZoneIndex zone = cluster_state.node(entry.second.node).zone;
+    return !zone.valid() || cluster_state.zone_name(zone) == zone_name;
+  });
+}
+
+}  // namespace
+
+Reachability measure_reachability(const ClusterState& cluster_state, double now, double recent_s) {
   Reachability out;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
     if (!node.agent.has_reported || node.terminated || node.lease_expired) continue;
-    const bool lately = now - node.agent.last_heartbeat_at < lately_s, direct = now - node.agent.last_direct_contact_at < lately_s;
+    const bool recent = now - node.agent.last_heartbeat_at < recent_s;
+    const bool direct = now - node.agent.last_direct_contact_at < recent_s;
     ++out.known;
-    out.recent += lately;
-    out.direct += direct;
-    out.via_peers += lately && !direct;
+    if (recent) ++out.recent;
+    if (direct) ++out.direct;
+    if (recent && !direct) ++out.via_peers;
   }
   return out;
 }
@@ -25,31 +45,24 @@
   std::vector<NodeSilence> out;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
-    if (node.terminated || node.lease_expired) continue;
-    // One that holds work and was never heard of since the takeover may have died with the earlier leader
-    // (lienzo grown, troubles: 12 machines die as the leader ends, and their replicas waited for the whole
-    // lease).
-    if (!node.agent.has_reported && (node.placed.empty() || node.address.empty())) continue;
-    const bool serves = std::any_of(node.placed.begin(), node.placed.end(),
-                                    [&](const TaskRef& ref) { return cluster_state.job(ref.job).spec.job_type == JobType::service; });
-    out.push_back({NodeIndex{i}, node.zone, now - (node.agent.has_reported ? node.agent.last_heartbeat_at : taken_over_at), serves,
-                   !node.placed.empty()});
+    if (!may_run_tasks(node)) continue;
+    const bool runs_services = std::any_of(node.placed.begin(), node.placed.end(), [&](const TaskRef& ref) {
+      return cluster_state.job(ref.job).spec.job_type == JobType::service;
+    });
+    const double heard_at = node.agent.has_reported ? node.agent.last_heartbeat_at : taken_over_at;
+    out.push_back({NodeIndex{i}, node.zone, now - heard_at, runs_services, !node.placed.empty()});
   }
   return out;
 }
 
-double oldest_pending_cancellation_s(const ClusterState& cluster_state, const std::string& site, double now, double otherwise) {
-  double oldest_cancellation_s = 0;
-  for (JobIndex j : cluster_state.live()) {
-    const Job& job = cluster_state.job(j);
-    if (job.status != JobStatus::cancelled) continue;
-    const bool there = std::any_of(job.placed.begin(), job.placed.end(), [&](const auto& p) {
-      const ZoneIndex zone = cluster_state.node(p.second.node).zone;
-      return !zone.valid() || cluster_state.zone_name(zone) == site;
-    });
-    if (there) oldest_cancellation_s = std::max(oldest_cancellation_s, job.cancelled_at > 0 ? now - job.cancelled_at : otherwise);
+double oldest_pending_cancellation_s(const ClusterState& cluster_state, const std::string& zone, double now, double otherwise) {
+  double oldest_s = 0;
+  for (JobIndex job_index : cluster_state.live()) {
+    const Job& job = cluster_state.job(job_index);
+    if (job.status != JobStatus::cancelled || !is_placed_in_zone(cluster_state, job, zone)) continue;
+    oldest_s = std::max(oldest_s, job.cancelled_at > 0 ? now - job.cancelled_at : otherwise);
   }
-  return oldest_cancellation_s;
+  return oldest_s;
 }
 
 }  // namespace thistlefront
