--- a/tests/heartbeat_delta_test.cpp
+++ b/tests/heartbeat_delta_test.cpp
@@ -1,5 +1,5 @@
-// Reports that travel as differences: whatever is lost, late, repeated or swapped on the way, the leader sees the report that the
-// worker sent, or asks for the whole of it.
+// Heartbeats sent as differences: whatever is lost, late, repeated or reordered on the way, the leader sees the heartbeat that the agent
+// sent, or asks for the whole of it.
 #include "heartbeat_relay/heartbeat_delta.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   return p.id.uid + "/" + std::to_string(p.id.task) + "." + std::to_string(p.attempt) + "=" + std::to_string(static_cast<int>(p.phase)) +
          "," + std::to_string(static_cast<int>(p.exit_reason)) + (p.checkpointed ? "k" : "");
 }
-// All that a report says, its tasks in one order.
+// All that a heartbeat says, its tasks in a fixed order.
 std::string text_of(const Heartbeat& r) {
   std::vector<std::string> tasks;
   for (const auto& p : r.tasks) tasks.push_back(text_of(p));
@@ -33,10 +33,10 @@
   return out;
 }
 
-// A worker whose tasks change at random.
-class RandomWorker {
+// An agent whose tasks change at random.
+class RandomAgent {
  public:
-  RandomWorker(std::string name, std::mt19937& random) : random_(random) {
+  RandomAgent(std::string name, std::mt19937& random) : random_(random) {
     heartbeat_.node = std::move(name);
     heartbeat_.address = "127.0.0.1:" + std::to_string(random() % 60000);
     heartbeat_.machine_type = "big";
@@ -49,7 +49,7 @@
     heartbeat_.repeated_serial.reset();
     const auto what = random_() % 10;
     if (what < 4) {
-      // As the reader of its connection would tell, where the one before was read there.
+      // As the reader of its connection would tell if it had read the heartbeat before.
       if (random_() % 2 == 0) heartbeat_.repeated_serial = before;
     } else if (what == 4 && random_() % 4 == 0) {
       ++heartbeat_.agent_incarnation;
@@ -72,11 +72,11 @@
                                   ExitReason::none,
                                   false});
       std::shuffle(heartbeat_.tasks.begin(), heartbeat_.tasks.end(), random_);
-      if (random_() % 40 == 0) heartbeat_.tasks.push_back(heartbeat_.tasks.front());  // no worker does that: it travels whole
+      if (random_() % 40 == 0) heartbeat_.tasks.push_back(heartbeat_.tasks.front());  // no agent does that: it is sent whole
     }
     return heartbeat_;
   }
-  // A command that it answered moved its serial on.
+  // Its serial grew with the answer to a command.
   void skip() { ++heartbeat_.serial; }
 
  private:
@@ -89,19 +89,19 @@
   std::size_t whole = 0, difference = 0, unchanged = 0, asked = 0;
 };
 
-// Two intakes, workers that move between them, a leader that changes. Deltas travel late, twice, swapped, or not at all.
-void play(unsigned seed, Tally& tally) {
+// Two relays, agents that move between them, a leader that changes. Deltas arrive late, twice, reordered, or not at all.
+void simulate(unsigned seed, Tally& tally) {
   std::mt19937 random(seed);
-  std::vector<RandomWorker> workers;
+  std::vector<RandomAgent> workers;
   for (int i = 0; i < 3; ++i) workers.emplace_back("m-" + std::to_string(i), random);
-  struct OnItsWay {
+  struct InFlight {
     std::size_t relay;
     Heartbeat heartbeat;
     Frame frame;
   };
-  HeartbeatDeltaEncoder senders[2];
-  HeartbeatDeltaDecoder receiver;
-  std::deque<OnItsWay> way;
+  HeartbeatDeltaEncoder encoders[2];
+  HeartbeatDeltaDecoder decoder;
+  std::deque<InFlight> in_flight;
   for (int step = 0; step < 400; ++step) {
     const auto what = random() % 12;
     if (what < 5) {
@@ -109,74 +109,74 @@
       if (random() % 6 == 0) worker.skip();
       const Heartbeat& heartbeat = worker.next();
       const auto relay = random() % 8 == 0 ? random() % 2 : std::size_t{0};
-      const auto delta = senders[relay].encode(heartbeat);
+      const auto delta = encoders[relay].encode(heartbeat);
       tally.whole += delta.kind == HeartbeatDelta::Kind::whole;
       tally.difference += delta.kind == HeartbeatDelta::Kind::difference;
       tally.unchanged += delta.kind == HeartbeatDelta::Kind::unchanged;
-      way.push_back({relay, heartbeat, pack(HeartbeatBatch{"host-0", 1, 0, {delta}})});
+      in_flight.push_back({relay, heartbeat, pack(HeartbeatBatch{"host-0", 1, 0, {delta}})});
     } else if (what == 5 && random() % 10 == 0) {
-      receiver = {};  // another leader; its intakes learn of it sooner or later
-      if (random() % 2) senders[random() % 2].clear();
+      decoder = {};  // another leader; its relays learn of it sooner or later
+      if (random() % 2) encoders[random() % 2].clear();
     } else if (what == 6 && random() % 20 == 0) {
-      senders[random() % 2].clear();  // an intake that ended and is back
-    } else if (!way.empty()) {
-      const std::size_t at = random() % 5 == 0 ? random() % way.size() : 0;
-      const OnItsWay message = way[at];
-      if (random() % 6 != 0) way.erase(way.begin() + static_cast<long>(at));  // else it comes once more
-      if (random() % 8 == 0) continue;                                        // or never, or its answer does not
+      encoders[random() % 2].clear();  // a relay that restarted
+    } else if (!in_flight.empty()) {
+      const std::size_t at = random() % 5 == 0 ? random() % in_flight.size() : 0;
+      const InFlight message = in_flight[at];
+      if (random() % 6 != 0) in_flight.erase(in_flight.begin() + static_cast<long>(at));  // else it arrives once more
+      if (random() % 8 == 0) continue;                                                    // or never, or its answer does not
       const auto batch = unpack_heartbeat_batch(message.frame);
       ASSERT_TRUE(batch && batch->heartbeats.size() == 1);
-      const Heartbeat* got = receiver.decode(batch->heartbeats[0]);
+      const Heartbeat* got = decoder.decode(batch->heartbeats[0]);
       if (!got) {
         ++tally.asked;
-        senders[message.relay].forget(message.heartbeat.node);
+        encoders[message.relay].forget(message.heartbeat.node);
         continue;
       }
       ASSERT_EQ(text_of(*got), text_of(message.heartbeat)) << "seed " << seed << ", step " << step;
-      if (random() % 8 != 0) senders[message.relay].record_acknowledged(message.heartbeat);
+      if (random() % 8 != 0) encoders[message.relay].record_acknowledged(message.heartbeat);
     }
   }
 }
 
-TEST(Intake, TheLeaderSeesWhatTheWorkerSentOrAsksAgain) {
+TEST(HeartbeatDelta, TheLeaderSeesWhatTheAgentSentOrAsksForTheWhole) {
   Tally tally;
   for (unsigned seed = 1; seed <= 1500; ++seed) {
-    play(seed, tally);
+    simulate(seed, tally);
     if (testing::Test::HasFatalFailure()) return;
   }
-  // All of it was really played.
+  // Every case really occurred.
   EXPECT_GT(tally.whole, 10000u);
   EXPECT_GT(tally.difference, 10000u);
   EXPECT_GT(tally.unchanged, 10000u);
   EXPECT_GT(tally.asked, 1000u);
 }
 
-TEST(Intake, ADifferenceOntoAnotherReportIsRefused) {
+TEST(HeartbeatDelta, ADifferenceToAnotherHeartbeatIsRefused) {
   std::mt19937 random(5);
-  RandomWorker worker("m-1", random);
-  HeartbeatDeltaEncoder sender;
-  HeartbeatDeltaDecoder receiver;
+  RandomAgent worker("m-1", random);
+  HeartbeatDeltaEncoder encoder;
+  HeartbeatDeltaDecoder decoder;
   const Heartbeat first = worker.next();
-  ASSERT_TRUE(receiver.decode(sender.encode(first)));
-  sender.record_acknowledged(first);
+  ASSERT_TRUE(decoder.decode(encoder.encode(first)));
+  encoder.record_acknowledged(first);
   Heartbeat second = first;
   second.serial += 2;
   second.tasks.push_back({{"j-9", 0}, 1, TaskPhase::running, ExitReason::none, false});
-  const auto delta = sender.encode(second);
+  const auto delta = encoder.encode(second);
   ASSERT_NE(delta.kind, HeartbeatDelta::Kind::whole);
   HeartbeatDeltaDecoder fresh;
   EXPECT_EQ(fresh.decode(delta), nullptr) << "a new leader";
-  auto of_another_session = delta;
-  ++of_another_session.agent_incarnation;
-  EXPECT_EQ(receiver.decode(of_another_session), nullptr);
-  auto onto_another = delta;
-  ++onto_another.base_serial;
-  EXPECT_EQ(receiver.decode(onto_another), nullptr);
-  ASSERT_TRUE(receiver.decode(delta));
-  EXPECT_EQ(receiver.decode(delta), nullptr) << "a second copy: the report it builds on is no longer the newest";
+  auto of_another_incarnation = delta;
+  ++of_another_incarnation.agent_incarnation;
+  EXPECT_EQ(decoder.decode(of_another_incarnation), nullptr);
+  auto to_another_base = delta;
+  ++to_another_base.base_serial;
+  EXPECT_EQ(decoder.decode(to_another_base), nullptr);
+  ASSERT_TRUE(decoder.decode(delta));
+  EXPECT_EQ(decoder.decode(delta), nullptr) << "a second copy: the heartbeat it is based on is no longer the newest";
 }
 
-TEST(Intake, AnAnswerTravelsAsItIs) {
+TEST(HeartbeatDelta, ABatchAnswerIsUnpackedAsItWasPacked) {
   HeartbeatBatchAnswer answer;
   answer.takeover_token = 7;
   answer.fencing_token = 9;
@@ -200,15 +200,15 @@
   EXPECT_DOUBLE_EQ(got->answers[0].commands[1].grace_period_s, 4.5);
 }
 
-TEST(Intake, AMalformedBatchIsRefusedAsAWhole) {
+TEST(HeartbeatDelta, AMalformedBatchIsRefusedAsAWhole) {
   std::mt19937 random(11);
-  RandomWorker worker("m-1", random);
+  RandomAgent worker("m-1", random);
   HeartbeatBatch batch{"host-1", 5, 2, {}};
-  HeartbeatDeltaEncoder sender;
+  HeartbeatDeltaEncoder encoder;
   for (int i = 0; i < 30; ++i) {
     const Heartbeat heartbeat = worker.next();
-    batch.heartbeats.push_back(sender.encode(heartbeat));
-    sender.record_acknowledged(heartbeat);
+    batch.heartbeats.push_back(encoder.encode(heartbeat));
+    encoder.record_acknowledged(heartbeat);
   }
   const Frame whole = pack(batch);
   ASSERT_TRUE(unpack_heartbeat_batch(whole));
@@ -226,10 +226,10 @@
       altered.payload[random() % altered.payload.size()] = static_cast<char>(random());
     const auto got = unpack_heartbeat_batch(altered);
     if (!got) continue;
-    HeartbeatDeltaDecoder receiver;
+    HeartbeatDeltaDecoder decoder;
     for (const auto& delta : got->heartbeats) {
       EXPECT_FALSE(delta.node.empty());
-      receiver.decode(delta);
+      decoder.decode(delta);
     }
   }
 }
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,16 +1,17 @@
-// What a report means, and what a worker is due: the invariants of dealings with workers.
+// Reconciliation between the cluster state and an agent: what its heartbeats mean, which commands it is due, and when its lease has
+// expired.
 #include "worker_control/reconciliation.hpp"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
+#include "heartbeat_builders.hpp"
 #include "job_builders.hpp"
 #include "model/command.hpp"
 #include "model/heartbeat.hpp"
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
-#include "model/machine.hpp"
 #include "model/task.hpp"
 #include "protocol/messages.hpp"
 #include "worker_control/lease_renewal_policy.hpp"
@@ -21,43 +22,22 @@
 
 constexpr std::uint64_t kToken = 10;
 
-class Dealings : public testing::Test {
+class Reconciliation : public testing::Test {
  protected:
-  Dealings() : cluster_state({{"red", {}, {}, {}}}) {
-    MachineType f;
-    f.name = "big";
-    f.capacity = {8, 0, 32};
-    cluster_state.apply(MachineTypesRecord{{f}});
-  }
+  Reconciliation() : cluster_state({{"red", {}, {}, {}}}) { cluster_state.apply(big_machine_type()); }
   void accept(const std::string& uid, std::uint32_t tasks, JobType job_type = JobType::array) {
-    JobAcceptedRecord r;
-    r.job.uid = uid;
-    r.job.owner = "red";
-    r.job.job_class = "c";
-    r.job.image = "i";
-    r.job.job_type = job_type;
-    r.job.task_count = tasks;
-    r.job.demand = {1, 0, 1};
-    cluster_state.apply(r);
+    cluster_state.apply(accepted_job(uid, tasks, job_type));
   }
   void start(const std::string& uid, std::uint64_t attempt, TaskRange tasks, std::uint64_t agent_incarnation = 1) {
     cluster_state.apply(TasksStartedRecord{uid, attempt, 0, {{"m-1", agent_incarnation, {tasks}}}});
   }
   HeartbeatOutcome heartbeat(std::vector<TaskReport> tasks, bool is_heartbeat = true, std::uint64_t fencing_token = kToken,
                              std::uint64_t agent_incarnation = 1) {
-    Heartbeat r;
-    r.node = "m-1";
-    r.address = "127.0.0.1:1";
-    r.machine_type = "big";
-    r.zone = "x";
-    r.agent_incarnation = agent_incarnation;
-    r.serial = ++serial;
-    r.fencing_token = fencing_token;
-    r.tasks = std::move(tasks);
-    return apply_heartbeat(cluster_state, r, {steady, steady}, is_heartbeat, kToken);
+    const Heartbeat message = heartbeat_of_node("m-1", agent_incarnation, ++serial, fencing_token, std::move(tasks));
+    return apply_heartbeat(cluster_state, message, {steady, steady}, is_heartbeat, kToken);
   }
-  void make_durable(const HeartbeatOutcome& o) {
-    for (const auto& r : o.records) cluster_state.apply(r);
+  void make_durable(const HeartbeatOutcome& outcome) {
+    for (const auto& record : outcome.records) cluster_state.apply(record);
   }
   Node& node() { return cluster_state.node(cluster_state.find_node("m-1")); }
   std::vector<Command> commands() { return pending_commands(cluster_state, cluster_state.find_node("m-1"), kToken); }
@@ -68,12 +48,7 @@
   double steady = 100;
 };
 
-TaskReport task_report(const std::string& uid, std::uint32_t task, std::uint64_t attempt, TaskPhase phase,
-                       ExitReason exit_reason = ExitReason::none) {
-  return {{uid, task}, attempt, phase, exit_reason, false};
-}
-
-TEST_F(Dealings, RunIsRepeatedUntilTheWorkerShowsTheTask) {
+TEST_F(Reconciliation, RunIsRepeatedUntilTheAgentReportsTheTask) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
@@ -85,13 +60,13 @@
   EXPECT_TRUE(commands().empty());
 }
 
-TEST_F(Dealings, ReapOnlyAfterTheOutcomeIsInTheLedgerAndRunNeverAfterwards) {
+TEST_F(Reconciliation, ExitIsAcknowledgedOnlyAfterItsOutcomeIsInTheLedgerAndTheTaskNeverRunAgain) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   const auto outcome = heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::completed)});
   ASSERT_EQ(outcome.records.size(), 1u);
-  EXPECT_TRUE(commands().empty()) << "neither reap nor run while the outcome is on its way";
+  EXPECT_TRUE(commands().empty()) << "neither acknowledged nor run while the outcome is on its way";
   make_durable(outcome);
   EXPECT_EQ(job("j-1").status, JobStatus::done);
   ASSERT_EQ(commands().size(), 1u);
@@ -100,36 +75,36 @@
   EXPECT_TRUE(commands().empty());
 }
 
-TEST_F(Dealings, NoReapWhileADirectStartIsInDoubt) {
+TEST_F(Reconciliation, NoExitIsAcknowledgedWhileADirectStartIsUncertain) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   node().commands.uncertain_token = kToken;
   make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}));
-  // A late start would run it again if the worker had forgotten this attempt.
+  // A late start would run it again if the agent had forgotten this attempt.
   EXPECT_TRUE(commands().empty());
   heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}, true, kToken + 1);
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
 }
 
-TEST_F(Dealings, AStoppedTaskThatIsAbsentIsOffOnlyWhenNoStartCanBeOnItsWay) {
+TEST_F(Reconciliation, AStoppedTaskThatIsAbsentIsRemovedOnlyWhenNoStartCanBeOnItsWay) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   cluster_state.apply(JobCancelledRecord{"j-1"});
   EXPECT_EQ(commands()[0].type, CommandType::kill);
-  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command says nothing of reports' answers";
+  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command says nothing about answers to heartbeats";
   EXPECT_TRUE(heartbeat({}, true, kToken - 1).records.empty()) << "an earlier leader's start may be on its way";
   node().commands.uncertain_token = kToken;
-  EXPECT_TRUE(heartbeat({}).records.empty()) << "a start of this leader is in doubt";
+  EXPECT_TRUE(heartbeat({}).records.empty()) << "a start of this leader is uncertain";
   const auto outcome = heartbeat({}, true, kToken + 1);
   ASSERT_EQ(outcome.records.size(), 1u);
   make_durable(outcome);
   EXPECT_TRUE(node().placed.empty());
 }
 
-TEST_F(Dealings, ALaterTenureMeansThatAllIsOff) {
+TEST_F(Reconciliation, ALaterIncarnationMeansThatAllTasksAreRemoved) {
   accept("j-1", 2);
   heartbeat({});
   start("j-1", 1, {0, 2});
@@ -138,8 +113,8 @@
   EXPECT_TRUE(commands().empty());
 }
 
-// Planned for one session, in the ledger after the next one was heard of.
-TEST_F(Dealings, AStartForAnEarlierTenureIsOffWithTheNextReport) {
+// Planned for one incarnation, in the ledger after the next one was heard of.
+TEST_F(Reconciliation, AStartForAnEarlierIncarnationIsRemovedWithTheNextHeartbeat) {
   accept("j-1", 1);
   heartbeat({}, true, kToken, 1);
   heartbeat({}, true, kToken, 2);
@@ -148,7 +123,7 @@
   EXPECT_EQ(job("j-1").pending, 1u);
 }
 
-TEST_F(Dealings, AnOlderReportChangesNothing) {
+TEST_F(Reconciliation, AnOlderHeartbeatChangesNothing) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
@@ -158,7 +133,7 @@
   EXPECT_EQ(job("j-1").running(), 1u);
 }
 
-TEST_F(Dealings, StrayAttemptsAreKilled) {
+TEST_F(Reconciliation, StrayAttemptsAreKilled) {
   accept("j-1", 1);
   heartbeat({task_report("j-1", 0, 7, TaskPhase::running), task_report("j-9", 3, 1, TaskPhase::running)});
   const auto due = commands();
@@ -167,7 +142,7 @@
   EXPECT_EQ(due[1].type, CommandType::kill);
 }
 
-TEST_F(Dealings, ABrokenGangIsStopped) {
+TEST_F(Reconciliation, ABrokenGangIsStopped) {
   accept("j-1", 2, JobType::gang);
   heartbeat({});
   start("j-1", 1, {0, 2});
@@ -176,8 +151,8 @@
   EXPECT_TRUE(job("j-1").placed.at(0).stopping);
 }
 
-// A leader ended while it stopped a gang to make room: its successor stops the rest of it in order, and counts on the room.
-TEST_F(Dealings, StopsThatAnEarlierLeaderBeganGoOn) {
+// A leader ended while it stopped a gang to make room: its successor stops the rest of the gang too, and counts on the room.
+TEST_F(Reconciliation, StopsThatAnEarlierLeaderBeganAreResumed) {
   accept("j-1", 2, JobType::gang);
   accept("j-2", 2);
   for (const auto* uid : {"j-1", "j-2"}) {
@@ -201,7 +176,7 @@
   EXPECT_TRUE(resume_inherited_stops(cluster_state).empty()) << "once";
 }
 
-TEST_F(Dealings, ARecalledMachineIsDrained) {
+TEST_F(Reconciliation, ANodeAboutToBeInterruptedIsDrained) {
   accept("j-1", 1, JobType::service);
   accept("j-2", 1);
   heartbeat({});
@@ -217,22 +192,22 @@
   EXPECT_TRUE(job("j-2").placed.at(0).stopping);
 }
 
-// Tasks that come back scattered, as after a cut, made a start too large for an entry: it was refused, and every leader in
-// turn stepped down for it (kaubaalus ops, operations, once).
-TEST(FittingRecords, ScatteredStartsAndEndsFitIntoAnEntry) {
-  TasksStartedRecord r{"j-000001", 3, 1234567.891, {}};
+// Tasks that came back scattered after a partition once made the record of their start too large for a ledger entry: the store
+// refused it, and every leader in turn stepped down.
+TEST(RecordSplitting, ScatteredStartsAndEndsFitIntoLedgerEntries) {
+  TasksStartedRecord started{"j-000001", 3, 1234567.891, {}};
   std::size_t tasks = 0;
-  for (int h = 0; h < 40; ++h) {
-    TasksStartedRecord::NodeAssignment part{"m-" + std::to_string(100000 + h), 12, {}};
-    for (int i = 0; i < 256; ++i, ++tasks) append_task(part.tasks, 20000 + static_cast<std::uint32_t>(2 * tasks));
-    r.assignments.push_back(std::move(part));
+  for (int node = 0; node < 40; ++node) {
+    TasksStartedRecord::NodeAssignment assignment{"m-" + std::to_string(100000 + node), 12, {}};
+    for (int i = 0; i < 256; ++i, ++tasks) append_task(assignment.tasks, 20000 + static_cast<std::uint32_t>(2 * tasks));
+    started.assignments.push_back(std::move(assignment));
   }
   std::size_t found = 0;
-  for (const auto& s : split_by_size(r)) {
-    EXPECT_LT(encoded_size(s), 4000u);
-    EXPECT_EQ(s.attempt, 3u);
-    for (const auto& p : s.assignments)
-      for (const auto& range : p.tasks) found += range.last - range.first;
+  for (const auto& part : split_by_size(started)) {
+    EXPECT_LT(encoded_size(part), 4000u);
+    EXPECT_EQ(part.attempt, 3u);
+    for (const auto& assignment : part.assignments)
+      for (const auto& range : assignment.tasks) found += range.last - range.first;
   }
   EXPECT_EQ(found, tasks);
 
@@ -240,18 +215,18 @@
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 4000, 0.01), 0.5, 1});
   TasksStartedRecord all{"j-1", 1, 1, {{"m-1", 1, {}}}};
   for (std::uint32_t t = 0; t < 4000; t += 2) append_task(all.assignments[0].tasks, t);
-  for (const auto& s : split_by_size(all)) cluster_state.apply(s);
+  for (const auto& part : split_by_size(all)) cluster_state.apply(part);
   ASSERT_EQ(cluster_state.job(cluster_state.find("j-1")).placed.size(), 2000u);
-  std::size_t off = 0;
+  std::size_t removed = 0;
   for (const auto& end : evict_all_tasks(cluster_state, cluster_state.find_node("m-1"))) {
     EXPECT_LT(encoded_size(end), 4000u);
-    for (const auto& range : std::get<TasksRemovedRecord>(end).tasks) off += range.last - range.first;
+    for (const auto& range : std::get<TasksRemovedRecord>(end).tasks) removed += range.last - range.first;
   }
-  EXPECT_EQ(off, 2000u);
+  EXPECT_EQ(removed, 2000u);
 }
 
-// A new leader greets a worker before it has answered any of its reports: its lease must not count from never.
-TEST(Lease, OfAGreetedWorkerCountsFromWhenItWasKnownToHaveSeenTheEpoch) {
+// A new leader sends an agent a command before it has answered any of its heartbeats: its lease must not count from zero.
+TEST(LeaseExpiry, OfANodeReachedByCommandCountsFromWhenItSawTheToken) {
   Node node;
   node.agent.highest_token = kToken;
   node.agent.fenced_at = 100;
@@ -261,8 +236,8 @@
   EXPECT_TRUE(is_lease_expired(node, fencing_state, 10, 111));
 }
 
-// Found by the randomised test: a worker's new session lives for a whole lease without any answer.
-TEST_F(Dealings, ANewTenureHasAWholeLeaseFromWhenItIsHeardOf) {
+// Found by the randomised test: an agent's new incarnation lives for a whole lease without any answer.
+TEST_F(Reconciliation, ANewIncarnationHasAWholeLeaseFromItsFirstMessage) {
   heartbeat({});
   node().agent.last_answered_at = 100;
   steady = 109;
@@ -272,37 +247,37 @@
   EXPECT_TRUE(is_lease_expired(node(), fencing_state, 10, 120));
 }
 
-// An answer that says run is on its way; a command starts, stops and would reap the same attempt: the answer, coming last,
-// would start it again.
-TEST_F(Dealings, NothingIsReapedWhileAnAnswerThatSaysRunMayBeOnItsWay) {
+// An answer that starts an attempt is on its way; direct commands start it, stop it and would acknowledge its exit: the answer,
+// arriving last, would start it again.
+TEST_F(Reconciliation, NoExitIsAcknowledgedWhileAnAnswerWithAStartMayBeOnItsWay) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
-  const auto told = commands();
-  ASSERT_EQ(told.size(), 1u);
-  record_commands_sent(node(), serial, told);
+  const auto sent = commands();
+  ASSERT_EQ(sent.size(), 1u);
+  record_commands_sent(node(), serial, sent);
   cluster_state.apply(JobCancelledRecord{"j-1"});
   make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)}, false));
-  EXPECT_TRUE(commands().empty()) << "by the answer to a command nobody knows what became of the report's";
+  EXPECT_TRUE(commands().empty()) << "the answer to a command does not tell what became of the answer to the heartbeat";
   heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)});
-  ASSERT_EQ(commands().size(), 1u) << "its next report: the answer came, or never will";
+  ASSERT_EQ(commands().size(), 1u) << "its next heartbeat: the answer has arrived, or never will";
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
 }
 
-// Copies of a dead machine's reports, to the leader that had them and to its successor, which never heard of it.
-TEST_F(Dealings, ACopyOfAReportIsNoSignOfLife) {
+// Copies of a dead node's heartbeats reach the leader that had them already, and its successor, which never heard of the node.
+TEST_F(Reconciliation, ACopyOfAHeartbeatIsNoSignOfLife) {
   heartbeat({}, true, kToken);
-  const Heartbeat first{"m-1", "a", "big", "x", false, 1, node().agent.serial, kToken, std::nullopt, {}};
-  const double heard = steady;
-  record_lease_renewal(node(), false, heard);
-  for (steady = heard + 1; steady < heard + 30; steady += 3) {
+  const Heartbeat first = heartbeat_of_node("m-1", 1, node().agent.serial, kToken);
+  const double heard_at = steady;
+  record_lease_renewal(node(), false, heard_at);
+  for (steady = heard_at + 1; steady < heard_at + 30; steady += 3) {
     const auto outcome = apply_heartbeat(cluster_state, first, {steady, steady}, true, kToken);
     EXPECT_TRUE(outcome.stale);
     record_lease_renewal(node(), outcome.stale, steady);
   }
-  EXPECT_EQ(node().agent.last_heartbeat_at, heard);
-  EXPECT_EQ(node().agent.last_answered_at, heard);
-  EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, heard + 11)) << "found lost when it would have been without them";
+  EXPECT_EQ(node().agent.last_heartbeat_at, heard_at);
+  EXPECT_EQ(node().agent.last_answered_at, heard_at);
+  EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, heard_at + 11)) << "it expires as early as without the copies";
 
   constexpr std::uint64_t kLater = kToken + 5;
   ClusterState next = book_of_red(10);
@@ -326,37 +301,37 @@
   EXPECT_FALSE(there->lease_expired) << "it has seen this leader";
 }
 
-// Reports come and answers do not arrive: it is told when a tenure ends that was answered all along.
-TEST_F(Dealings, AMachineThatAnswersDoNotReachIsToldByWhatItReports) {
+// Heartbeats come and answers do not arrive: detected when an incarnation ends that was answered all along.
+TEST_F(Reconciliation, ANodeThatAnswersDoNotReachIsDetectedFromItsHeartbeats) {
   constexpr double kLease = 10, kHeartbeat = 1;
   std::uint64_t agent_incarnation = 1, serial = 100, fencing_token = kToken;
-  const auto heard = [&](bool is_heartbeat) {
-    const Heartbeat r{"m-1", "a", "big", "x", false, agent_incarnation, ++serial, fencing_token, std::nullopt, {}};
-    Node& h = cluster_state.node(cluster_state.find_or_add_node("m-1"));
-    observe_message(h, r, is_heartbeat, steady, kLease);
-    const auto outcome = apply_heartbeat(cluster_state, r, {steady, steady}, is_heartbeat, kToken);
-    if (is_heartbeat) record_lease_renewal(h, outcome.stale, steady);
+  const auto receive = [&](bool is_heartbeat) {
+    const Heartbeat message = heartbeat_of_node("m-1", agent_incarnation, ++serial, fencing_token);
+    Node& node = cluster_state.node(cluster_state.find_or_add_node("m-1"));
+    observe_message(node, message, is_heartbeat, steady, kLease);
+    const auto outcome = apply_heartbeat(cluster_state, message, {steady, steady}, is_heartbeat, kToken);
+    if (is_heartbeat) record_lease_renewal(node, outcome.stale, steady);
   };
-  heard(true);
+  receive(true);
   const double began = steady;
-  for (; steady < began + 9; steady += kHeartbeat) heard(true);
+  for (; steady < began + 9; steady += kHeartbeat) receive(true);
   EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat));
   ++agent_incarnation, serial = 0, steady = began + 10;
-  heard(true);
-  EXPECT_TRUE(is_unresponsive(node(), steady, kHeartbeat)) << "its lease ran out, though it was answered a second ago";
-  for (; steady < began + 19; steady += kHeartbeat) heard(true);
+  receive(true);
+  EXPECT_TRUE(is_unresponsive(node(), steady, kHeartbeat)) << "its lease expired, though it was answered a second ago";
+  for (; steady < began + 19; steady += kHeartbeat) receive(true);
   EXPECT_TRUE(is_unresponsive(node(), steady, kHeartbeat));
   EXPECT_TRUE(unresponsive_nodes_to_replace(cluster_state, steady, kLease).empty());
   EXPECT_EQ(unresponsive_nodes_to_replace(cluster_state, steady + 3 * kLease, kLease).size(), 1u) << "replaced, if it stays so";
-  heard(false);
+  receive(false);
   EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat)) << "it answered a command";
   // One that stood still for longer than its lease heard all that it was sent.
   ++agent_incarnation, serial = 0, steady += 11;
-  heard(true);
+  receive(true);
   EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat));
 }
 
-TEST(Lease, OfASilentWorkerIsNotOverWhileAPeerMayStillAnswerIt) {
+TEST(LeaseExpiry, OfASilentNodeHasNotExpiredWhileAPeerMayStillRenewIt) {
   Node node;
   FencingState fencing_state{kToken, 100, -1};
   EXPECT_FALSE(is_lease_expired(node, fencing_state, 10, 1e6));
@@ -365,8 +340,8 @@
   EXPECT_TRUE(is_lease_expired(node, fencing_state, 10, 211));
 }
 
-// A leader in doubt gives these and nothing else: no start, no stop to make room, no reap.
-TEST_F(Dealings, KillsOfWhatIsCancelledAreAllThatALeaderInDoubtGives) {
+// An uncertain leader sends these and nothing else: no start, no stop to make room, no acknowledgement.
+TEST_F(Reconciliation, AnUncertainLeaderSendsOnlyKillsOfCancelledJobs) {
   accept("j-1", 3);
   accept("j-2", 3);
   accept("j-3", 1);
@@ -382,39 +357,39 @@
   cluster_state.apply(JobCancelledRecord{"j-1"});
   cluster_state.apply(JobCancelledRecord{"j-3"});
   std::set<std::string> killed;
-  for (const auto& o : kills()) {
-    EXPECT_EQ(o.type, CommandType::kill);
-    EXPECT_EQ(o.grace_period_s, 0);
-    killed.insert(o.id.uid + "/" + std::to_string(o.id.task));
+  for (const auto& command : kills()) {
+    EXPECT_EQ(command.type, CommandType::kill);
+    EXPECT_EQ(command.grace_period_s, 0);
+    killed.insert(command.id.uid + "/" + std::to_string(command.id.task));
   }
-  // One that runs, one whose start may be on its way, and one that the book places nowhere.
+  // One that runs, one whose start may be on its way, and one that the cluster state places nowhere.
   EXPECT_EQ(killed, (std::set<std::string>{"j-1/0", "j-1/2", "j-3/0"}));
 }
 
-// Stopped to make room, it saves; cancelled meanwhile, it was left to save and to wait for its gang.
-TEST_F(Dealings, WhatIsCancelledWhileItSavesIsEndedAtOnce) {
+// A task stopped to make room writes its checkpoint; when it was cancelled meanwhile, it used to be left to finish that.
+TEST_F(Reconciliation, ATaskCancelledWhileItWritesItsCheckpointIsKilledAtOnce) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   mark_for_stop(job("j-1").placed.at(0), 4);
   heartbeat({task_report("j-1", 0, 1, TaskPhase::checkpointing)});
-  EXPECT_TRUE(commands().empty()) << "it saves";
+  EXPECT_TRUE(commands().empty()) << "it writes its checkpoint";
   cluster_state.apply(JobCancelledRecord{"j-1"});
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::kill);
   EXPECT_EQ(commands()[0].grace_period_s, 0);
 }
 
-// Held up on its way, a start of a job that is cancelled since may be carried out as long as the session lasts and no higher
-// token was seen: no report is answered for longer than the command may still matter.
-TEST_F(Dealings, ALeaseIsNotRenewedBeyondWhatALateStartOfACancelledJobAllows) {
-  constexpr double span = 20;
+// A delayed start of a job that is cancelled since may be executed as long as the incarnation lasts and no higher token was seen: the
+// lease is not renewed for longer than the command may still matter.
+TEST_F(Reconciliation, ALeaseIsNotRenewedBeyondWhatALateStartOfACancelledJobAllows) {
+  constexpr double kSpan = 20;
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   cluster_state.apply(JobCancelledRecord{"j-1"});
   job("j-1").cancelled_at = 100;
-  const auto late = [&](double now) { return has_late_start_of_cancelled_job(cluster_state, node(), now, span); };
+  const auto late = [&](double now) { return has_late_start_of_cancelled_job(cluster_state, node(), now, kSpan); };
   EXPECT_FALSE(late(200)) << "no command is on its way";
   node().commands.uncertain_token = kToken;
   EXPECT_FALSE(late(119));
@@ -423,7 +398,7 @@
   EXPECT_FALSE(late(121)) << "fenced by a higher token";
   node().commands.uncertain_token = kToken + 1;
   job("j-1").cancelled_at = 0;
-  EXPECT_FALSE(late(121)) << "an earlier leader's: it is fenced by any answer of this one";
+  EXPECT_FALSE(late(121)) << "an earlier leader's start is fenced by any answer of this one";
 }
 
 }  // namespace
--- a/tests/relay_mode_test.cpp
+++ b/tests/relay_mode_test.cpp
@@ -1,4 +1,4 @@
-// Intake is switched on by itself where one leader would be short of processor time or connections, and nowhere else.
+// The heartbeat relay turns itself on where one leader would be short of processor time or connections, and nowhere else.
 #include "heartbeat_relay/relay_mode.hpp"
 
 #include <gtest/gtest.h>
