--- a/src/heartbeat_relay/worker_balancer.cpp
+++ b/src/heartbeat_relay/worker_balancer.cpp
@@ -80,7 +80,7 @@
   const bool target_has_room = least->second.workers <= share;
   if (!overloaded || !target_has_room) return std::nullopt;
   if (take_allowance(1, now) == 0) return std::nullopt;
-  const std::string target = least->first;
+  std::string target = least->first;
   ++relays_[target].workers;  // until it tells its count itself
   --own_;
   return target;
--- /dev/null
+++ b/tests/safety_agents.cpp
@@ -0,0 +1,209 @@
+// The agents of the simulated world, the network between them and the leaders, and the checks of what they run.
+#include <algorithm>
+
+#include "heartbeat_builders.hpp"
+#include "safety_world.hpp"
+
+namespace thistlefront::safety {
+
+Heartbeat Simulation::heartbeat_of(Agent& agent) {
+  Heartbeat out = heartbeat_of_node(agent.name, agent.agent_incarnation, ++agent.serial, agent.fencing_token);
+  out.zone = agent.zone;
+  for (const auto& [key, p] : agent.tasks)
+    out.tasks.push_back(task_report(std::get<0>(key), std::get<1>(key), std::get<2>(key), p.phase, p.exit_reason));
+  return out;
+}
+
+void Simulation::end_tasks(Agent& agent) {
+  for (auto& [key, p] : agent.tasks) {
+    if (p.phase == TaskPhase::checkpointing && now_ >= p.ends) p = {TaskPhase::exited, ExitReason::stopped, 0};
+    if (p.phase != TaskPhase::running || now_ < p.ends) continue;
+    p.phase = TaskPhase::exited;
+    p.exit_reason = at_fault(std::get<0>(key)) || uniform(0, 1) < 0.1 ? ExitReason::failed : ExitReason::completed;
+    if (p.exit_reason == ExitReason::completed) finished_.insert({std::get<0>(key), std::get<1>(key)});
+  }
+}
+
+void Simulation::step(Agent& agent) {
+  if (now_ < agent.hangs_until) return;
+  if (!has_valid_lease(agent)) {
+    agent.tasks.clear();
+    ++agent.agent_incarnation;
+    agent.answered_sent = now_;
+    agent.awaited = 0;
+    agent.next_heartbeat = now_;
+  }
+  while (!agent.held.empty()) {
+    auto run = agent.held.front();
+    agent.held.pop_front();
+    run();
+  }
+  end_tasks(agent);
+  if (agent.awaited != 0 && now_ > agent.give_up) agent.awaited = 0;
+  if (agent.awaited == 0 && now_ >= agent.next_heartbeat) send_heartbeat(agent);
+  check(agent);
+}
+
+void Simulation::receive(const Heartbeat& heartbeat, bool is_heartbeat) {
+  ClusterState& cluster_state = leader_->cluster_state;
+  Node& node = cluster_state.node(cluster_state.find_or_add_node(heartbeat.node));
+  const bool was_unresponsive = node.agent.unresponsive_since > 0;
+  observe_message(node, heartbeat, is_heartbeat, now_, kLease);
+  found_unresponsive += !was_unresponsive && node.agent.unresponsive_since > 0;
+  auto outcome = apply_heartbeat(cluster_state, heartbeat, {now_, now_}, is_heartbeat, leader_->takeover_token);
+  if (is_heartbeat) record_lease_renewal(node, outcome.stale, now_);
+  leader_->record(std::move(outcome.records));
+}
+
+std::optional<Simulation::Answer> Simulation::answer(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed) {
+  if (is_partitioned(agent) || (partitions_ && agent.zone == "y" && uniform(0, 1) < 0.1)) {
+    if (!partition_lease_.is_active(now_) || heartbeat.fencing_token > partition_lease_.fencing_token()) return std::nullopt;
+    partition_lease_.record_renewal(now_);
+    ++renewed_by_follower;
+    return Answer{partition_lease_.fencing_token(), {}};
+  }
+  if (to_deposed) {
+    if (now_ >= deposed_until_ || heartbeat.fencing_token > deposed_->fencing_token) return std::nullopt;
+    apply_heartbeat(deposed_->cluster_state, heartbeat, {now_, now_}, true, deposed_->takeover_token);
+    auto kills = kills_for_cancelled_jobs(deposed_->cluster_state, deposed_->cluster_state.find_or_add_node(heartbeat.node));
+    killed_while_uncertain += kills.size();
+    return Answer{deposed_->fencing_token, std::move(kills)};
+  }
+  receive(heartbeat, true);
+  const NodeIndex node_index = leader_->cluster_state.find_node(heartbeat.node);
+  Node& node = leader_->cluster_state.node(node_index);
+  if (has_late_start_of_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancel, kLease))) return std::nullopt;
+  std::vector<Command> commands;
+  if (node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial)
+    commands = pending_commands(leader_->cluster_state, node_index, leader_->takeover_token);
+  record_commands_sent(node, heartbeat.serial, commands);
+  return Answer{leader_->fencing_token, std::move(commands)};
+}
+
+void Simulation::send_heartbeat(Agent& agent) {
+  const Heartbeat heartbeat = heartbeat_of(agent);
+  // Copies of it reach whoever leads then; nobody takes their answers.
+  for (int copies = uniform(0, 1) < 0.1 ? 1 + static_cast<int>(random_() % 3) : 0; copies > 0; --copies)
+    schedule(now_ + uniform(1, 4 * kLease), [this, heartbeat] { receive(heartbeat, true); });
+  const double sent = now_;
+  agent.awaited = heartbeat.serial;
+  agent.give_up = now_ + kAnswerLife;
+  agent.next_heartbeat = now_ + uniform(0.75, 1.25) * kHeartbeat;
+  const bool to_deposed = now_ < deposed_until_ && uniform(0, 1) < 0.8;
+  for (int copy = uniform(0, 1) < 0.05 ? 0 : 1; copy < 2; ++copy) {
+    if (dropped() || now_ < agent.sends_nothing_until) continue;
+    schedule(now_ + delay(), [this, &agent, heartbeat, sent, to_deposed] { deliver_heartbeat(agent, heartbeat, sent, to_deposed); });
+  }
+}
+
+void Simulation::deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed) {
+  const std::optional<Answer> given = answer(agent, heartbeat, to_deposed);
+  if (!given) return;
+  if (dropped() || now_ < agent.receives_nothing_until || (!given->commands.empty() && is_partitioned(agent))) return;
+  schedule(now_ + delay(),
+           [this, &agent, agent_incarnation = heartbeat.agent_incarnation, serial = heartbeat.serial, sent, given = *given] {
+             if (now_ < agent.hangs_until || agent.agent_incarnation != agent_incarnation || agent.awaited != serial ||
+                 given.fencing_token < agent.fencing_token || now_ - sent > kAnswerLife)
+               return;
+             agent.awaited = 0;
+             agent.fencing_token = given.fencing_token;
+             agent.answered_sent = std::max(agent.answered_sent, sent);
+             execute(agent, given.commands);
+           });
+}
+
+void Simulation::execute(Agent& agent, const std::vector<Command>& commands) {
+  for (const auto& command : commands) execute(agent, command);
+  for (const auto& [team, cores] : used_cores_by_team())
+    if (cores > quota_of(team)) violations.push_back("quota: " + team + " uses " + std::to_string(cores) + " at " + std::to_string(now_));
+}
+
+void Simulation::execute(Agent& agent, const Command& command) {
+  const auto key = std::tuple(command.id.uid, command.id.task, command.attempt);
+  auto it = agent.tasks.find(key);
+  if (command.type == CommandType::run && it == agent.tasks.end()) {
+    ++runs;
+    check_start(agent, command);
+    agent.tasks[key] = {TaskPhase::running, ExitReason::none, now_ + uniform(0.5, 12)};
+  } else if (command.type == CommandType::kill && it != agent.tasks.end() && it->second.phase != TaskPhase::exited) {
+    if (command.grace_period_s > 0 && it->second.phase == TaskPhase::running) {
+      it->second = {TaskPhase::checkpointing, ExitReason::none, now_ + uniform(0.5, 1.5)};
+    } else if (command.grace_period_s == 0) {
+      it->second = {TaskPhase::exited, ExitReason::stopped, 0};
+    }
+  } else if (command.type == CommandType::acknowledge_exit && it != agent.tasks.end() && it->second.phase == TaskPhase::exited) {
+    agent.tasks.erase(it);
+  }
+}
+
+void Simulation::check_start(const Agent& agent, const Command& command) {
+  const std::string task = command.id.uid + "/" + std::to_string(command.id.task);
+  if (!started_.insert({command.id.uid, command.id.task, command.attempt}).second)
+    violations.push_back("ran_again: " + task + " attempt " + std::to_string(command.attempt) + " on " + agent.name + " at " +
+                         std::to_string(now_));
+  for (const auto& other : agents_)
+    for (const auto& [key, p] : other.tasks)
+      if (has_valid_lease(other) && std::get<0>(key) == command.id.uid && std::get<1>(key) == command.id.task &&
+          p.phase != TaskPhase::exited)
+        violations.push_back("ran_twice: " + task + " on " + other.name + " and " + agent.name + " at " + std::to_string(now_));
+}
+
+void Simulation::check(Agent& agent) {
+  for (const auto& [key, p] : agent.tasks) {
+    auto it = cancelled_.find(std::get<0>(key));
+    if (it != cancelled_.end() && p.phase != TaskPhase::exited && now_ > it->second + kCancel)
+      violations.push_back("ran_cancelled: " + std::get<0>(key) + " at " + std::to_string(now_));
+  }
+  for (const auto& [uid, tasks] : submitted_) {
+    const JobIndex j = leader_->cluster_state.find(uid);
+    if (!j.valid()) {
+      violations.push_back("forgotten: " + uid);
+      continue;
+    }
+    const auto status = leader_->cluster_state.job(j).status;
+    if (cancelled_.contains(uid) && status != JobStatus::cancelled) violations.push_back("went_back: " + uid);
+    if (status != JobStatus::done) continue;
+    for (std::uint32_t t = 0; t < tasks; ++t)
+      if (!finished_.contains({uid, t})) violations.push_back("not_done: " + uid + "/" + std::to_string(t));
+  }
+}
+
+void Simulation::send_commands(const std::string& name, std::uint64_t fencing_token, std::uint64_t agent_incarnation,
+                               const std::vector<Command>& commands, bool starts) {
+  Agent& agent = *std::find_if(agents_.begin(), agents_.end(), [&](Agent& x) { return x.name == name; });
+  const auto term = leader_->takeover_token;
+  auto answered = std::make_shared<bool>(false);
+  const auto deliver = [this, &agent, fencing_token, agent_incarnation, commands, term, answered] {
+    const bool taken = fencing_token >= agent.fencing_token && agent_incarnation == agent.agent_incarnation;
+    if (taken) {
+      agent.fencing_token = fencing_token;
+      execute(agent, commands);
+    }
+    const Heartbeat heartbeat = heartbeat_of(agent);
+    if (dropped() || now_ < agent.sends_nothing_until || is_partitioned(agent)) return;
+    schedule(now_ + delay(), [this, heartbeat, term, answered] {
+      if (leader_->takeover_token != term || *answered) return;
+      *answered = true;
+      leader_->cluster_state.node(leader_->cluster_state.find_or_add_node(heartbeat.node)).commands.in_flight_token = 0;
+      receive(heartbeat, false);
+    });
+  };
+  schedule(now_ + 1.5, [this, name, term, answered, starts, fencing_token] {
+    if (leader_->takeover_token != term || *answered) return;
+    *answered = true;
+    Node& node = leader_->cluster_state.node(leader_->cluster_state.find_node(name));
+    node.commands.in_flight_token = 0;
+    if (starts) node.commands.uncertain_token = std::max(node.commands.uncertain_token, fencing_token);
+  });
+  const double receives_nothing_until = std::max(agent.receives_nothing_until, agent.zone == "y" ? partitioned_until_ : 0);
+  if (now_ < receives_nothing_until && uniform(0, 1) < 0.5) return;  // or held, and delivered late
+  schedule(std::max(now_, receives_nothing_until) + delay(), [this, &agent, deliver] {
+    if (now_ < agent.hangs_until) {
+      agent.held.push_back(deliver);
+    } else {
+      deliver();
+    }
+  });
+}
+
+}  // namespace thistlefront::safety
