--- a/tests/lease_renewal_policy_test.cpp
+++ b/tests/lease_renewal_policy_test.cpp
@@ -183,19 +183,23 @@
     }
   }
 
+  // The agent asks a controller that does not lead, which answers under a partition lease or names the leader that it knows.
+  void ask_follower(Replica& n) {
+    if (n.partition_lease.is_active(now_) && asked_ == faults_.zone && fencing_token_ <= n.partition_lease.fencing_token()) {
+      n.partition_lease.record_renewal(now_);
+      answered(n.partition_lease.fencing_token(), false);
+      renewed_by_follower_ = true;
+    } else {
+      asked_ = n.known_leader < kControllers && n.known_leader != asked_ ? n.known_leader : (asked_ + 1) % kControllers;
+    }
+  }
   void node() {
     if (now_ > lease_until_) task_runs_ = false;
     if (now_ >= faults_.hangs_at && now_ < faults_.hangs_at + kHang) return;
     Replica& n = replicas_[asked_];
     if (n.leads && fencing_token_ > n.fencing_token) step_down(n);
     if (!n.leads) {
-      if (n.partition_lease.is_active(now_) && asked_ == faults_.zone && fencing_token_ <= n.partition_lease.fencing_token()) {
-        n.partition_lease.record_renewal(now_);
-        answered(n.partition_lease.fencing_token(), false);
-        renewed_by_follower_ = true;
-      } else {
-        asked_ = n.known_leader < kControllers && n.known_leader != asked_ ? n.known_leader : (asked_ + 1) % kControllers;
-      }
+      ask_follower(n);
       return;
     }
     const bool own = asked_ == faults_.zone;
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -44,8 +44,8 @@
   EXPECT_GT(found_unresponsive, 100u) << "told from their reports";
 }
 
-// Four teams at their limits, which change in between, and one that comes late: what its workers really run is never more
-// than was in force, and all that was accepted ends.
+// Four teams use up quotas that change, one of them from a later time on: what the nodes really run never exceeds the quotas in force,
+// and all jobs that were accepted end.
 TEST(Safety, NoTeamExceedsItsQuotaWhileQuotasChange) {
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     Simulation simulation(seed, Scenario::changing_quotas);
@@ -57,8 +57,9 @@
   }
 }
 
-// Every team is at its limit, jobs are cancelled as a machine that holds them can't be reached or hangs, and leaders change, also twice
-// in a lease; gangs are told to save in between. Room counts as free by proof alone, and is used again soon after that.
+// Every team has used up its quota, jobs are cancelled while one of their nodes hangs or cannot be reached, and leaders change, also
+// twice within a lease; gangs are stopped with a checkpoint in between. Resources count as free only by proof, and are used again soon
+// after that.
 TEST(Safety, NoTeamExceedsItsQuotaWhereAllAreUsedUpAndJobsAreCancelled) {
   std::size_t cancelled_at_quota = 0, cancelled_with_two_failovers = 0, gangs_checkpointed = 0, idle_checks = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -80,8 +81,8 @@
   EXPECT_GT(idle_checks, 10000u);
 }
 
-// A zone is cut off from the leader again and again, and its follower keeps its leases: no task is given up while it runs, and
-// none runs longer after its cancellation than it may.
+// A zone is partitioned from the leader again and again, and its follower renews its leases: no task is given up while it runs, and none
+// runs for longer after its cancellation than it may.
 TEST(Safety, NoRuleIsBrokenWhereAFollowerRenewsLeasesInAPartition) {
   std::size_t renewed_by_follower = 0;
   for (std::uint64_t seed = 1; seed <= 160; ++seed) {
