--- /dev/null
+++ b/src/protocol/cloud_messages.cpp
@@ -0,0 +1,74 @@
+#include "protocol/cloud_messages.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include "protocol/enum_names.hpp"
+#include "protocol/json_fields.hpp"
+#include "protocol/machine_type_json.hpp"
+
+namespace thistlefront {
+
+using nlohmann::json;
+
+namespace {
+
+constexpr EnumName<Instance::Status> kInstanceStatusNames[] = {
+    {"booting", Instance::Status::booting}, {"running", Instance::Status::running}, {"failed", Instance::Status::failed}};
+
+Instance parse_instance(const json& object) {
+  if (!object.is_object()) fail_field("hosts", "not objects");
+  Instance instance;
+  instance.name = read_text(object, "uid");
+  // An instance that is still booting may have no address yet.
+  if (const json* address = find_member(object, "address"); address && address->is_string()) instance.address = address->get<std::string>();
+  instance.machine_type = read_text(object, "hostKind");
+  instance.zone = read_text(object, "yard");
+  instance.spot = read_flag_or(object, "loaners", false);
+  instance.status = as_enum(require_member(object, "status"), "status", kInstanceStatusNames);
+  instance.age_s = read_amount_or(object, "heldS", 0);
+  return instance;
+}
+
+}  // namespace
+
+std::string instances_path(const std::string& from, unsigned page) {
+  std::string path = std::string(kRentPath) + "?page=" + std::to_string(page);
+  if (!from.empty()) path += "&from=" + from;
+  return path;
+}
+
+std::vector<MachineType> parse_machine_types(std::string_view body) {
+  const json object = parse_object(body);
+  std::vector<MachineType> machine_types;
+  for (const auto& machine_type : read_list(object, "hostKinds")) machine_types.push_back(parse_machine_type(machine_type));
+  return machine_types;
+}
+
+InstancePage parse_instances(std::string_view body) {
+  const json object = parse_object(body);
+  InstancePage page;
+  page.truncated = read_flag_or(object, "truncated", false);
+  for (const auto& instance : read_list(object, "hosts")) page.instances.push_back(parse_instance(instance));
+  return page;
+}
+
+std::string rent_body(const std::string& rental, const std::string& machine_type, const std::string& zone, bool spot, unsigned count) {
+  return json{{"rental", rental}, {"hostKind", machine_type}, {"yard", zone}, {"loaners", spot}, {"count", count}}.dump();
+}
+
+std::vector<std::string> parse_rented(std::string_view body) {
+  const json object = parse_object(body);
+  std::vector<std::string> names;
+  for (const auto& name : read_list(object, "hosts")) names.push_back(as_text(name, "hosts"));
+  return names;
+}
+
+bool is_no_capacity(std::string_view body) {
+  return body.find("no capacity") != std::string_view::npos;
+}
+
+std::string release_body(const std::vector<std::string>& names) {
+  return json{{"hosts", names}}.dump();
+}
+
+}  // namespace thistlefront
--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "protocol/messages.hpp"
+#include "protocol/protocol_error.hpp"
 
 namespace thistlefront {
 
--- a/src/protocol/heartbeat_cache.cpp
+++ b/src/protocol/heartbeat_cache.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "protocol/messages.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace thistlefront {
 
--- /dev/null
+++ b/src/protocol/job_spec_json.hpp
@@ -0,0 +1,18 @@
+// A job's description as JSON: users send it in this form and the ledger stores it in the same.
+#pragma once
+#include <nlohmann/json_fwd.hpp>
+#include <string_view>
+
+#include "model/job.hpp"
+
+namespace thistlefront {
+
+/// Whether a job id is well formed: "j-" and 1 to 30 digits.
+bool is_uid(std::string_view uid);
+
+/// Encodes a job's description; fields at their defaults are left out.
+nlohmann::json job_spec_json(const JobSpec& spec);
+/// Checks and reads one; throws ProtocolError.
+JobSpec parse_job_spec(const nlohmann::json& object);
+
+}  // namespace thistlefront
--- a/src/protocol/version_messages.hpp
+++ b/src/protocol/version_messages.hpp
@@ -8,7 +8,8 @@
 #include <string_view>
 
 #include "model/ledger_records.hpp"
-#include "protocol/messages.hpp"
+#include "protocol/protocol_error.hpp"
+#include "protocol/store_messages.hpp"
 
 namespace thistlefront {
 
