--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -6,8 +6,9 @@
 #include <algorithm>
 #include <cmath>
 #include <fstream>
+#include <optional>
 #include <sstream>
-#include <stdexcept>
+#include <utility>
 
 #include "transport/socket.hpp"
 
@@ -15,73 +16,82 @@
 
 namespace {
 
-// Reads fields of one table and names the field in what it throws.
-class LedgerReader {
+constexpr double kDaySeconds = 86400;
+constexpr double kMinInterval = 0.01;  // seconds
+constexpr double kMaxAmount = 1e9;     // of nearly everything that is a plain number
+constexpr double kMaxControllers = 1e6;
+constexpr double kMaxValueKb = 1e6;
+constexpr double kMinCpu = 0.0001, kMaxCpu = 1e6;
+constexpr double kMinCloudRps = 0.01;
+constexpr std::int64_t kMinTxnOps = 4;  // switching to another format version changes four keys at once
+constexpr std::int64_t kMaxTxnOps = 1000000;
+constexpr std::int64_t kMinSockets = 16, kMaxSockets = 100000000;
+
+// Reads the fields of one table. What it throws names the field with its full path.
+class TableReader {
  public:
-  LedgerReader(const std::string& file, const toml::table& table, std::string prefix)
+  TableReader(const std::string& file, const toml::table& table, std::string prefix)
       : file_(file), table_(table), prefix_(std::move(prefix)) {}
 
-  [[noreturn]] void fail(const std::string& field, const std::string& error) const {
-    throw std::runtime_error(file_ + ": " + prefix_ + field + ": " + error);
-  }
+  [[noreturn]] void fail(const std::string& field, const std::string& reason) const { throw SettingsError(file_, prefix_ + field, reason); }
   std::string text(const char* field) const {
-    auto v = node(field).value_exact<std::string>();
-    if (!v) fail(field, "not a string");
-    if (v->empty()) fail(field, "empty");
-    return *v;
+    auto value = value_of(field).value_exact<std::string>();
+    if (!value) fail(field, "not a string");
+    if (value->empty()) fail(field, "empty");
+    return *value;
   }
   std::string address(const char* field) const {
-    auto v = text(field);
-    if (!split_address(v)) fail(field, "not an address of the form 1.2.3.4:80");
-    return v;
+    auto address = text(field);
+    if (!split_address(address)) fail(field, "not an address of the form 1.2.3.4:80");
+    return address;
   }
-  double number(const char* field, double least, double most) const { return checked(field, node(field).value<double>(), least, most); }
+  double number(const char* field, double least, double most) const { return checked(field, value_of(field).value<double>(), least, most); }
   double number_or(const char* field, double otherwise, double least, double most) const {
     if (!table_.contains(field)) return otherwise;
     return number(field, least, most);
   }
   std::uint64_t whole(const char* field, std::int64_t least, std::int64_t most) const {
-    auto v = node(field).value_exact<std::int64_t>();
-    if (!v) fail(field, "not a whole number");
-    if (*v < least || *v > most) fail(field, "not from " + std::to_string(least) + " to " + std::to_string(most));
-    return static_cast<std::uint64_t>(*v);
+    const auto value = value_of(field).value_exact<std::int64_t>();
+    if (!value) fail(field, "not a whole number");
+    if (*value < least || *value > most) fail(field, "not from " + std::to_string(least) + " to " + std::to_string(most));
+    return static_cast<std::uint64_t>(*value);
   }
   [[nodiscard]] bool has(const char* field) const { return table_.contains(field); }
-  LedgerReader table(const char* field) const {
-    const auto* t = node(field).as_table();
-    if (!t) fail(field, "not a table");
-    return {file_, *t, prefix_ + field + "."};
+  TableReader table(const char* field) const {
+    const auto* found = value_of(field).as_table();
+    if (!found) fail(field, "not a table");
+    return {file_, *found, prefix_ + field + "."};
   }
-  std::vector<LedgerReader> tables(const char* field) const {
-    std::vector<LedgerReader> out;
-    const auto* n = table_.get(field);
-    if (!n) return out;
-    const auto* a = n->as_array();
-    if (!a) fail(field, "not a list of tables");
-    for (std::size_t i = 0; i < a->size(); ++i) {
-      const auto* t = a->get(i)->as_table();
+  std::vector<TableReader> tables(const char* field) const {
+    std::vector<TableReader> out;
+    const auto* found = table_.get(field);
+    if (!found) return out;
+    const auto* array = found->as_array();
+    if (!array) fail(field, "not a list of tables");
+    for (std::size_t i = 0; i < array->size(); ++i) {
+      const auto* item = array->get(i)->as_table();
       const auto name = std::string(field) + "[" + std::to_string(i) + "]";
-      if (!t) fail(name, "not a table");
-      out.push_back({file_, *t, prefix_ + name + "."});
+      if (!item) fail(name, "not a table");
+      out.push_back({file_, *item, prefix_ + name + "."});
     }
     return out;
   }
 
  private:
-  const toml::node& node(const char* field) const {
-    const auto* n = table_.get(field);
-    if (!n) fail(field, "missing");
-    return *n;
+  const toml::node& value_of(const char* field) const {
+    const auto* found = table_.get(field);
+    if (!found) fail(field, "missing");
+    return *found;
   }
-  double checked(const char* field, std::optional<double> v, double least, double most) const {
-    if (!v) fail(field, "not a number");
-    if (!std::isfinite(*v)) fail(field, "not finite");
-    if (*v < least || *v > most) {
-      std::ostringstream error;
-      error << "not from " << least << " to " << most;
-      fail(field, error.str());
+  double checked(const char* field, std::optional<double> value, double least, double most) const {
+    if (!value) fail(field, "not a number");
+    if (!std::isfinite(*value)) fail(field, "not finite");
+    if (*value < least || *value > most) {
+      std::ostringstream reason;
+      reason << "not from " << least << " to " << most;
+      fail(field, reason.str());
     }
-    return *v;
+    return *value;
   }
 
   const std::string& file_;
@@ -89,84 +99,121 @@
   std::string prefix_;
 };
 
-constexpr double kDay = 86400;
-constexpr std::int64_t kLeastTxnOps = 4;  // a state level is switched on by four changes at once
-
-}  // namespace
-
-Settings load_settings(const std::string& path) {
+toml::table read_file(const std::string& path) {
   std::ifstream in(path);
-  if (!in) throw std::runtime_error(path + ": cannot be read");
+  if (!in) throw SettingsError(path, "", "cannot be read");
   std::stringstream bytes;
   bytes << in.rdbuf();
-  toml::table root;
   try {
-    root = toml::parse(bytes.str());
+    return toml::parse(bytes.str());
   } catch (const toml::parse_error& e) {
-    std::ostringstream why;
-    why << path << ": line " << e.source().begin.line << ": " << e.description();
-    throw std::runtime_error(why.str());
-  }
-  const LedgerReader top(path, root, "");
-  Settings s;
-  s.label = top.text("label");
-  s.site = top.text("site");
-  s.client_listen = top.address("client_listen");
-  s.peer_listen = top.address("peer_listen");
-  for (const auto& p : top.tables("peers")) s.peers.push_back({p.text("label"), p.text("site"), p.address("addr")});
-  const auto endpoints = top.table("endpoints");
-  s.cloud_address = endpoints.address("cloud");
-  s.store_address = endpoints.address("state");
-  const auto d = top.table("deployment");
-  s.skew_ms = d.number_or("skew_ms", 0, 0, kDay * 1000);
-  s.count = static_cast<std::size_t>(d.number_or("count", 0, 0, 1e6));
-  for (const auto& t : d.tables("teams")) {
-    s.teams.push_back({t.text("name"),
-                       {t.number_or("cpus", 0, 0, 1e9), t.number_or("gpus", 0, 0, 1e9), 0},
-                       {t.number_or("cpus_max", 0, 0, 1e9), t.number_or("gpus_max", 0, 0, 1e9), 0}});
+    throw SettingsError(path, "line " + std::to_string(e.source().begin.line), std::string(e.description()));
   }
-  for (const auto& o : d.tables("objectives")) {
-    Settings::Objective objective;
-    objective.kind = o.text("kind");
-    objective.within_s = o.number_or("within_s", 0, 0, 1e9);
-    objective.share = o.number_or("share", 0, 0, 1);
-    // "guarantee" speaks of no class.
-    if (objective.kind != "guarantee") {
-      try {
-        objective.job_class = o.text("class");
-      } catch (const std::runtime_error&) {
-        objective.job_class.clear();
-      }
-    }
-    s.objectives.push_back(std::move(objective));
-  }
-  const auto w = d.table("workers");
-  s.heartbeat_interval_s = w.number("report_s", 0.01, kDay);
-  s.lease_s = w.number("lease_s", 0.01, kDay);
-  s.gang_wait_s = w.number("gang_wait_s", 0, kDay);
-  s.gang_peer_s = w.number("gang_peer_s", 0, kDay);
-  s.cancel_s = w.number("cancel_s", 0, kDay);
-  const auto st = d.table("state");
-  s.state_rps = st.number("rps", 1, 1e9);
-  s.state_write_rps = st.number("write_rps", 1, 1e9);
-  s.value_kb = st.number("value_kb", 1, 1e6);
-  s.txn_ops = st.whole("txn_ops", kLeastTxnOps, 1000000);
-  // They come in force without notice, and what is stored must fit then: kept to from the first write on.
-  if (st.has("next")) {
-    const auto next = st.table("next");
-    s.state_rps = std::min(s.state_rps, next.number_or("rps", s.state_rps, 1, 1e9));
-    s.state_write_rps = std::min(s.state_write_rps, next.number_or("write_rps", s.state_write_rps, 1, 1e9));
-    s.value_kb = std::min(s.value_kb, next.number_or("value_kb", s.value_kb, 1, 1e6));
-    if (next.has("txn_ops")) s.txn_ops = std::min(s.txn_ops, next.whole("txn_ops", kLeastTxnOps, 1000000));
+}
+
+void read_identity(const TableReader& top, Settings& settings) {
+  settings.label = top.text("label");
+  settings.site = top.text("site");
+  settings.client_listen = top.address("client_listen");
+  settings.peer_listen = top.address("peer_listen");
+  for (const auto& peer : top.tables("peers")) settings.peers.push_back({peer.text("label"), peer.text("site"), peer.address("addr")});
+}
+
+void read_endpoints(const TableReader& endpoints, Settings& settings) {
+  settings.cloud_address = endpoints.address("cloud");
+  settings.store_address = endpoints.address("state");
+}
+
+Settings::Team read_team(const TableReader& team) {
+  return {team.text("name"),
+          {team.number_or("cpus", 0, 0, kMaxAmount), team.number_or("gpus", 0, 0, kMaxAmount), 0},
+          {team.number_or("cpus_max", 0, 0, kMaxAmount), team.number_or("gpus_max", 0, 0, kMaxAmount), 0}};
+}
+
+// The class of an objective; empty where it is absent or not a text.
+std::string job_class_or_empty(const TableReader& table) {
+  try {
+    return table.text("class");
+  } catch (const SettingsError&) {
+    return {};
   }
-  const auto c = d.table("cloud");
-  s.cloud_rps = c.number("rps", 0.01, 1e9);
-  s.list_lag_s = c.number("list_lag_s", 0, kDay);
-  const auto l = d.table("limits");
-  s.cpu = l.number("cpu", 0.0001, 1e6);
-  s.memory_mb = l.number("memory_mb", 1, 1e9);
-  s.max_sockets = l.whole("max_sockets", 16, 100000000);
-  return s;
+}
+
+Settings::Objective read_objective(const TableReader& table) {
+  Settings::Objective objective;
+  objective.kind = table.text("kind");
+  objective.within_s = table.number_or("within_s", 0, 0, kMaxAmount);
+  objective.share = table.number_or("share", 0, 0, 1);
+  if (objective.kind != "guarantee") objective.job_class = job_class_or_empty(table);
+  return objective;
+}
+
+void read_workers(const TableReader& workers, Settings& settings) {
+  settings.heartbeat_interval_s = workers.number("report_s", kMinInterval, kDaySeconds);
+  settings.lease_s = workers.number("lease_s", kMinInterval, kDaySeconds);
+  settings.gang_wait_s = workers.number("gang_wait_s", 0, kDaySeconds);
+  settings.gang_peer_s = workers.number("gang_peer_s", 0, kDaySeconds);
+  settings.cancel_s = workers.number("cancel_s", 0, kDaySeconds);
+}
+
+// The announced limits come into force without notice, and what is stored by then must fit them: they are observed from the
+// first write on.
+void apply_next_store_limits(const TableReader& next, Settings& settings) {
+  const auto lesser = [&](const char* field, double now, double most) { return std::min(now, next.number_or(field, now, 1, most)); };
+  settings.state_rps = lesser("rps", settings.state_rps, kMaxAmount);
+  settings.state_write_rps = lesser("write_rps", settings.state_write_rps, kMaxAmount);
+  settings.value_kb = lesser("value_kb", settings.value_kb, kMaxValueKb);
+  if (next.has("txn_ops")) settings.txn_ops = std::min(settings.txn_ops, next.whole("txn_ops", kMinTxnOps, kMaxTxnOps));
+}
+
+void read_store(const TableReader& store, Settings& settings) {
+  settings.state_rps = store.number("rps", 1, kMaxAmount);
+  settings.state_write_rps = store.number("write_rps", 1, kMaxAmount);
+  settings.value_kb = store.number("value_kb", 1, kMaxValueKb);
+  settings.txn_ops = store.whole("txn_ops", kMinTxnOps, kMaxTxnOps);
+  if (store.has("next")) apply_next_store_limits(store.table("next"), settings);
+}
+
+void read_cloud(const TableReader& cloud, Settings& settings) {
+  settings.cloud_rps = cloud.number("rps", kMinCloudRps, kMaxAmount);
+  settings.list_lag_s = cloud.number("list_lag_s", 0, kDaySeconds);
+}
+
+void read_limits(const TableReader& limits, Settings& settings) {
+  settings.cpu = limits.number("cpu", kMinCpu, kMaxCpu);
+  settings.memory_mb = limits.number("memory_mb", 1, kMaxAmount);
+  settings.max_sockets = limits.whole("max_sockets", kMinSockets, kMaxSockets);
+}
+
+void read_deployment(const TableReader& deployment, Settings& settings) {
+  settings.skew_ms = deployment.number_or("skew_ms", 0, 0, kDaySeconds * 1000);
+  settings.count = static_cast<std::size_t>(deployment.number_or("count", 0, 0, kMaxControllers));
+  for (const auto& team : deployment.tables("teams")) settings.teams.push_back(read_team(team));
+  for (const auto& objective : deployment.tables("objectives")) settings.objectives.push_back(read_objective(objective));
+  read_workers(deployment.table("workers"), settings);
+  read_store(deployment.table("state"), settings);
+  read_cloud(deployment.table("cloud"), settings);
+  read_limits(deployment.table("limits"), settings);
+}
+
+std::string error_line(const std::string& file, const std::string& field, const std::string& reason) {
+  return file + ": " + (field.empty() ? "" : field + ": ") + reason;
+}
+
+}  // namespace
+
+SettingsError::SettingsError(std::string file, std::string field, std::string reason)
+    : std::runtime_error(error_line(file, field, reason)), file_(std::move(file)), field_(std::move(field)), reason_(std::move(reason)) {}
+
+// The first field that is wrong is the one reported, in the order of the calls.
+Settings load_settings(const std::string& path) {
+  const toml::table root = read_file(path);
+  const TableReader top(path, root, "");
+  Settings settings;
+  read_identity(top, settings);
+  read_endpoints(top.table("endpoints"), settings);
+  read_deployment(top.table("deployment"), settings);
+  return settings;
 }
 
 }  // namespace thistlefront
