--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 using Crc = boost::crc_optimal<64, 0x42F0E1EBA9EA3693, 0xFFFFFFFFFFFFFFFF, 0xFFFFFFFFFFFFFFFF, true, true>;
-constexpr double kExact = 9007199254740992.0;  // up to here a double tells every integer
+constexpr double kExact = 9007199254740992.0;  // 2^53: up to here a double holds every whole number
 constexpr std::size_t kDigits = 16;
 
 void feed(Crc& crc, std::uint64_t word) {
@@ -27,19 +27,28 @@
   crc.process_bytes(text.data(), text.size());
 }
 
+// Integers that a double holds exactly are fed as that double, so that 4 and 4.0 give one digest.
+void feed_number(Crc& crc, const nlohmann::json& value) {
+  const double number = value.get<double>();
+  const bool exact = value.is_number_float() || std::abs(number) <= kExact;
+  crc.process_byte(exact ? '1' : '#');
+  // Zero and minus zero are the same number.
+  feed(crc, exact ? std::bit_cast<std::uint64_t>(number == 0 ? 0.0 : number) : value.get<std::uint64_t>());
+}
+
 void feed(Crc& crc, const nlohmann::json& value) {
   using Type = nlohmann::json::value_t;
   switch (value.type()) {
     case Type::array:
       crc.process_byte('[');
-      for (const auto& v : value) feed(crc, v);
+      for (const auto& item : value) feed(crc, item);
       crc.process_byte(']');
       return;
     case Type::object:
       crc.process_byte('{');
-      for (const auto& [name, v] : value.items()) {  // in the order of their names
+      for (const auto& [name, member] : value.items()) {  // sorted by name
         feed(crc, std::string_view(name));
-        feed(crc, v);
+        feed(crc, member);
       }
       crc.process_byte('}');
       return;
@@ -50,14 +59,7 @@
     case Type::boolean: crc.process_byte(value.get<bool>() ? 't' : 'f'); return;
     case Type::number_unsigned:
     case Type::number_integer:
-    case Type::number_float: {
-      const double number = value.get<double>();
-      const bool exact = value.is_number_float() || std::abs(number) <= kExact;
-      crc.process_byte(exact ? '1' : '#');
-      // Zero with and without its sign is the same number.
-      feed(crc, exact ? std::bit_cast<std::uint64_t>(number == 0 ? 0.0 : number) : value.get<std::uint64_t>());
-      return;
-    }
+    case Type::number_float: feed_number(crc, value); return;
     default: crc.process_byte('0'); return;
   }
 }
--- a/src/protocol/heartbeat_cache.cpp
+++ b/src/protocol/heartbeat_cache.cpp
@@ -1,5 +1,6 @@
 #include "protocol/heartbeat_cache.hpp"
 
+#include <algorithm>
 #include <charconv>
 
 #include "protocol/worker_messages.hpp"
@@ -9,7 +10,7 @@
 namespace {
 constexpr std::string_view kSerialKey = "\"serial\":";
 constexpr std::string_view kDigits = "0123456789";
-constexpr std::size_t kMostRemembered = 16 * 1024;  // bytes of a body: longer ones are parsed each time
+constexpr std::size_t kMaxRememberedBytes = std::size_t{16} * 1024;  // longer bodies are parsed each time
 
 // A whole number as JSON spells it; nothing for any other text.
 std::optional<std::uint64_t> whole_number(std::string_view text) {
@@ -40,16 +41,16 @@
   return whole_number(body.substr(before_serial_.size(), body.size() - around));
 }
 
-// Only where the bytes leave no doubt which digits are the serial: its key stands there once, and nothing is escaped.
+// Remembers a body only if its bytes leave no doubt which digits are the serial: the key occurs once, and nothing is escaped.
 void HeartbeatCache::remember(std::string_view body) {
-  if (body.size() > kMostRemembered || body.find('\\') != std::string_view::npos) return;
+  if (body.size() > kMaxRememberedBytes || body.find('\\') != std::string_view::npos) return;
   const std::size_t key = body.find(kSerialKey);
   if (key == std::string_view::npos || body.find(kSerialKey, key + 1) != std::string_view::npos) return;
   const std::size_t first = body.find_first_of(kDigits, key + kSerialKey.size());
   if (first == std::string_view::npos) return;
   const std::size_t last = std::min(body.find_first_not_of(kDigits, first), body.size());
   if (whole_number(body.substr(first, last - first)) != heartbeat_.serial) return;
-  // A fraction or an exponent behind the digits would make another number of them.
+  // A fraction or an exponent after the digits would make them another number.
   if (last < body.size() && body[last] != ',' && body[last] != '}' && body[last] != ' ') return;
   before_serial_ = body.substr(0, first);
   after_serial_ = body.substr(last);
--- a/src/protocol/heartbeat_cache.hpp
+++ b/src/protocol/heartbeat_cache.hpp
@@ -1,5 +1,5 @@
-// Remembers the last report read from one connection. Most reports of a worker differ from the one before in their serial
-// number alone; such a report is recognised by its bytes and not parsed again.
+// Remembers the last heartbeat read from one connection. Most heartbeats of a node differ from the one before in their serial
+// number alone; such a heartbeat is recognised by its bytes and not parsed again. It must never accept what the parser rejects.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -10,14 +10,15 @@
 
 namespace thistlefront {
 
+/// Reads the heartbeats of one connection. Not thread-safe.
 class HeartbeatCache {
  public:
-  // The report in `body`; `Report::repeats` is set where it says the same as the one read before. Valid until the next call.
-  // Throws ProtocolError.
+  /// The heartbeat in `body`, valid until the next call. `repeated_serial` is set if it equals the one read before in all but
+  /// its serial. Throws ProtocolError.
   const Heartbeat& read(std::string_view body);
 
  private:
-  // The serial of a body that is otherwise the same, byte for byte, as the remembered one; nothing where it is not.
+  // The serial of a body that equals the remembered one byte for byte outside of its serial; nothing for any other body.
   [[nodiscard]] std::optional<std::uint64_t> serial_if_repeated(std::string_view body) const;
   void remember(std::string_view body);
 
--- a/src/protocol/heartbeat_parser.cpp
+++ b/src/protocol/heartbeat_parser.cpp
@@ -40,7 +40,7 @@
 
 // A scalar of the document, or a nested value that is skipped (`other`).
 struct Value {
-  enum class Kind { null, flag, count, real, text, other } kind = Kind::null;
+  enum class Kind : std::uint8_t { null, flag, count, real, text, other } kind = Kind::null;
   bool flag = false;
   std::uint64_t count = 0;
   double real = 0;
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -5,7 +5,10 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLongestValidity = 1e6;  // seconds; beyond it an answer is valid for good
+constexpr double kMaxValiditySeconds = 1e6;       // a longer one counts as unlimited
+constexpr std::uint32_t kUnlimited = UINT32_MAX;  // in place of the milliseconds of validity
+constexpr double kMillisPerSecond = 1000;
+
 Frame frame_of(PeerKind kind, Packer& packer) {
   return {static_cast<std::uint8_t>(kind), packer.take()};
 }
@@ -35,11 +38,11 @@
   return frame_of(PeerKind::call, p);
 }
 Frame pack(const HttpReply& reply, double now) {
-  const double left = reply.valid_until - now;
+  const double left_s = reply.valid_until - now;
   Packer p;
   p.integer(static_cast<std::uint16_t>(reply.status))
       .integer(static_cast<std::uint16_t>(reply.retry_after_s))
-      .integer(left < kLongestValidity ? static_cast<std::uint32_t>(std::max(0.0, left) * 1000) : UINT32_MAX)
+      .integer(left_s < kMaxValiditySeconds ? static_cast<std::uint32_t>(std::max(0.0, left_s) * kMillisPerSecond) : kUnlimited)
       .text(reply.body);
   return frame_of(PeerKind::reply, p);
 }
@@ -81,7 +84,7 @@
   HttpReply reply;
   reply.status = u.integer<std::uint16_t>();
   reply.retry_after_s = u.integer<std::uint16_t>();
-  if (const auto left_ms = u.integer<std::uint32_t>(); left_ms != UINT32_MAX) reply.valid_until = asked + left_ms / 1000.0;
+  if (const auto left_ms = u.integer<std::uint32_t>(); left_ms != kUnlimited) reply.valid_until = asked + left_ms / kMillisPerSecond;
   reply.body = u.text();
   if (!is(frame, PeerKind::reply) || !u.done()) return std::nullopt;
   return reply;
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -1,5 +1,6 @@
 #include "protocol/relay_messages.hpp"
 
+#include <algorithm>
 #include <cmath>
 
 #include "protocol/peer_messages.hpp"
@@ -9,17 +10,19 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kMostInBatch = 4096;            // reports
-constexpr std::size_t kMaxTasksInHeartbeat = 100000;  // tasks
+constexpr std::size_t kMaxHeartbeatsInBatch = 4096;
+constexpr std::size_t kMaxTasksInHeartbeat = 100000;
+// Upper bounds for packed_size(), without texts; kTextBytes is the length before each text.
 constexpr std::size_t kDeltaBytes = 96, kTaskReportBytes = 24, kTextBytes = 4;
-constexpr std::uint8_t kHasInterruption = 1, kLoaner = 2, kKept = 1;
-constexpr double kMillis = 1000;
+constexpr std::uint8_t kHasInterruption = 1, kSpot = 2;  // flags of a delta
+constexpr std::uint8_t kCheckpointed = 1;                // flag of a task report
+constexpr double kMillisPerSecond = 1000;
 
 std::uint32_t to_millis(double seconds) {
-  return static_cast<std::uint32_t>(std::min(std::max(0.0, std::ceil(seconds * kMillis)), static_cast<double>(UINT32_MAX)));
+  return static_cast<std::uint32_t>(std::min(std::max(0.0, std::ceil(seconds * kMillisPerSecond)), static_cast<double>(UINT32_MAX)));
 }
 double from_millis(std::uint32_t millis) {
-  return millis / kMillis;
+  return millis / kMillisPerSecond;
 }
 
 template <class Enum>
@@ -29,7 +32,7 @@
   return static_cast<Enum>(value);
 }
 
-// A count of items that are each at least one byte long; above the bound it is malformed.
+// The length of a list; above the bound the frame is malformed.
 std::size_t read_count(Unpacker& in, std::size_t most, bool& valid) {
   const std::size_t count = in.integer<std::uint32_t>();
   if (count <= most && in.ok()) return count;
@@ -51,7 +54,7 @@
 void write(Packer& out, const TaskReport& task_report) {
   write(out, task_report.id, task_report.attempt);
   out.integer(static_cast<std::uint8_t>(task_report.phase)).integer(static_cast<std::uint8_t>(task_report.exit_reason));
-  out.integer(static_cast<std::uint8_t>(task_report.checkpointed ? kKept : 0));
+  out.integer(static_cast<std::uint8_t>(task_report.checkpointed ? kCheckpointed : 0));
 }
 TaskReport read_task_report(Unpacker& in, bool& valid) {
   TaskReport task_report;
@@ -60,14 +63,14 @@
   task_report.attempt = key.attempt;
   task_report.phase = read_enum(in, TaskPhase::exited, valid);
   task_report.exit_reason = read_enum(in, ExitReason::node_lost, valid);
-  task_report.checkpointed = in.integer<std::uint8_t>() == kKept;
+  task_report.checkpointed = in.integer<std::uint8_t>() == kCheckpointed;
   return task_report;
 }
 
 void write(Packer& out, const HeartbeatDelta& delta) {
   out.integer(static_cast<std::uint8_t>(delta.kind)).text(delta.node);
   out.integer(delta.agent_incarnation).integer(delta.serial).integer(delta.fencing_token);
-  const int flags = (delta.interruption_in_s ? kHasInterruption : 0) | (delta.spot ? kLoaner : 0);
+  const int flags = (delta.interruption_in_s ? kHasInterruption : 0) | (delta.spot ? kSpot : 0);
   out.integer(static_cast<std::uint8_t>(flags)).integer(to_millis(delta.interruption_in_s.value_or(0)));
   if (delta.kind != HeartbeatDelta::Kind::whole) out.integer(delta.base_serial);
   if (delta.kind == HeartbeatDelta::Kind::unchanged) return;
@@ -88,7 +91,7 @@
   const auto flags = in.integer<std::uint8_t>();
   const double interruption_in_s = from_millis(in.integer<std::uint32_t>());
   if (flags & kHasInterruption) delta.interruption_in_s = interruption_in_s;
-  delta.spot = flags & kLoaner;
+  delta.spot = flags & kSpot;
   if (delta.node.empty()) valid = false;
   if (!valid) return delta;
   if (delta.kind != HeartbeatDelta::Kind::whole) delta.base_serial = in.integer<std::uint64_t>();
@@ -168,7 +171,7 @@
   batch.sender = in.text();
   batch.takeover_token = in.integer<std::uint64_t>();
   batch.worker_count = in.integer<std::uint32_t>();
-  for (auto left = read_count(in, kMostInBatch, valid); left > 0 && valid && in.ok(); --left)
+  for (auto left = read_count(in, kMaxHeartbeatsInBatch, valid); left > 0 && valid && in.ok(); --left)
     batch.heartbeats.push_back(read_delta(in, valid));
   if (!valid || !in.done()) return std::nullopt;
   return batch;
@@ -183,7 +186,7 @@
   answer.fencing_token = in.integer<std::uint64_t>();
   answer.redirect_count = in.integer<std::uint32_t>();
   answer.redirect_target = in.text();
-  for (auto left = read_count(in, kMostInBatch, valid); left > 0 && valid && in.ok(); --left) {
+  for (auto left = read_count(in, kMaxHeartbeatsInBatch, valid); left > 0 && valid && in.ok(); --left) {
     HeartbeatAnswer worker;
     worker.outcome = read_enum(in, HeartbeatAnswer::Outcome::retry_later, valid, 1);
     for (auto commands = read_count(in, kMaxTasksInHeartbeat, valid); commands > 0 && valid && in.ok(); --commands)
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -46,13 +46,13 @@
   std::vector<Peer> peers;
   std::size_t count = 0;  ///< controllers in all; 0: as many as are named
   std::string cloud_address, store_address;
-  double skew_ms = 0;  ///< the most by which wall clocks of the deployment differ
+  double skew_ms = 0;  ///< the most by which wall clocks of the deployment may differ
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double heartbeat_interval_s = 0, lease_s = 0;  ///< of the nodes' heartbeats and leases
-  double gang_wait_s = 0;                        ///< for which a gang's first tasks wait for the others to start
-  double gang_peer_s = 0;                        ///< after which a gang's tasks notice that one of them is gone
-  double cancel_s = 0;                           ///< within which a cancelled task must have ended
+  double heartbeat_interval_s = 0, lease_s = 0;  ///< of the nodes
+  double gang_wait_s = 0;                        ///< for how long a gang's tasks wait for one another to start
+  double gang_peer_s = 0;                        ///< after how long a gang's tasks end when one of them is gone
+  double cancel_s = 0;                           ///< within which the tasks of a cancelled job must have ended
   /// What the key-value store takes: the lesser of its limits now and of those announced for an unknown later moment.
   double state_rps = 0, state_write_rps = 0, value_kb = 0;
   std::uint64_t txn_ops = 0;      ///< the same, of one transaction
--- a/src/protocol/version_messages.cpp
+++ b/src/protocol/version_messages.cpp
@@ -15,21 +15,22 @@
 using nlohmann::json;
 
 namespace {
-constexpr std::uint16_t kAbleVersion = 1, kTeamsVersion = 1;
+constexpr std::uint16_t kSupportedVersionsFormat = 1, kTeamsFormat = 1;  // of the packed forms
 constexpr std::uint32_t kMaxFormatVersion = 1000000;
 
+// Parses a stored value; `what` is the name to blame.
 template <class Read>
 auto read(std::string_view value, const char* what, Read read) {
   try {
     return read(json::parse(value.begin(), value.end()));
   } catch (const json::exception& e) {
-    throw ProtocolError(std::string(what) + ": " + e.what());
+    throw ProtocolError(what, e.what());
   }
 }
 
 std::uint32_t format_version_of(const json& j, const char* field) {
   const auto format_version = j.at(field).get<std::uint64_t>();
-  if (format_version < 1 || format_version > kMaxFormatVersion) throw ProtocolError(std::string(field) + ": not a level");
+  if (format_version < 1 || format_version > kMaxFormatVersion) throw ProtocolError(field, "not a level");
   return static_cast<std::uint32_t>(format_version);
 }
 }  // namespace
@@ -52,9 +53,9 @@
   });
 }
 
-std::string active_version_value(const ActiveVersion& on) {
-  json j{{"level", on.format_version}};
-  if (on.downgrade_to != 0) j["towards"] = on.downgrade_to;
+std::string active_version_value(const ActiveVersion& active) {
+  json j{{"level", active.format_version}};
+  if (active.downgrade_to != 0) j["towards"] = active.downgrade_to;
   return j.dump();
 }
 
@@ -64,8 +65,8 @@
   });
 }
 
-std::string version_readiness_value(const VersionReadiness& ready) {
-  return json{{"level", ready.format_version}, {"at", ready.at}}.dump();
+std::string version_readiness_value(const VersionReadiness& readiness) {
+  return json{{"level", readiness.format_version}, {"at", readiness.at}}.dump();
 }
 
 VersionReadiness parse_version_readiness(std::string_view value) {
@@ -74,14 +75,13 @@
 }
 
 std::string parked_leader_value(std::uint32_t format_version) {
-  // An older build logs this label as the leader's: it says why it does not lead. No process has incarnation
-  // 0.
+  // An older build logs this label as the leader's, which tells its operator why it does not lead. No process has incarnation 0.
   return leader_value({"(state level " + std::to_string(format_version) + ")", 0});
 }
 
 std::string pack(const SupportedVersions& supported_versions) {
   Packer p;
-  p.integer(kAbleVersion)
+  p.integer(kSupportedVersionsFormat)
       .integer(supported_versions.least)
       .integer(supported_versions.most)
       .integer(supported_versions.wants)
@@ -93,7 +93,7 @@
 
 std::string pack(const std::map<std::string, TeamQuota>& teams) {
   Packer p;
-  p.integer(kTeamsVersion).integer(static_cast<std::uint32_t>(teams.size()));
+  p.integer(kTeamsFormat).integer(static_cast<std::uint32_t>(teams.size()));
   for (const auto& [name, t] : teams) {
     p.text(name);
     for (const double v : {t.guarantee.cores, t.guarantee.accelerators, t.limit.cores, t.limit.accelerators})
@@ -104,7 +104,7 @@
 
 std::optional<std::map<std::string, TeamQuota>> unpack_teams(std::string_view packed) {
   Unpacker u(packed);
-  if (u.integer<std::uint16_t>() != kTeamsVersion) return std::nullopt;
+  if (u.integer<std::uint16_t>() != kTeamsFormat) return std::nullopt;
   std::map<std::string, TeamQuota> out;
   for (auto n = u.integer<std::uint32_t>(); n > 0 && u.ok(); --n) {
     auto name = u.text();
@@ -119,8 +119,8 @@
 
 std::optional<SupportedVersions> unpack_supported_versions(std::string_view packed) {
   Unpacker u(packed);
-  // What a later version has more stands behind these.
-  if (u.integer<std::uint16_t>() < kAbleVersion) return std::nullopt;
+  // A later format only appends fields.
+  if (u.integer<std::uint16_t>() < kSupportedVersionsFormat) return std::nullopt;
   SupportedVersions supported_versions;
   supported_versions.least = u.integer<std::uint32_t>();
   supported_versions.most = u.integer<std::uint32_t>();
