--- a/src/model/clock_drift.hpp
+++ b/src/model/clock_drift.hpp
@@ -3,7 +3,7 @@
 
 namespace thistlefront {
 
-// Steady clocks of different machines diverge by at most this share, with some to spare.
+/// The largest share by which the steady clocks of two machines are assumed to diverge; real ones stay well below it.
 inline constexpr double kClockDrift = 0.001;
 
 }  // namespace thistlefront
--- a/src/model/job.hpp
+++ b/src/model/job.hpp
@@ -9,25 +9,30 @@
 
 namespace thistlefront {
 
+/// Array: independent tasks. Gang: tasks that run all together or not at all. Service: tasks that do not end by themselves.
 enum class JobType : std::uint8_t { array, gang, service };
+/// In ascending order.
 enum class Priority : std::uint8_t { idle, standard, high, production };
+/// As told to users.
 enum class JobStatus : std::uint8_t { queued, running, done, cancelled };
 
-// A submission as its user sent it, checked but not yet interned.
+/// A submission as its user sent it: checked, with names not yet replaced by indices.
 struct JobSpec {
   std::string uid, job_class, owner;
   JobType job_type = JobType::array;
   Priority priority = Priority::standard;
   std::uint32_t task_count = 1;
-  Resources demand;
+  Resources demand;  ///< of each task
   std::string image;
   double image_gb = 0;
-  std::vector<std::string> machine_types;  // empty: any
-  std::string zone;                        // empty: any
-  bool single_zone = false, spread = false, allows_spot = false;
+  std::vector<std::string> machine_types;  ///< empty: any
+  std::string zone;                        ///< empty: any
+  bool single_zone = false;                ///< all tasks in one zone
+  bool spread = false;                     ///< as submitted: the user asks for different nodes
+  bool allows_spot = false;                ///< tasks may run on spot instances
   double estimated_run_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> depends_on;  // jobs to be done before any task of this one starts; none twice
+  std::vector<std::string> depends_on;  ///< jobs that must be done before any task of this one starts; no duplicates
 };
 
 }  // namespace thistlefront
--- a/src/model/ledger_records.hpp
+++ b/src/model/ledger_records.hpp
@@ -1,4 +1,5 @@
-// Records of the ledger. Replayed in order they give the cluster state.
+// Records of the ledger. Replayed in order they give the cluster state; their stored form is in protocol/ledger_record_json.
+// Times are wall-clock seconds.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -14,13 +15,15 @@
 
 namespace thistlefront {
 
-// What the ledger holds, in order. Replayed from the beginning they give the same book again.
+/// A submission was accepted.
 struct JobAcceptedRecord {
   JobSpec job;
-  double random_draw = 0;  // the key's random number, drawn once at intake
-  double at = 0;           // wall seconds
+  double random_draw = 0;  ///< drawn once on acceptance, the random part of the job's place in the order
+  double at = 0;
 };
+/// Tasks of a job were assigned to nodes, all as the same attempt.
 struct TasksStartedRecord {
+  /// The tasks assigned to one node.
   struct NodeAssignment {
     std::string node;
     std::uint64_t agent_incarnation = 0;
@@ -31,25 +34,30 @@
   double at = 0;
   std::vector<NodeAssignment> assignments;
 };
+/// Tasks of a job are done.
 struct TasksCompletedRecord {
   std::string uid;
   TaskRanges tasks;
-  double at = 0;  // wall seconds, from state level 4 on and where some job waits for this one; 0: not told
+  double at = 0;  ///< from format version 4 on, and only where some job depends on this one; 0: not told
 };
-struct TasksRemovedRecord {  // no longer on a host, and not done
+/// Tasks of an attempt are no longer on a node and are not done.
+struct TasksRemovedRecord {
   std::string uid;
   std::uint64_t attempt = 0;
   TaskRanges tasks;
-  double failed_at = 0;  // wall seconds when these failed; 0: off for another reason
+  double failed_at = 0;  ///< when they failed; 0: they were removed for another reason
 };
+/// A job was cancelled by its user.
 struct JobCancelledRecord {
   std::string uid;
 };
+/// The machine types that the cloud offers; replaces the earlier list.
 struct MachineTypesRecord {
   std::vector<MachineType> machine_types;
 };
-// A job as it is at this point of the ledger, so that the entries it came from can go.
+/// A job's state at this point of the ledger, written by the compactor so that older entries can be dropped.
 struct JobSnapshotRecord {
+  /// Tasks of one attempt on one node.
   struct PlacedTasks {
     std::string node;
     std::uint64_t agent_incarnation = 0, attempt = 0;
@@ -61,34 +69,35 @@
   std::uint64_t attempts = 0;
   TaskRanges done;
   std::vector<PlacedTasks> placed;
-  // A job with many ranges comes in several records; each covers tasks from `from` on.
+  /// A job with many ranges takes several records; each covers the tasks from `from` on.
   std::uint32_t from = 0;
-  bool more = false;     // further ones follow
-  bool suspect = false;  // it failed wherever it ran
-  double ready_at = 0;   // wall seconds, of a job that waited for others and does no longer; 0: of any other
+  bool more = false;     ///< further records of this job follow
+  bool suspect = false;  ///< it failed wherever it ran
+  double ready_at = 0;   ///< when the last of the jobs that it depends on was done; 0: it depends on none, or still waits
 };
-// Ended jobs need only their name and how they ended.
+/// Jobs that ended: only their names and how they ended are still needed.
 struct JobsEndedRecord {
   JobStatus status = JobStatus::done;
   std::vector<std::string> uids;
-  // From state level 4 on, by place in `uids`: when they were done (wall seconds), where a job that has not ended needed
-  // them; and which of them were services, that nobody may wait for.
+  /// From format version 4 on, by index into `uids`: when a job was done, if one that has not ended depends on it.
   std::vector<std::pair<std::uint32_t, double>> done_at = {};
+  /// From format version 4 on, indices into `uids`: services, on which no job may depend.
   std::vector<std::uint32_t> services = {};
 };
-// What a team is guaranteed and may use at most; 0: none. Memory is neither.
+/// What a team is guaranteed and may use at most; 0: none. Memory has no quota.
 struct TeamQuota {
   Resources guarantee, limit;
   friend bool operator==(const TeamQuota&, const TeamQuota&) = default;
 };
-// A team's terms, from state level 3 on.
+/// A team's quota, from format version 3 on.
 struct TeamQuotaRecord {
   std::string name;
-  std::optional<TeamQuota> agreed;    // in force
-  std::optional<TeamQuota> proposed;  // by the settings of some controllers: narrows what is in force
-  bool leaving = false;               // in no settings any more: takes no jobs, and keeps its terms
+  std::optional<TeamQuota> agreed;    ///< in force
+  std::optional<TeamQuota> proposed;  ///< in the settings of some controllers: narrows the one in force
+  bool leaving = false;               ///< no longer in any settings: its jobs keep the quota, and no new ones are accepted
   friend bool operator==(const TeamQuotaRecord&, const TeamQuotaRecord&) = default;
 };
+/// Any record.
 using Record = std::variant<JobAcceptedRecord, TasksStartedRecord, TasksCompletedRecord, TasksRemovedRecord, JobCancelledRecord,
                             MachineTypesRecord, JobSnapshotRecord, JobsEndedRecord, TeamQuotaRecord>;
 
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -3,6 +3,7 @@
 
 namespace thistlefront {
 
+/// Amounts of each kind of resource; arithmetic is by kind.
 struct Resources {
   double cores = 0, accelerators = 0, ram_gb = 0;
   Resources& operator+=(const Resources& o) {
@@ -16,10 +17,10 @@
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
   friend Resources operator*(const Resources& a, double k) { return {a.cores * k, a.accelerators * k, a.ram_gb * k}; }
-  // Whether this much can be taken out of `room`; sums of decimals are given a little slack.
+  /// Whether this much can be taken out of `room`. The slack absorbs the rounding of sums of decimals.
   [[nodiscard]] bool fits(const Resources& room) const {
-    constexpr double slack = 1e-6;
-    return cores <= room.cores + slack && accelerators <= room.accelerators + slack && ram_gb <= room.ram_gb + slack;
+    constexpr double kSlack = 1e-6;
+    return cores <= room.cores + kSlack && accelerators <= room.accelerators + kSlack && ram_gb <= room.ram_gb + kSlack;
   }
   friend bool operator==(const Resources&, const Resources&) = default;
 };
