--- a/tests/heartbeat_cache_test.cpp
+++ b/tests/heartbeat_cache_test.cpp
@@ -7,7 +7,7 @@
 
 #include "model/heartbeat.hpp"
 #include "model/task.hpp"
-#include "protocol/messages.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace thistlefront {
 namespace {
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -1,6 +1,4 @@
 // Messages: what is taken, what is refused and by which field's name, and round trips.
-#include "protocol/messages.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -10,7 +8,10 @@
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
 #include "model/task.hpp"
+#include "protocol/ledger_format.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/user_messages.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace thistlefront {
 namespace {
@@ -70,13 +71,13 @@
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":3,)";
   const auto r = parse_heartbeat(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
   EXPECT_EQ(r.tasks.at(0).id.task, 3u);
-  for (const char* ledger_writer :
+  for (const char* rest :
        {R"("pieces":3})", R"("pieces":[{"piece":"j-1","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/99999999","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/1","try":-2,"status":"running"}]})", R"("pieces":[{"piece":"j-1/1","try":2,"status":"odd"}]})",
         R"("pieces":{"a":1}})", R"("pieces":[[]]})", R"("pieces":[3]})", R"("pieces":[{"piece":"j-1/1","status":"running"}]})",
         R"("pieces":null})", R"("pieces":[]},)", R"("loaners":1,"pieces":[]})", R"("recallS":"x","pieces":[]})"})
-    EXPECT_THROW(parse_heartbeat(head + ledger_writer), ProtocolError) << ledger_writer;
+    EXPECT_THROW(parse_heartbeat(head + rest), ProtocolError) << rest;
 }
 
 TEST(Reports, UnknownFieldsArePassedOverWhateverTheyHold) {
--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -14,7 +14,10 @@
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
 #include "model/machine.hpp"
+#include "protocol/ledger_format.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/store_messages.hpp"
+#include "protocol/version_messages.hpp"
 #include "rollout/format_versions.hpp"
 #include "scheduling/start_stall_detector.hpp"
 
