--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -10,6 +10,7 @@
 #include "model/task.hpp"
 #include "protocol/ledger_format.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/settings.hpp"
 #include "protocol/user_messages.hpp"
 #include "protocol/worker_messages.hpp"
 
@@ -56,6 +57,37 @@
   EXPECT_THROW(parse_submission("{\"cores\":1e999}"), ProtocolError);
 }
 
+TEST(Messages, AnErrorCarriesItsFieldAndReason) {
+  auto job = good();
+  job["pieces"] = 0;
+  try {
+    parse_submission(job.dump());
+    FAIL() << "taken";
+  } catch (const ProtocolError& e) {
+    EXPECT_EQ(e.field(), "pieces");
+    EXPECT_EQ(e.reason(), "not from 1 to 100000");
+    EXPECT_STREQ(e.what(), "pieces: not from 1 to 100000");
+  }
+  const ProtocolError of_the_whole("its check is wrong");
+  EXPECT_EQ(of_the_whole.field(), "");
+  EXPECT_EQ(of_the_whole.reason(), "its check is wrong");
+  EXPECT_STREQ(of_the_whole.what(), "its check is wrong");
+}
+
+TEST(Messages, ASettingsErrorCarriesFileFieldAndReason) {
+  try {
+    load_settings("/nowhere/settings.toml");
+    FAIL() << "read";
+  } catch (const SettingsError& e) {
+    EXPECT_EQ(e.file(), "/nowhere/settings.toml");
+    EXPECT_EQ(e.field(), "");
+    EXPECT_EQ(e.reason(), "cannot be read");
+  }
+  const SettingsError of_a_field("a.toml", "deployment.state.rps", "missing");
+  EXPECT_EQ(of_a_field.field(), "deployment.state.rps");
+  EXPECT_STREQ(of_a_field.what(), "a.toml: deployment.state.rps: missing");
+}
+
 TEST(Routes, PathsAndMethods) {
   using Kind = UserRoute::Kind;
   EXPECT_EQ(route_of("POST", "/v1/jobs").kind, Kind::submit);
