--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -1,6 +1,4 @@
 // Messages: what is taken, what is refused and by which field's name, and round trips.
-#include "protocol/messages.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -10,7 +8,11 @@
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
 #include "model/task.hpp"
+#include "protocol/ledger_format.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/settings.hpp"
+#include "protocol/user_messages.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace thistlefront {
 namespace {
@@ -55,6 +57,37 @@
   EXPECT_THROW(parse_submission("{\"cores\":1e999}"), ProtocolError);
 }
 
+TEST(Messages, AnErrorCarriesItsFieldAndReason) {
+  auto job = good();
+  job["pieces"] = 0;
+  try {
+    parse_submission(job.dump());
+    FAIL() << "taken";
+  } catch (const ProtocolError& e) {
+    EXPECT_EQ(e.field(), "pieces");
+    EXPECT_EQ(e.reason(), "not from 1 to 100000");
+    EXPECT_STREQ(e.what(), "pieces: not from 1 to 100000");
+  }
+  const ProtocolError of_the_whole("its check is wrong");
+  EXPECT_EQ(of_the_whole.field(), "");
+  EXPECT_EQ(of_the_whole.reason(), "its check is wrong");
+  EXPECT_STREQ(of_the_whole.what(), "its check is wrong");
+}
+
+TEST(Messages, ASettingsErrorCarriesFileFieldAndReason) {
+  try {
+    load_settings("/nowhere/settings.toml");
+    FAIL() << "read";
+  } catch (const SettingsError& e) {
+    EXPECT_EQ(e.file(), "/nowhere/settings.toml");
+    EXPECT_EQ(e.field(), "");
+    EXPECT_EQ(e.reason(), "cannot be read");
+  }
+  const SettingsError of_a_field("a.toml", "deployment.state.rps", "missing");
+  EXPECT_EQ(of_a_field.field(), "deployment.state.rps");
+  EXPECT_STREQ(of_a_field.what(), "a.toml: deployment.state.rps: missing");
+}
+
 TEST(Routes, PathsAndMethods) {
   using Kind = UserRoute::Kind;
   EXPECT_EQ(route_of("POST", "/v1/jobs").kind, Kind::submit);
@@ -70,13 +103,13 @@
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":3,)";
   const auto r = parse_heartbeat(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
   EXPECT_EQ(r.tasks.at(0).id.task, 3u);
-  for (const char* ledger_writer :
+  for (const char* rest :
        {R"("pieces":3})", R"("pieces":[{"piece":"j-1","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/99999999","try":2,"status":"running"}]})",
         R"("pieces":[{"piece":"j-1/1","try":-2,"status":"running"}]})", R"("pieces":[{"piece":"j-1/1","try":2,"status":"odd"}]})",
         R"("pieces":{"a":1}})", R"("pieces":[[]]})", R"("pieces":[3]})", R"("pieces":[{"piece":"j-1/1","status":"running"}]})",
         R"("pieces":null})", R"("pieces":[]},)", R"("loaners":1,"pieces":[]})", R"("recallS":"x","pieces":[]})"})
-    EXPECT_THROW(parse_heartbeat(head + ledger_writer), ProtocolError) << ledger_writer;
+    EXPECT_THROW(parse_heartbeat(head + rest), ProtocolError) << rest;
 }
 
 TEST(Reports, UnknownFieldsArePassedOverWhateverTheyHold) {
