--- a/src/cluster_state/cluster_state.hpp
+++ b/src/cluster_state/cluster_state.hpp
@@ -1,18 +1,26 @@
-// The book: jobs, tasks, hosts and teams. What the ledger's records say is applied here, in order, and nothing
-// else changes what is durable. Pure: time is passed in.
+// The replicated state machine: jobs, tasks, nodes and team accounts, as the ledger's records give them. Applying the same
+// records in the same order gives the same state on every controller; nothing but a record changes what is durable.
+// The leader applies each record once it is committed, a follower as it reads the ledger. What heartbeats and the cloud's
+// lists tell of nodes and placements is kept beside it and is not durable. No I/O and no clock: times are passed in.
+//
+// The member functions stand in one file per concern: job_lifecycle.cpp, job_dependencies.cpp, task_placement.cpp,
+// record_application.cpp, job_snapshot.cpp, usage_accounting.cpp; lookups and nodes in cluster_state.cpp.
 #pragma once
 #include <deque>
-#include <map>
 #include <optional>
-#include <set>
 #include <string>
-#include <unordered_map>
+#include <string_view>
 #include <vector>
 
+#include "cluster_state/accelerator_demands.hpp"
 #include "cluster_state/dependency_graph.hpp"
 #include "cluster_state/failure_attribution.hpp"
 #include "cluster_state/job_size_ranking.hpp"
+#include "cluster_state/job_state.hpp"
+#include "cluster_state/machine_type_catalogue.hpp"
+#include "cluster_state/node_state.hpp"
 #include "cluster_state/quota_accounts.hpp"
+#include "cluster_state/submission_check.hpp"
 #include "model/identifiers.hpp"
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
@@ -22,253 +30,166 @@
 
 namespace thistlefront {
 
-enum class TaskState : std::uint8_t { pending, placed, done };
-
-// Where a task may be. From its start record until a record says that it is off (or done), it occupies this place.
-struct Placement {
-  NodeIndex node;
-  std::uint64_t agent_incarnation = 0, attempt = 0;
-  double decided_at = 0;  // wall seconds of the decision to start it
-  // Learned from reports, not in the ledger:
-  TaskPhase phase = TaskPhase::pulling_image;
-  bool reported = false;      // some report showed it
-  bool end_pending = false;   // its end is on its way into the ledger
-  bool stopping = false;      // to be stopped
-  double grace_period_s = 0;  // grace that goes with the stop
-  double running_since = 0;   // wall seconds when it was first seen running
-};
-
-struct Job {
-  std::string uid;
-  JobSpec spec;
-  TeamIndex team;
-  JobClassIndex job_class;
-  ImageIndex image;
-  ZoneIndex zone;
-  std::vector<MachineTypeIndex> machine_types;  // empty: any
-  double random_draw = 0, accepted_at = 0;
-  // Wall seconds from which its waits count: its acceptance, or the end of the last job that it waited for.
-  double eligible_since = 0;
-  Urgency urgency;       // its own, or that of a job that needs it
-  bool blocked = false;  // waits for other jobs: it is not among the live ones
-  bool service = false;
-  std::uint32_t live_position = UINT32_MAX;  // place among the live ones
-  JobStatus status = JobStatus::queued;      // queued stands for any job that has not ended
-  std::uint64_t attempts = 0;
-  std::vector<TaskState> tasks;
-  std::map<std::uint32_t, Placement> placed;
-  std::uint32_t done = 0, pending = 0;
-  double cancelled_at = 0;          // steady seconds: when this leader cancelled it; 0 where it was an earlier one
-  bool partially_replayed = false;  // records with its other tasks follow in the ledger: it is not settled before them
-  [[nodiscard]] bool ended() const { return status == JobStatus::done || status == JobStatus::cancelled; }
-  [[nodiscard]] std::uint32_t running() const;
-};
-
-struct TaskRef {
-  JobIndex job;
-  std::uint32_t task = 0;
-  friend auto operator<=>(const TaskRef&, const TaskRef&) = default;
-};
-
-// A task placed on a host, with its placement at hand (it stays where it is until it is taken off).
-struct PlacedTask : TaskRef {
-  Placement* placement = nullptr;
-};
-
-struct ReportedTask {
-  TaskRef ref;  // job not valid: not in the book
-  std::uint64_t attempt = 0;
-  TaskPhase phase = TaskPhase::pulling_image;
-  std::string uid;  // kept for pieces not in the book
-};
-
-// What the agent (the worker process) of a node said about itself. Times are steady seconds.
-struct AgentState {
-  std::uint64_t incarnation = 0;       // grows each time the agent's lease expires; 0: never heard of
-  std::uint64_t serial = 0;            // of its newest message
-  std::uint64_t heartbeat_serial = 0;  // of its newest heartbeat, answers to commands aside
-  std::uint64_t highest_token = 0;     // highest fencing token that it has seen
-  bool has_reported = false;           // to this leader
-  double last_message_at = 0;
-  double last_heartbeat_at = 0;           // of messages that prove that it is alive (worker_control/reconciliation)
-  double last_direct_contact_at = 0;      // heard by this controller itself, not through another one
-  double last_answered_at = 0;            // the latest heartbeat of it that this leader answered
-  double incarnation_since = 0;           // when its present incarnation was first heard of
-  double fenced_at = 0;                   // when it, in its present incarnation, was first known to have seen this leader's token
-  double unresponsive_since = 0;          // answers have not reached it since then; 0: they do (worker_control/one_way_partition)
-  std::uint64_t unresponsive_token = 0;   // highest token that it had seen then
-  std::optional<double> interruption_at;  // the cloud takes the spot instance back
-  std::vector<ReportedTask> tasks;        // of its newest message, sorted by ref
-};
-
-// What is known of commands on their way to a node.
-struct CommandState {
-  bool failing = false;               // the latest direct command got no answer
-  std::uint64_t last_run_serial = 0;  // of the latest heartbeat whose answer told it to run something; 0: none in this incarnation
-  // Direct commands with a start that were sent and not answered: until the agent is seen under a higher token, they may yet
-  // be executed.
-  std::uint64_t in_flight_token = 0;
-  std::uint64_t uncertain_token = 0;
-};
-
-// What the cloud's instance list tells of a node. Times are steady seconds.
-struct InstanceState {
-  bool listed = false;
-  Instance::Status status = Instance::Status::running;
-  double age_s = 0;          // since it was requested, as of `listed_at`
-  double listed_at = 0;      // 0: in no list yet
-  double requested_at = 0;   // when this leader was told that it is rented; 0: by another one
-  double running_since = 0;  // when it was first listed as running
-};
-
-// A machine that runs tasks. Times are steady seconds.
-struct Node {
-  std::string name, address;
-  MachineTypeIndex machine_type;
-  ZoneIndex zone;
-  bool spot = false;
-  AgentState agent;
-  CommandState commands;
-  InstanceState instance;
-
-  std::vector<PlacedTask> placed;
-  Resources used;                                            // by placed tasks
-  std::vector<std::pair<ImageIndex, double>> cached_images;  // with their sizes in GB; most recently used last
-
-  bool lease_expired = false;  // not used until its agent reports again
-  bool terminated = false;     // released or taken by the cloud: it does not come back
-  bool releasing = false;      // its release was requested: nothing more is placed there
-  double full_until = 0;       // it refused a start for lack of room
-  double idle_since = 0;       // 0: not idle
-
-  // Whether no start that was sent to it may still be executed, given that it has seen `token`.
-  [[nodiscard]] bool has_no_uncertain_start(std::uint64_t token) const {
-    return commands.in_flight_token == 0 && (commands.uncertain_token == 0 || token > commands.uncertain_token) &&
-           (commands.last_run_serial == 0 || agent.heartbeat_serial > commands.last_run_serial);
-  }
-};
-
-inline constexpr std::size_t kRecordBytes = 3600;  // where the state service's limits are not known
+inline constexpr std::size_t kRecordBytes = 3600;  // where the limits of the key-value store are not known
 
 class ClusterState {
  public:
-  // `record_bytes`: about what one record may take in the ledger.
+  // `teams`: those of the settings file. `record_bytes`: about how many bytes one record may take in the ledger.
   explicit ClusterState(const std::vector<Team>& teams, std::size_t record_bytes = kRecordBytes);
   [[nodiscard]] std::size_t record_bytes() const { return record_bytes_; }
 
+  // Applies the next record of the ledger. A record that no longer fits the state (say, a start of a cancelled job) changes
+  // nothing.
   void apply(const Record& record);
 
-  // Jobs
+  // Jobs. Indices stay valid for as long as the cluster state exists.
   [[nodiscard]] JobIndex find(std::string_view uid) const;
-  [[nodiscard]] Job& job(JobIndex j) { return jobs_[j.value]; }
-  [[nodiscard]] const Job& job(JobIndex j) const { return jobs_[j.value]; }
-  // Not ended, or still on hosts; jobs that wait for others come when they are ready. What is planned, rented for and
-  // counted as waiting is of these alone.
+  [[nodiscard]] Job& job(JobIndex job_index) { return jobs_[job_index.value]; }
+  [[nodiscard]] const Job& job(JobIndex job_index) const { return jobs_[job_index.value]; }
+  [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
+  // Jobs that have not ended or still have tasks on nodes, without those that depend on others that are not done. Only
+  // these are planned, scaled out for and counted as pending. In no particular order.
   [[nodiscard]] const std::vector<JobIndex>& live() const { return live_; }
   [[nodiscard]] const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-  // One of the largest jobs of its class lately.
+  // Whether the job is one of the largest recent ones of its class.
   [[nodiscard]] bool is_large(const Job& job) const { return size_ranking_.is_among_largest(job.job_class, size_of(job.spec)); }
-  // Why a submission may not wait for the jobs that it names; nullopt: it may. The whole ledger has been read.
-  [[nodiscard]] std::optional<std::string> dependency_rejection_reason(const JobSpec& s) const;
-  // What waits for others, for which levels before 4 have no form. A job that waited and does not any more loses there
-  // since when it is ready, and nothing else.
+  // Why a submission can never run; nullopt: it can. Call it only while the machine types are known (submission_check.hpp).
+  [[nodiscard]] std::optional<std::string> rejection_reason(const JobSpec& spec) const;
+  // Why a submission may not depend on the jobs that it names; nullopt: it may. The whole ledger must have been read.
+  [[nodiscard]] std::optional<std::string> dependency_rejection_reason(const JobSpec& spec) const;
+  // Describes the blocked jobs, which format versions before 4 cannot store; nullopt: there are none. A job that is no
+  // longer blocked loses in an older format only the time since when it is eligible.
   [[nodiscard]] std::optional<std::string> dependencies_without_older_format() const;
-  // Its flavors decide whether the task can ever run; nullopt while they are unknown.
-  [[nodiscard]] std::optional<std::string> rejection_reason(const JobSpec& s) const;
+  // Whether the job's machine types, zone and use of spot instances allow the node.
   [[nodiscard]] bool allows(const Job& job, const Node& node) const;
+  // nullptr where the task is not placed.
   Placement* placement(TaskRef ref);
+  // When a job that is accepted now (`wall`: wall seconds) counts as accepted: after all earlier ones, so that a team's jobs
+  // have the order of the ledger for every leader, whatever its clock shows. `skew_s`: how far clocks may differ; a last
+  // acceptance further ahead than that allows is ignored.
+  [[nodiscard]] double next_acceptance_time(double wall, double skew_s) const;
 
-  // Hosts
+  // Nodes. Indices stay valid for as long as the cluster state exists.
   NodeIndex find_or_add_node(const std::string& name);
   [[nodiscard]] NodeIndex find_node(const std::string& name) const;
-  [[nodiscard]] Node& node(NodeIndex h) { return nodes_[h.value]; }
-  [[nodiscard]] const Node& node(NodeIndex h) const { return nodes_[h.value]; }
+  [[nodiscard]] Node& node(NodeIndex node_index) { return nodes_[node_index.value]; }
+  [[nodiscard]] const Node& node(NodeIndex node_index) const { return nodes_[node_index.value]; }
   [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
-  void describe_node(NodeIndex h, const std::string& address, const std::string& kind, const std::string& zone, bool spot);
-  void record_image_use(Node& node, ImageIndex image, double gb);
-
-  // Flavors, by kind; nullptr while unknown
-  [[nodiscard]] const MachineType* machine_type(MachineTypeIndex k) const;
-  [[nodiscard]] const std::vector<MachineType>& machine_types() const { return machine_types_; }
-  [[nodiscard]] MachineTypeIndex find_machine_type(std::string_view name) const { return machine_type_names_.find(name); }
-  [[nodiscard]] const std::string& machine_type_name(MachineTypeIndex k) const { return machine_type_names_.name(k); }
+  // An empty address leaves the known one in place.
+  void describe_node(NodeIndex node_index, const std::string& address, const std::string& machine_type, const std::string& zone, bool spot);
+  // The image (of `image_gb` GB) becomes the most recently used one in the node's cache, and older ones leave when it is full.
+  void record_image_use(Node& node, ImageIndex image, double image_gb);
+
+  // Machine types and zones
+  // nullptr while it is not known.
+  [[nodiscard]] const MachineType* machine_type(MachineTypeIndex index) const { return machine_types_.offered(index); }
+  [[nodiscard]] const std::vector<MachineType>& machine_types() const { return machine_types_.offered(); }
+  [[nodiscard]] MachineTypeIndex find_machine_type(std::string_view name) const { return machine_types_.find(name); }
+  [[nodiscard]] const std::string& machine_type_name(MachineTypeIndex index) const { return machine_types_.name(index); }
   [[nodiscard]] ZoneIndex intern_zone(std::string_view name) { return zones_.intern(name); }
-  [[nodiscard]] const std::string& zone_name(ZoneIndex z) const { return zones_.name(z); }
+  [[nodiscard]] const std::string& zone_name(ZoneIndex zone) const { return zones_.name(zone); }
   [[nodiscard]] std::size_t zone_count() const { return zones_.size(); }
+  // The largest task with accelerators accepted so far that may run on this machine type; zero when there is none.
+  [[nodiscard]] Resources largest_accelerator_demand(MachineTypeIndex machine_type, bool spot) const {
+    return accelerator_demands_.largest(machine_type, spot);
+  }
 
-  // Which jobs and machines are at fault for failures.
+  // Which jobs and nodes are at fault for failures
   [[nodiscard]] FailureAttribution& failure_attribution() { return failure_attribution_; }
   [[nodiscard]] const FailureAttribution& failure_attribution() const { return failure_attribution_; }
 
+  // Team accounts
   [[nodiscard]] QuotaAccounts& quota_accounts() { return quota_accounts_; }
   [[nodiscard]] const QuotaAccounts& quota_accounts() const { return quota_accounts_; }
   [[nodiscard]] const std::vector<Team>& teams() const { return quota_accounts_.teams(); }
-  // What is used by each team, counted from the placements: the accounts must say the same.
+  // Usage of each team, counted from the placements: the accounts must show the same.
   [[nodiscard]] std::vector<Resources> recount() const;
-  // Where an account says less, it says as much from then on; the teams concerned.
+  // Raises accounts that show less than is placed. Returns the names of the teams whose account differed.
   std::vector<std::string> correct_accounts();
-  // Counts what workers report and the book places nowhere against its team.
+  // Charges each team anew for the tasks that agents report and that are placed nowhere.
   void recount_unplaced();
-  // When a job that is accepted now (wall seconds) counts as accepted: after all that are, so that a team's jobs have the
-  // ledger's order for every leader, whatever its clock says within the bound that is known of it.
-  [[nodiscard]] double next_acceptance_time(double wall, double skew_s) const;
-
-  // The largest task with accelerators accepted so far that may run on this kind, spot or not; zero when none.
-  [[nodiscard]] Resources largest_accelerator_demand(MachineTypeIndex k, bool spot) const;
 
-  // A job as it is now, as records that replace all earlier ones about it. Records are kept short: one covers tasks
-  // from `from` on until it holds `most_items` ranges, and moves `from` behind them; the job is covered when `from`
-  // has reached the number of its tasks. An ended job is one short record.
-  [[nodiscard]] Record snapshot_record(JobIndex j, std::uint32_t& from, std::size_t most_items) const;
-  [[nodiscard]] bool is_snapshot_complete(JobIndex j, std::uint32_t from) const { return from >= jobs_[j.value].tasks.size(); }
-  [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
+  // The present state of a job as a record that replaces earlier ones about it. A record is kept short: it covers tasks from
+  // `from` on until it holds `max_items` items, and moves `from` behind them. An ended job is one short record.
+  [[nodiscard]] Record snapshot_record(JobIndex job_index, std::uint32_t& from, std::size_t max_items) const;
+  // Whether the records made so far, which moved `from`, cover the whole job.
+  [[nodiscard]] bool is_snapshot_complete(JobIndex job_index, std::uint32_t from) const {
+    return from >= jobs_[job_index.value].tasks.size();
+  }
 
  private:
-  JobIndex add_job(const JobAcceptedRecord& r);
-  void place(JobIndex j, std::uint32_t task, NodeIndex h, std::uint64_t agent_incarnation, std::uint64_t attempt, double at);
-  void unplace(JobIndex j, std::uint32_t task);
-  void mark_done(JobIndex j, const TaskRanges& ranges, double at);
-  void settle(JobIndex j);
-  // Pipelines: what is asked of them, and what comes of it.
+  // job_lifecycle.cpp
+  JobIndex new_job(const std::string& uid);
+  JobIndex add_job(const JobAcceptedRecord& record);
+  JobIndex add_ended_job(const std::string& uid, JobStatus status, bool service, double done_at);
+  void activate(JobIndex job_index);
+  void deactivate(JobIndex job_index);
+  // Frees what is no longer needed of a job that has ended and has no task on a node; does nothing for any other job.
+  void release_if_finished(JobIndex job_index);
+
+  // job_dependencies.cpp
   static Urgency own_urgency(const Job& job);
-  void activate(JobIndex j);
-  [[nodiscard]] DependencyGraph::DependencyStatus named(JobIndex j) const;
-  void register_dependencies(JobIndex j);
-  void resolve_dependency(JobIndex j, double done_at = 0);
-  void take(const DependencyGraph::Changes& news);
-  void ended(JobIndex j, double at);
-  // Some of what it waits for has not been read whole.
-  [[nodiscard]] bool is_replay_incomplete(JobIndex j) const;
-
-  void on(const JobAcceptedRecord& r);
-  void on(const TasksStartedRecord& r);
-  void on(const TasksCompletedRecord& r);
-  void on(const TasksRemovedRecord& r);
-  void on(const JobCancelledRecord& r);
-  void on(const MachineTypesRecord& r);
-  void on(const JobSnapshotRecord& r);
-  void on(const JobsEndedRecord& r);
-  void on(const TeamQuotaRecord& r) { quota_accounts_.apply_record(r); }
+  [[nodiscard]] DependencyGraph::DependencyStatus dependency_status(JobIndex job_index) const;
+  void register_dependencies(JobIndex job_index);
+  // A job that others may have named before it was read is now known.
+  void resolve_dependency(JobIndex job_index, double done_at = 0);
+  // The job has ended, at `ended_at` (wall seconds; 0: not known): its dependents become eligible or are cancelled.
+  void update_dependents(JobIndex job_index, double ended_at);
+  // A snapshot record says since when (wall seconds) the job is eligible.
+  void unblock(JobIndex job_index, double eligible_since);
+  // Runs `update(changes)`, which calls the dependency graph, and applies the changes that it collects.
+  template <class Update>
+  void update_dependency_graph(const Update& update) {
+    DependencyGraph::Changes changes;
+    update(changes);
+    apply_dependency_changes(changes);
+  }
+  void apply_dependency_changes(const DependencyGraph::Changes& changes);
+  // Whether some job that this one depends on has not been read from the ledger in full.
+  [[nodiscard]] bool is_replay_incomplete(JobIndex job_index) const;
+
+  // task_placement.cpp
+  void place(TaskRef task, Placement placement);
+  void place_all(JobIndex job_index, const TaskRanges& tasks, const Placement& placement);
+  void unplace(TaskRef task);
+  void unplace_all(JobIndex job_index);
+  void mark_done(JobIndex job_index, const TaskRanges& tasks, double done_at);
+
+  // record_application.cpp
+  void apply_record(const JobAcceptedRecord& record);
+  void apply_record(const TasksStartedRecord& record);
+  void apply_record(const TasksCompletedRecord& record);
+  void apply_record(const TasksRemovedRecord& record);
+  void apply_record(const JobCancelledRecord& record);
+  void apply_record(const MachineTypesRecord& record);
+  void apply_record(const JobSnapshotRecord& record);
+  void apply_record(const JobsEndedRecord& record);
+  void apply_record(const TeamQuotaRecord& record);
+  void apply_end(const JobsEndedRecord& record, std::uint32_t position);
+
+  // job_snapshot.cpp
+  [[nodiscard]] JobsEndedRecord ended_job_record(JobIndex job_index) const;
+
+  // usage_accounting.cpp
+  [[nodiscard]] static bool may_have_unplaced_tasks(const Node& node);
+  void charge_unplaced(NodeIndex node_index);
 
   std::size_t record_bytes_;
   QuotaAccounts quota_accounts_;
   double latest_accepted_ = 0;  // wall seconds
-  Interner<MachineTypeIndex> machine_type_names_;
+  MachineTypeCatalogue machine_types_;
   Interner<ZoneIndex> zones_;
   Interner<ImageIndex> images_;
   Interner<JobClassIndex> classes_;
-  std::deque<Job> jobs_;  // never moved: hosts point to placements
-  NameMap<JobIndex> by_uid_;
+  std::deque<Job> jobs_;  // never moved: nodes point to placements
+  NameMap<JobIndex> jobs_by_uid_;
   std::vector<JobIndex> live_;
   std::vector<Node> nodes_;
   NameMap<NodeIndex> nodes_by_name_;
-  std::vector<MachineType> machine_types_;
-  std::vector<int> machine_type_positions_;
   FailureAttribution failure_attribution_;
   DependencyGraph dependency_graph_;
   JobSizeRanking size_ranking_;
-  // By kind (not valid: jobs that may use any), and whether the machine is a spot one.
-  std::map<std::pair<MachineTypeIndex, bool>, Resources> accelerator_demands_;
+  AcceleratorDemands accelerator_demands_;
 };
 
 }  // namespace thistlefront
--- a/src/cluster_state/dependency_graph.cpp
+++ b/src/cluster_state/dependency_graph.cpp
@@ -7,7 +7,11 @@
 namespace thistlefront {
 
 namespace {
-const std::vector<JobIndex> kNone;
+const std::vector<JobIndex> kNoJobs;
+
+bool contains(const std::vector<JobIndex>& jobs, JobIndex job) {
+  return std::find(jobs.begin(), jobs.end(), job) != jobs.end();
+}
 }  // namespace
 
 Urgency more_urgent(const Urgency& a, const Urgency& b) {
@@ -20,20 +24,20 @@
 }
 
 void DependencyGraph::add(JobIndex job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
-                          const std::vector<DependencyStatus>& as_named, Changes& news) {
-  assert(names.size() == as_named.size() && !vertices_.contains(job));
-  Vertex& n = vertices_[job];
-  n.own = own;
-  n.estimated_run_s = run_s;
-  n.eligible_since = accepted_at;
-  n.blocked = true;
+                          const std::vector<DependencyStatus>& statuses, Changes& changes) {
+  assert(names.size() == statuses.size() && !vertices_.contains(job));
+  Vertex& vertex = vertices_[job];
+  vertex.own = own;
+  vertex.estimated_run_s = run_s;
+  vertex.eligible_since = accepted_at;
+  vertex.blocked = true;
   ++blocked_;
   bool cancelled = false;
   for (std::size_t i = 0; i < names.size(); ++i) {
-    switch (as_named[i].state) {
-      case DependencyStatus::State::done: break;  // before this one came
+    switch (statuses[i].state) {
+      case DependencyStatus::State::done: break;  // before this job was accepted
       case DependencyStatus::State::cancelled: cancelled = true; break;
-      case DependencyStatus::State::pending: add_edge(job, as_named[i].job, news); break;
+      case DependencyStatus::State::pending: add_edge(job, statuses[i].job, changes); break;
       case DependencyStatus::State::unresolved:
         unresolved_[names[i]].push_back(job);
         ++vertices_[job].unresolved;
@@ -41,186 +45,210 @@
     }
   }
   if (cancelled) {
-    news.cancelled.push_back(job);
-    ++cancelled_;
-    cancel_dependents(job, news);
+    cancel_with_dependents(job, changes);
   } else {
-    update_eligibility(job, news);
+    update_eligibility(job, changes);
   }
 }
 
-void DependencyGraph::add_edge(JobIndex job, JobIndex need, Changes& news) {
-  vertices_[job].dependencies.push_back(need);
-  vertices_[need].dependents.push_back(job);
-  propagate_urgency({need}, news);
+void DependencyGraph::add_edge(JobIndex job, JobIndex dependency, Changes& changes) {
+  vertices_[job].dependencies.push_back(dependency);
+  vertices_[dependency].dependents.push_back(job);
+  propagate_urgency({dependency}, changes);
 }
 
-void DependencyGraph::resolve_name(const std::string& name, const DependencyStatus& named, Changes& news) {
+void DependencyGraph::resolve_name(const std::string& name, const DependencyStatus& status, Changes& changes) {
   const auto it = unresolved_.find(name);
   if (it == unresolved_.end()) return;
   const auto jobs = std::move(it->second);
   unresolved_.erase(it);
-  for (JobIndex j : jobs) {
-    const auto at = vertices_.find(j);
-    if (at == vertices_.end() || at->second.ended || at->second.unresolved == 0) continue;
-    --at->second.unresolved;
-    switch (named.state) {
-      case DependencyStatus::State::cancelled:
-        news.cancelled.push_back(j);
-        ++cancelled_;
-        cancel_dependents(j, news);
-        break;
-      case DependencyStatus::State::pending: add_edge(j, named.job, news); break;
-      default:
-        if (named.at > 0) {
-          Vertex& need = vertices_[named.job];
-          need.ended = true;
-          need.done_at = named.at;
-          need.dependents.push_back(j);
-          at->second.completed_dependencies.push_back(named.job);
-          at->second.eligible_since = std::max(at->second.eligible_since, named.at);
-        }
-        update_eligibility(j, news);
-    }
+  for (const JobIndex job : jobs) resolve_dependency(job, status, changes);
+}
+
+void DependencyGraph::resolve_dependency(JobIndex job, const DependencyStatus& status, Changes& changes) {
+  const auto it = vertices_.find(job);
+  if (it == vertices_.end() || it->second.ended || it->second.unresolved == 0) return;
+  --it->second.unresolved;
+  switch (status.state) {
+    case DependencyStatus::State::cancelled: cancel_with_dependents(job, changes); break;
+    case DependencyStatus::State::pending: add_edge(job, status.job, changes); break;
+    case DependencyStatus::State::unresolved:
+    case DependencyStatus::State::done:
+      if (status.at > 0) {
+        Vertex& dependency = vertices_[status.job];
+        dependency.ended = true;
+        dependency.done_at = status.at;
+        dependency.dependents.push_back(job);
+        record_completed_dependency(job, status.job, status.at);
+      }
+      update_eligibility(job, changes);
+      break;
   }
 }
 
-void DependencyGraph::mark_done(JobIndex job, double at, Changes& news) {
+void DependencyGraph::record_completed_dependency(JobIndex job, JobIndex dependency, double done_at) {
+  Vertex& vertex = vertices_.at(job);
+  vertex.completed_dependencies.push_back(dependency);
+  vertex.eligible_since = std::max(vertex.eligible_since, done_at);
+}
+
+void DependencyGraph::mark_done(JobIndex job, double at, Changes& changes) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || it->second.ended) return;
   it->second.ended = true;
   it->second.done_at = at;
-  if (std::exchange(it->second.blocked, false)) --blocked_;  // begun before the names were read: it was ready
+  // It was started before the names that it depends on were read: it was eligible.
+  if (it->second.blocked) mark_unblocked(it->second);
   const auto dependents = it->second.dependents;
-  for (JobIndex d : dependents) {
-    Vertex& n = vertices_.at(d);
-    if (std::erase(n.dependencies, job) == 0) continue;
-    n.completed_dependencies.push_back(job);
-    n.eligible_since = std::max(n.eligible_since, at);
-    update_eligibility(d, news);
+  for (const JobIndex dependent : dependents) {
+    if (std::erase(vertices_.at(dependent).dependencies, job) == 0) continue;
+    record_completed_dependency(dependent, job, at);
+    update_eligibility(dependent, changes);
   }
-  detach(job, news);
+  detach(job, changes);
 }
 
-void DependencyGraph::update_eligibility(JobIndex job, Changes& news) {
-  Vertex& n = vertices_.at(job);
-  if (!n.blocked || n.ended || n.unresolved > 0 || !n.dependencies.empty()) return;
-  n.blocked = false;
-  --blocked_;
+void DependencyGraph::update_eligibility(JobIndex job, Changes& changes) {
+  Vertex& vertex = vertices_.at(job);
+  if (!vertex.blocked || vertex.ended || vertex.unresolved > 0 || !vertex.dependencies.empty()) return;
+  mark_unblocked(vertex);
   ++eligible_;
-  news.eligible.push_back({job, n.eligible_since});
+  changes.eligible.push_back({job, vertex.eligible_since});
   erase_if_unused(job);
 }
 
-void DependencyGraph::mark_cancelled(JobIndex job, Changes& news) {
-  if (const Vertex* n = find(job); n && !n->ended) cancel_dependents(job, news);
+void DependencyGraph::mark_unblocked(Vertex& vertex) {
+  assert(vertex.blocked && blocked_ > 0);
+  vertex.blocked = false;
+  --blocked_;
+}
+
+void DependencyGraph::mark_cancelled(JobIndex job, Changes& changes) {
+  if (const Vertex* vertex = find(job); vertex && !vertex->ended) cancel_dependents(job, changes);
 }
 
-void DependencyGraph::cancel_dependents(JobIndex job, Changes& news) {
+void DependencyGraph::cancel_with_dependents(JobIndex job, Changes& changes) {
+  changes.cancelled.push_back(job);
+  ++cancelled_;
+  cancel_dependents(job, changes);
+}
+
+void DependencyGraph::cancel_dependents(JobIndex job, Changes& changes) {
   // No recursion: a chain may be as long as there are jobs.
-  std::vector<JobIndex> work{job};
-  while (!work.empty()) {
-    const JobIndex j = work.back();
-    work.pop_back();
-    Vertex& n = vertices_.at(j);
-    n.ended = true;
-    if (std::exchange(n.blocked, false)) --blocked_;
-    const auto dependents = std::exchange(n.dependents, {});
-    for (JobIndex d : dependents) {
-      Vertex& dependent = vertices_.at(d);
-      std::erase(dependent.dependencies, j);
+  std::vector<JobIndex> remaining{job};
+  while (!remaining.empty()) {
+    const JobIndex cancelled = remaining.back();
+    remaining.pop_back();
+    Vertex& vertex = vertices_.at(cancelled);
+    vertex.ended = true;
+    if (vertex.blocked) mark_unblocked(vertex);
+    const auto dependents = std::exchange(vertex.dependents, {});
+    for (const JobIndex dependent_job : dependents) {
+      Vertex& dependent = vertices_.at(dependent_job);
+      std::erase(dependent.dependencies, cancelled);
       if (dependent.ended) continue;
-      dependent.ended = true;  // once, by whichever way it is reached first
-      news.cancelled.push_back(d);
+      dependent.ended = true;  // once only, also when several paths lead to it
+      changes.cancelled.push_back(dependent_job);
       ++cancelled_;
-      work.push_back(d);
+      remaining.push_back(dependent_job);
     }
-    detach(j, news);
+    detach(cancelled, changes);
   }
 }
 
-void DependencyGraph::mark_eligible(JobIndex job, Changes& news) {
+void DependencyGraph::mark_eligible(JobIndex job, Changes& changes) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || !it->second.blocked) return;
-  Vertex& n = it->second;
-  n.unresolved = 0;
-  const auto needs = std::exchange(n.dependencies, {});
-  for (JobIndex f : needs) std::erase(vertices_.at(f).dependents, job);
-  propagate_urgency(needs, news);
-  n.blocked = false;
-  --blocked_;
+  Vertex& vertex = it->second;
+  vertex.unresolved = 0;
+  const auto dependencies = std::exchange(vertex.dependencies, {});
+  for (const JobIndex dependency : dependencies) std::erase(vertices_.at(dependency).dependents, job);
+  propagate_urgency(dependencies, changes);
+  mark_unblocked(vertex);
   ++eligible_;
-  for (JobIndex f : needs) erase_if_unused(f);
+  for (const JobIndex dependency : dependencies) erase_if_unused(dependency);
   erase_if_unused(job);
 }
 
-void DependencyGraph::detach(JobIndex job, Changes& news) {
-  Vertex& n = vertices_.at(job);
-  const auto needs = std::exchange(n.dependencies, {});
-  const auto met = std::exchange(n.completed_dependencies, {});
-  for (const auto* list : {&needs, &met})
-    for (JobIndex f : *list)
-      if (const auto it = vertices_.find(f); it != vertices_.end()) std::erase(it->second.dependents, job);
-  propagate_urgency(needs, news);
-  for (const auto* list : {&needs, &met})
-    for (JobIndex f : *list) erase_if_unused(f);
+void DependencyGraph::detach(JobIndex job, Changes& changes) {
+  Vertex& vertex = vertices_.at(job);
+  const auto dependencies = std::exchange(vertex.dependencies, {});
+  auto all = std::exchange(vertex.completed_dependencies, {});
+  all.insert(all.begin(), dependencies.begin(), dependencies.end());
+  for (const JobIndex dependency : all)
+    if (const auto it = vertices_.find(dependency); it != vertices_.end()) std::erase(it->second.dependents, job);
+  propagate_urgency(dependencies, changes);
+  for (const JobIndex dependency : all) erase_if_unused(dependency);
   erase_if_unused(job);
 }
 
-// A job counts as the most urgent of itself and of those that need it; what follows it takes its time first.
-void DependencyGraph::propagate_urgency(std::vector<JobIndex> work, Changes& news) {
-  while (!work.empty()) {
-    const JobIndex j = work.back();
-    work.pop_back();
-    const auto it = vertices_.find(j);
+// Recomputes the required urgency of these jobs and, where it changes, of what they depend on.
+void DependencyGraph::propagate_urgency(std::vector<JobIndex> jobs, Changes& changes) {
+  while (!jobs.empty()) {
+    const JobIndex job = jobs.back();
+    jobs.pop_back();
+    const auto it = vertices_.find(job);
     if (it == vertices_.end() || it->second.ended) continue;
-    Vertex& n = it->second;
-    Urgency wanted;
-    for (JobIndex d : n.dependents) {
-      const Vertex& dependent = vertices_.at(d);
-      auto total = more_urgent(dependent.own, dependent.required);
-      total.deadline_at -= dependent.estimated_run_s;
-      wanted = more_urgent(wanted, total);
-    }
-    if (wanted == n.required) continue;
-    n.required = wanted;
-    if (std::find(news.urgency_changed.begin(), news.urgency_changed.end(), j) == news.urgency_changed.end())
-      news.urgency_changed.push_back(j);
-    work.insert(work.end(), n.dependencies.begin(), n.dependencies.end());
+    Vertex& vertex = it->second;
+    const Urgency required = urgency_required_by_dependents(vertex);
+    if (required == vertex.required) continue;
+    vertex.required = required;
+    if (!contains(changes.urgency_changed, job)) changes.urgency_changed.push_back(job);
+    jobs.insert(jobs.end(), vertex.dependencies.begin(), vertex.dependencies.end());
+  }
+}
+
+// The job must be done early enough for each dependent to run before its own deadline.
+Urgency DependencyGraph::urgency_required_by_dependents(const Vertex& vertex) const {
+  Urgency required;
+  for (const JobIndex dependent_job : vertex.dependents) {
+    const Vertex& dependent = vertices_.at(dependent_job);
+    Urgency urgency = more_urgent(dependent.own, dependent.required);
+    urgency.deadline_at -= dependent.estimated_run_s;
+    required = more_urgent(required, urgency);
   }
+  return required;
 }
 
 void DependencyGraph::erase_if_unused(JobIndex job) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end()) return;
-  const Vertex& n = it->second;
-  if (!n.blocked && n.dependents.empty() && (n.ended || (n.dependencies.empty() && n.completed_dependencies.empty()))) vertices_.erase(it);
+  const Vertex& vertex = it->second;
+  const bool has_dependencies = !vertex.dependencies.empty() || !vertex.completed_dependencies.empty();
+  const bool needed = vertex.blocked || !vertex.dependents.empty() || (!vertex.ended && has_dependencies);
+  if (!needed) vertices_.erase(it);
 }
 
 bool DependencyGraph::is_blocked(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n && n->blocked;
+  const Vertex* vertex = find(job);
+  return vertex && vertex->blocked;
 }
+
 const std::vector<JobIndex>& DependencyGraph::dependencies(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n ? n->dependencies : kNone;
+  const Vertex* vertex = find(job);
+  return vertex ? vertex->dependencies : kNoJobs;
 }
+
 bool DependencyGraph::has_unresolved_names(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n && n->unresolved > 0;
+  const Vertex* vertex = find(job);
+  return vertex && vertex->unresolved > 0;
 }
+
 bool DependencyGraph::has_dependents(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n && !n->dependents.empty();
+  const Vertex* vertex = find(job);
+  return vertex && !vertex->dependents.empty();
 }
+
 double DependencyGraph::done_at(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n ? n->done_at : 0;
+  const Vertex* vertex = find(job);
+  return vertex ? vertex->done_at : 0;
 }
+
 Urgency DependencyGraph::required_urgency(JobIndex job) const {
-  const Vertex* n = find(job);
-  return n ? n->required : Urgency{};
+  const Vertex* vertex = find(job);
+  return vertex ? vertex->required : Urgency{};
 }
+
 DependencyGraph::Counts DependencyGraph::counts() const {
   return {blocked_, unresolved_.size(), eligible_, cancelled_};
 }
--- a/src/cluster_state/dependency_graph.hpp
+++ b/src/cluster_state/dependency_graph.hpp
@@ -1,7 +1,10 @@
-// Which job waits for which: what is ready and since when, what is cancelled through another job, and which rank
-// and deadline count for a job that others need. Pure; `ClusterState` alone asks it, and feeds it from the ledger's records
-// in whatever order these are read. Proofs: docs/pipelines.md. Times are wall seconds.
+// Which job depends on which: what is eligible to start and since when, what is cancelled with a job that it depends on, and
+// which priority and deadline a job takes over from its dependents. Only `ClusterState` calls it, with the events of the
+// ledger's records in whatever order these are read; what is decided does not depend on that order. Proofs:
+// docs/pipelines.md. No I/O and no clock; times are wall seconds.
 #pragma once
+#include <cstddef>
+#include <cstdint>
 #include <limits>
 #include <string>
 #include <unordered_map>
@@ -12,88 +15,101 @@
 
 namespace thistlefront {
 
-// What counts for a job: its own, or that of a job that needs it.
+// How urgent a job is: by itself, or for the sake of a job that depends on it.
 struct Urgency {
   Priority priority = Priority::idle;
   double deadline_at = std::numeric_limits<double>::infinity();  // when it should be done; infinite: no deadline
   friend bool operator==(const Urgency&, const Urgency&) = default;
 };
-// The higher rank and the earlier deadline.
+// The higher priority and the earlier deadline.
 Urgency more_urgent(const Urgency& a, const Urgency& b);
 
 class DependencyGraph {
  public:
-  // How a job that is named stands.
+  // Status of a job that another one depends on by name.
   struct DependencyStatus {
     enum class State { unresolved, pending, done, cancelled } state = State::unresolved;
-    JobIndex job;   // not valid: unread
-    double at = 0;  // when it was done, where a job that it is read for needs to know
+    JobIndex job;   // not valid: not read yet
+    double at = 0;  // when it was done, where it was read after its dependents and they need to know; otherwise 0
   };
-  // What came of an event. Each job comes once at most in each list.
+  // What an event changes. Each job is at most once in each list.
   struct Changes {
     struct Eligible {
       JobIndex job;
       double since;
     };
     std::vector<Eligible> eligible;
-    std::vector<JobIndex> cancelled;        // through another: all that need it, directly or through others
-    std::vector<JobIndex> urgency_changed;  // another rank or deadline counts for these
+    std::vector<JobIndex> cancelled;        // all dependents of a cancelled job, direct and indirect
+    std::vector<JobIndex> urgency_changed;  // their required urgency is another one now
   };
 
-  // A job that names others, none twice. `own`: of itself, `run_s`: its estimate, what its forerunners must be done
-  // earlier; `accepted_at`: it is ready at the earliest then. Its state may be decided at once.
+  // Adds a job that depends on the jobs `names`, none twice, whose statuses are `statuses`. `own`: its own urgency; `run_s`:
+  // its estimated run time, by which the jobs that it depends on must be done earlier; `accepted_at`: the earliest time at
+  // which it is eligible. It may become eligible or cancelled at once.
   void add(JobIndex job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
-           const std::vector<DependencyStatus>& as_named, Changes& news);
-  // A name that was unread is read: how the job now stands.
-  void resolve_name(const std::string& name, const DependencyStatus& named, Changes& news);
-  // A job was done (0: when is not known, and it was before any that need it came), or cancelled.
-  void mark_done(JobIndex job, double at, Changes& news);
-  void mark_cancelled(JobIndex job, Changes& news);
-  // A record tells since when a job is ready: it needs nothing more.
-  void mark_eligible(JobIndex job, Changes& news);
+           const std::vector<DependencyStatus>& statuses, Changes& changes);
+  // The job of this name has been read; `status` is its present one.
+  void resolve_name(const std::string& name, const DependencyStatus& status, Changes& changes);
+  // The job is done since `at` (0: not known, and before any of its dependents was accepted).
+  void mark_done(JobIndex job, double at, Changes& changes);
+  void mark_cancelled(JobIndex job, Changes& changes);
+  // A record says that the job is eligible: it depends on nothing any more. The job itself is not added to `changes`.
+  void mark_eligible(JobIndex job, Changes& changes);
 
-  // Waits for others that are not done, or not read.
+  // Whether the job depends on others that are not done, or not read.
   [[nodiscard]] bool is_blocked(JobIndex job) const;
-  // Jobs that it needs and that are not done, as far as they are read; and whether some name is not.
+  // The jobs that it depends on and that are not done, as far as they have been read.
   [[nodiscard]] const std::vector<JobIndex>& dependencies(JobIndex job) const;
   [[nodiscard]] bool has_unresolved_names(JobIndex job) const;
-  // Some job that has not ended needed it when it was done: when that was must stay known.
+  // Whether some job that has not ended depended on it until it was done: the time of its end must stay known.
   [[nodiscard]] bool has_dependents(JobIndex job) const;
-  [[nodiscard]] double done_at(JobIndex job) const;  // 0: not known, or not needed
-  // What those that need it, directly or through others, want of it.
+  // When the job was done; 0: not known, or not needed.
+  [[nodiscard]] double done_at(JobIndex job) const;
+  // The urgency that its direct and indirect dependents require of it.
   [[nodiscard]] Urgency required_urgency(JobIndex job) const;
 
   struct Counts {
-    std::size_t blocked = 0;                    // jobs now
-    std::size_t unresolved_names = 0;           // names of no job that was read: 0 once the whole ledger was
-    std::uint64_t eligible = 0, cancelled = 0;  // jobs that became ready, or were cancelled through another
+    std::size_t blocked = 0;           // jobs at present
+    std::size_t unresolved_names = 0;  // names of jobs that have not been read: 0 once the whole ledger was
+    std::uint64_t eligible = 0;        // jobs that became eligible, in all
+    std::uint64_t cancelled = 0;       // jobs that were cancelled with one that they depended on, in all
   };
   [[nodiscard]] Counts counts() const;
 
  private:
-  // Kept for jobs that have not ended and name or are named, and for ended ones that such a job needed.
+  // Kept for jobs that have not ended and have dependencies or dependents, and for ended ones that such a job depended on.
   struct Vertex {
     std::vector<JobIndex> dependencies;            // not done
-    std::vector<JobIndex> completed_dependencies;  // done while it waited
+    std::vector<JobIndex> completed_dependencies;  // done while this job was blocked
     std::vector<JobIndex> dependents;              // not ended
-    std::size_t unresolved = 0;                    // names
-    bool blocked = false, ended = false;
-    double eligible_since = 0;  // ready at the earliest
-    double done_at = 0, estimated_run_s = 0;
-    Urgency own, required;  // own: of those that name others
+    std::size_t unresolved = 0;                    // number of names that have not been read
+    bool blocked = false;
+    bool ended = false;
+    double eligible_since = 0;  // at the earliest
+    double done_at = 0;
+    double estimated_run_s = 0;
+    Urgency own;  // only of jobs with dependencies
+    Urgency required;
   };
   [[nodiscard]] const Vertex* find(JobIndex job) const;
-  void add_edge(JobIndex job, JobIndex need, Changes& news);
-  // Ready, when nothing is left that it waits for.
-  void update_eligibility(JobIndex job, Changes& news);
-  void cancel_dependents(JobIndex job, Changes& news);
-  // It has ended: what it needed no longer counts it.
-  void detach(JobIndex job, Changes& news);
-  void propagate_urgency(std::vector<JobIndex> work, Changes& news);
+  void add_edge(JobIndex job, JobIndex dependency, Changes& changes);
+  // One of the job's names is resolved, with this status.
+  void resolve_dependency(JobIndex job, const DependencyStatus& status, Changes& changes);
+  void record_completed_dependency(JobIndex job, JobIndex dependency, double done_at);
+  // Makes the job eligible when it depends on nothing any more.
+  void update_eligibility(JobIndex job, Changes& changes);
+  void mark_unblocked(Vertex& vertex);
+  // Cancels the job because of one that it depends on, and its dependents with it.
+  void cancel_with_dependents(JobIndex job, Changes& changes);
+  void cancel_dependents(JobIndex job, Changes& changes);
+  // The job has ended: removes it from the dependents of the jobs that it depended on.
+  void detach(JobIndex job, Changes& changes);
+  void propagate_urgency(std::vector<JobIndex> jobs, Changes& changes);
+  [[nodiscard]] Urgency urgency_required_by_dependents(const Vertex& vertex) const;
   void erase_if_unused(JobIndex job);
 
   std::unordered_map<JobIndex, Vertex> vertices_;
-  std::unordered_map<std::string, std::vector<JobIndex>> unresolved_;  // jobs that name it
+  std::unordered_map<std::string, std::vector<JobIndex>> unresolved_;  // jobs that depend on the name
   std::size_t blocked_ = 0;
   std::uint64_t eligible_ = 0, cancelled_ = 0;
 };
--- a/src/cluster_state/failure_attribution.cpp
+++ b/src/cluster_state/failure_attribution.cpp
@@ -5,131 +5,169 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kIndependent = 2;  // machines with nothing else against them that convict a job
-constexpr std::size_t kAnyMachines = 3;  // machines of any kind that do
-constexpr unsigned kFailuresInARow = 4;  // waves of failures on however few machines that do
-constexpr double kWave = 1.0;            // tasks that fail within this many seconds are one wave
-constexpr std::size_t kJobsAgainstHost = 2;
-constexpr double kFirstPause = 2.0, kLongestPause = 60.0;
-constexpr unsigned kMostDoublings = 5;
-constexpr double kAsideAtFirst = 30.0;
-constexpr double kAvoidFor = 60.0;
-constexpr std::size_t kMostRemembered = 8;  // machines remembered of a job
+// A job is suspect once it failed on this many nodes on which no other job failed,
+constexpr std::size_t kIndependentNodesToSuspect = 2;
+// or on this many nodes of any kind,
+constexpr std::size_t kNodesToSuspect = 3;
+// or in this many waves in a row, on however few nodes.
+constexpr unsigned kWavesToSuspect = 4;
+constexpr double kWave_s = 1.0;  // failures within this time are one wave
+
+constexpr double kFirstRetryDelay_s = 2.0;
+constexpr double kMaxRetryDelay_s = 60.0;
+constexpr unsigned kMaxDoublings = 5;
+
+constexpr std::size_t kJobsToCordon = 2;
+constexpr double kFirstCordon_s = 30.0;
+constexpr double kAvoidNode_s = 60.0;
+constexpr std::size_t kMaxRememberedNodes = 8;  // per job
+
+double doubled(double delay_s, unsigned times) {
+  return delay_s * static_cast<double>(1u << std::min(times, kMaxDoublings));
+}
 }  // namespace
 
-void FailureAttribution::record_failure(JobIndex j, NodeIndex h, double at, bool sound) {
-  auto& job = jobs_[j];
-  job.failed_on[h] = at;
-  if (job.failed_on.size() > kMostRemembered) {
-    const auto oldest =
-        std::min_element(job.failed_on.begin(), job.failed_on.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
-    job.failed_on.erase(oldest);
-  }
-  if (sound) {
-    blame_node(j, h, at);
+void FailureAttribution::record_failure(JobIndex job, NodeIndex node, double at, bool job_has_succeeded) {
+  JobEvidence& evidence = jobs_[job];
+  remember_failure(evidence, node, at);
+  if (job_has_succeeded) {
+    blame_node(job, node, at);
     return;
   }
-  if (at > job.last_at + kWave) ++job.failures;
-  job.last_at = at;
-  if (job.suspect) {
-    // Tasks of one wave fail together: only a try made after the pause makes the next one longer.
-    if (at < job.not_before) return;
-    job.probes = std::min(job.probes + 1, kMostDoublings);
-    job.not_before = at + std::min(kLongestPause, kFirstPause * static_cast<double>(1u << job.probes));
-    return;
+  if (at > evidence.last_failure_at + kWave_s) ++evidence.failure_waves;
+  evidence.last_failure_at = at;
+  if (evidence.suspect) {
+    delay_next_retry(evidence, at);
+  } else if (is_job_at_fault(job, evidence)) {
+    suspect_job(job, evidence, at);
+  } else {
+    blame_node(job, node, at);
   }
-  // A machine on which others fail as well says little about this job.
-  const auto independent = std::count_if(job.failed_on.begin(), job.failed_on.end(), [&](const auto& f) {
-    const auto it = nodes_.find(f.first);
-    return it == nodes_.end() || it->second.failed.size() - it->second.failed.count(j) == 0;
-  });
-  if (static_cast<std::size_t>(independent) >= kIndependent || job.failed_on.size() >= kAnyMachines || job.failures >= kFailuresInARow) {
-    job.suspect = true;
-    job.not_before = at + kFirstPause;
-    news_.push_back({Verdict::Kind::suspected, j, {}, job.failed_on.size(), job.not_before});
-    for (const auto& f : job.failed_on) clear_node(j, f.first);
-    return;
-  }
-  blame_node(j, h, at);
-}
-
-void FailureAttribution::record_success(JobIndex j, NodeIndex h) {
-  if (auto it = nodes_.find(h); it != nodes_.end()) {
-    auto& node = it->second;
-    if (!node.failed.empty()) node.failed.erase(node.failed.begin());
-    if (node.cordoned_until > 0) {
-      // It does work: one more such judgement is needed before it is set aside again.
-      node.cordoned_until = 0;
-      node.failed.clear();
-      news_.push_back({Verdict::Kind::uncordoned, j, h, node.times_cordoned, 0});
-    }
-  }
-  auto it = jobs_.find(j);
+}
+
+void FailureAttribution::remember_failure(JobEvidence& evidence, NodeIndex node, double at) {
+  auto& failed_on = evidence.failed_on;
+  failed_on[node] = at;
+  if (failed_on.size() <= kMaxRememberedNodes) return;
+  const auto is_earlier = [](const auto& a, const auto& b) { return a.second < b.second; };
+  failed_on.erase(std::min_element(failed_on.begin(), failed_on.end(), is_earlier));
+}
+
+void FailureAttribution::delay_next_retry(JobEvidence& evidence, double at) {
+  // Tasks of one wave fail together: only a retry made after the delay makes the next delay longer.
+  if (at < evidence.not_before) return;
+  evidence.failed_retries = std::min(evidence.failed_retries + 1, kMaxDoublings);
+  evidence.not_before = at + std::min(kMaxRetryDelay_s, doubled(kFirstRetryDelay_s, evidence.failed_retries));
+}
+
+bool FailureAttribution::is_job_at_fault(JobIndex job, const JobEvidence& evidence) const {
+  // A node on which other jobs fail as well says little about this one.
+  const auto is_independent = [&](const auto& failure) {
+    const auto it = nodes_.find(failure.first);
+    if (it == nodes_.end()) return true;
+    const auto& failed_jobs = it->second.failed_jobs;
+    return failed_jobs.size() == failed_jobs.count(job);
+  };
+  const auto independent = std::count_if(evidence.failed_on.begin(), evidence.failed_on.end(), is_independent);
+  return static_cast<std::size_t>(independent) >= kIndependentNodesToSuspect || evidence.failed_on.size() >= kNodesToSuspect ||
+         evidence.failure_waves >= kWavesToSuspect;
+}
+
+void FailureAttribution::suspect_job(JobIndex job, JobEvidence& evidence, double at) {
+  evidence.suspect = true;
+  evidence.not_before = at + kFirstRetryDelay_s;
+  verdicts_.push_back({Verdict::Kind::suspected, job, {}, evidence.failed_on.size(), evidence.not_before});
+  for (const auto& [node, failed_at] : evidence.failed_on) clear_node(job, node);
+}
+
+void FailureAttribution::record_success(JobIndex job, NodeIndex node) {
+  credit_node(job, node);
+  credit_job(job, node);
+}
+
+void FailureAttribution::credit_node(JobIndex job, NodeIndex node) {
+  const auto it = nodes_.find(node);
+  if (it == nodes_.end()) return;
+  NodeEvidence& evidence = it->second;
+  if (!evidence.failed_jobs.empty()) evidence.failed_jobs.erase(evidence.failed_jobs.begin());
+  if (evidence.cordoned_until <= 0) return;
+  // The node works: it takes as many failed jobs as at first to cordon it again.
+  evidence.cordoned_until = 0;
+  evidence.failed_jobs.clear();
+  verdicts_.push_back({Verdict::Kind::uncordoned, job, node, evidence.times_cordoned, 0});
+}
+
+void FailureAttribution::credit_job(JobIndex job, NodeIndex node) {
+  const auto it = jobs_.find(job);
   if (it == jobs_.end()) return;
-  auto& job = it->second;
-  job.failures = 0;
-  if (!job.suspect) return;
-  job.suspect = false;
-  job.probes = 0;
-  job.not_before = 0;
-  news_.push_back({Verdict::Kind::cleared, j, {}, job.failed_on.size(), 0});
-  // So it was the machines.
-  for (const auto& [failed_on, at] : job.failed_on)
-    if (failed_on != h) blame_node(j, failed_on, at);
-}
-
-void FailureAttribution::forget_job(JobIndex j, bool sound) {
-  const auto it = jobs_.find(j);
+  JobEvidence& evidence = it->second;
+  evidence.failure_waves = 0;
+  if (!evidence.suspect) return;
+  evidence.suspect = false;
+  evidence.failed_retries = 0;
+  evidence.not_before = 0;
+  verdicts_.push_back({Verdict::Kind::cleared, job, {}, evidence.failed_on.size(), 0});
+  // The job is sound, so its failures were the fault of the other nodes.
+  for (const auto& [failed_node, failed_at] : evidence.failed_on)
+    if (failed_node != node) blame_node(job, failed_node, failed_at);
+}
+
+void FailureAttribution::forget_job(JobIndex job, bool job_has_succeeded) {
+  const auto it = jobs_.find(job);
   if (it == jobs_.end()) return;
-  if (!sound)
-    for (const auto& f : it->second.failed_on) clear_node(j, f.first);
+  if (!job_has_succeeded)
+    for (const auto& [node, failed_at] : it->second.failed_on) clear_node(job, node);
   jobs_.erase(it);
 }
 
-void FailureAttribution::blame_node(JobIndex j, NodeIndex h, double at) {
-  auto& node = nodes_[h];
-  node.failed.insert(j);
-  if (node.failed.size() < kJobsAgainstHost || node.cordoned_until > at) return;
-  node.cordoned_until = at + kAsideAtFirst * static_cast<double>(1u << std::min(node.times_cordoned, kMostDoublings));
-  ++node.times_cordoned;  // what counted against it still does: tried again, its next failure tells
-  news_.push_back({Verdict::Kind::cordoned, j, h, node.times_cordoned, node.cordoned_until});
+void FailureAttribution::blame_node(JobIndex job, NodeIndex node, double at) {
+  NodeEvidence& evidence = nodes_[node];
+  evidence.failed_jobs.insert(job);
+  if (evidence.failed_jobs.size() < kJobsToCordon || evidence.cordoned_until > at) return;
+  evidence.cordoned_until = at + doubled(kFirstCordon_s, evidence.times_cordoned);
+  // The failed jobs keep counting: once the node is used again, its next failure cordons it.
+  ++evidence.times_cordoned;
+  verdicts_.push_back({Verdict::Kind::cordoned, job, node, evidence.times_cordoned, evidence.cordoned_until});
 }
 
-void FailureAttribution::clear_node(JobIndex j, NodeIndex h) {
-  const auto it = nodes_.find(h);
-  if (it == nodes_.end() || it->second.failed.erase(j) == 0) return;
-  if (it->second.cordoned_until == 0 || it->second.failed.size() >= kJobsAgainstHost) return;
-  // What it was set aside for was the job's fault.
-  it->second.cordoned_until = 0;
-  if (it->second.times_cordoned > 0) --it->second.times_cordoned;
-  news_.push_back({Verdict::Kind::uncordoned, j, h, it->second.times_cordoned, 0});
+// The job's failures on the node were the fault of the job.
+void FailureAttribution::clear_node(JobIndex job, NodeIndex node) {
+  const auto it = nodes_.find(node);
+  if (it == nodes_.end()) return;
+  NodeEvidence& evidence = it->second;
+  if (evidence.failed_jobs.erase(job) == 0) return;
+  if (evidence.cordoned_until == 0 || evidence.failed_jobs.size() >= kJobsToCordon) return;
+  evidence.cordoned_until = 0;
+  if (evidence.times_cordoned > 0) --evidence.times_cordoned;
+  verdicts_.push_back({Verdict::Kind::uncordoned, job, node, evidence.times_cordoned, 0});
 }
 
-bool FailureAttribution::is_suspect(JobIndex j) const {
-  const auto it = jobs_.find(j);
+bool FailureAttribution::is_suspect(JobIndex job) const {
+  const auto it = jobs_.find(job);
   return it != jobs_.end() && it->second.suspect;
 }
 
-double FailureAttribution::next_try_at(JobIndex j) const {
-  const auto it = jobs_.find(j);
+double FailureAttribution::next_try_at(JobIndex job) const {
+  const auto it = jobs_.find(job);
   return it == jobs_.end() ? 0 : it->second.not_before;
 }
 
-std::vector<NodeIndex> FailureAttribution::avoided_nodes(JobIndex j, double wall) const {
-  std::vector<NodeIndex> out;
-  if (const auto it = jobs_.find(j); it != jobs_.end())
-    for (const auto& [h, at] : it->second.failed_on)
-      if (wall - at < kAvoidFor) out.push_back(h);
-  return out;
+std::vector<NodeIndex> FailureAttribution::avoided_nodes(JobIndex job, double wall) const {
+  std::vector<NodeIndex> avoided;
+  const auto it = jobs_.find(job);
+  if (it == jobs_.end()) return avoided;
+  for (const auto& [node, failed_at] : it->second.failed_on)
+    if (wall - failed_at < kAvoidNode_s) avoided.push_back(node);
+  return avoided;
 }
 
-bool FailureAttribution::is_cordoned(NodeIndex h, double wall) const {
-  const auto it = nodes_.find(h);
+bool FailureAttribution::is_cordoned(NodeIndex node, double wall) const {
+  const auto it = nodes_.find(node);
   return it != nodes_.end() && it->second.cordoned_until > wall;
 }
 
-bool FailureAttribution::should_replace(NodeIndex h, double wall) const {
-  return is_cordoned(h, wall) && nodes_.at(h).times_cordoned >= 2;
+bool FailureAttribution::should_replace(NodeIndex node, double wall) const {
+  return is_cordoned(node, wall) && nodes_.at(node).times_cordoned >= 2;
 }
 
 }  // namespace thistlefront
--- a/src/cluster_state/failure_attribution.hpp
+++ b/src/cluster_state/failure_attribution.hpp
@@ -1,7 +1,8 @@
-// Who is at fault when a task fails: its machine, or the job itself, submitted with a mistake. Judged by evidence: does
-// the job succeed elsewhere, do other jobs succeed on that machine. Pure; the book feeds it from the ledger's records,
-// so that a later leader judges alike.
+// Decides who is at fault when a task fails: its node, or the job itself, submitted with a mistake. The evidence is whether
+// the job succeeds on other nodes, and whether other jobs succeed on that node. `ClusterState` feeds it from the ledger's
+// records, so that a later leader decides alike. No I/O and no clock; times are wall seconds.
 #pragma once
+#include <cstddef>
 #include <map>
 #include <set>
 #include <unordered_map>
@@ -14,57 +15,65 @@
 
 class FailureAttribution {
  public:
-  // A task of the job failed there (wall seconds). `sound`: some task of the job has succeeded before.
-  void record_failure(JobIndex j, NodeIndex h, double at, bool sound);
-  // One completed there, or has served for a while.
-  void record_success(JobIndex j, NodeIndex h);
-  // Suspected by the leader that wrote the job anew; its machines are not known any more.
-  void restore_suspicion(JobIndex j) { jobs_[j].suspect = true; }
-  // The job has ended. What it did to its machines counts on only when it was sound.
-  void forget_job(JobIndex j, bool sound);
+  // A task of the job failed on the node. `job_has_succeeded`: some task of the job has succeeded before.
+  void record_failure(JobIndex job, NodeIndex node, double at, bool job_has_succeeded);
+  // A task of the job completed on the node, or a service replica ran there for a while.
+  void record_success(JobIndex job, NodeIndex node);
+  // The job was suspect when a snapshot of it was written; on which nodes it failed is not known any more.
+  void restore_suspicion(JobIndex job) { jobs_[job].suspect = true; }
+  // The job has ended. Its failures keep counting against nodes only if some task of it succeeded.
+  void forget_job(JobIndex job, bool job_has_succeeded);
 
-  // A suspected job fails wherever it runs: it tries with one task, after growing pauses, until one succeeds.
-  [[nodiscard]] bool is_suspect(JobIndex j) const;
-  [[nodiscard]] double next_try_at(JobIndex j) const;  // wall seconds of its next try
-  // Machines that it failed on lately; older failures no longer keep it off.
-  [[nodiscard]] std::vector<NodeIndex> avoided_nodes(JobIndex j, double wall) const;
+  // A suspect job fails wherever it runs: it is retried with one task, after growing delays, until one succeeds.
+  [[nodiscard]] bool is_suspect(JobIndex job) const;
+  // Earliest time of a suspect job's next retry; 0: at once.
+  [[nodiscard]] double next_try_at(JobIndex job) const;
+  // Nodes on which the job failed lately; older failures no longer keep it off a node.
+  [[nodiscard]] std::vector<NodeIndex> avoided_nodes(JobIndex job, double wall) const;
 
-  // A machine that failed jobs which are not suspected, with no success in between, is set aside for a while, then
-  // tried again.
-  [[nodiscard]] bool is_cordoned(NodeIndex h, double wall) const;
-  // Set aside once more after it was tried again: better replaced.
-  [[nodiscard]] bool should_replace(NodeIndex h, double wall) const;
+  // Whether the node is cordoned: it failed several jobs that are not suspect, with no success in between. It is used again
+  // after a growing delay.
+  [[nodiscard]] bool is_cordoned(NodeIndex node, double wall) const;
+  // Whether the node is cordoned again after it was used again: better replaced.
+  [[nodiscard]] bool should_replace(NodeIndex node, double wall) const;
 
-  // What was judged since the last call, for the operator's log.
+  // A decision, for the operator's log.
   struct Verdict {
     enum class Kind { suspected, cleared, cordoned, uncordoned } kind;
-    JobIndex job;       // the job, or the last one that failed on the machine
-    NodeIndex node;     // not valid for news of a job
-    std::size_t count;  // machines that the job failed on; times that the machine was set aside
-    double until;       // wall seconds
+    JobIndex job;       // the job, or the last one that failed on the node
+    NodeIndex node;     // not valid for verdicts on a job
+    std::size_t count;  // nodes on which the job failed, or times that the node was cordoned
+    double until;       // of the delay; 0: there is none
   };
-  std::vector<Verdict> take_verdicts() { return std::exchange(news_, {}); }
+  // The verdicts since the last call.
+  std::vector<Verdict> take_verdicts() { return std::exchange(verdicts_, {}); }
 
  private:
   struct JobEvidence {
-    std::map<NodeIndex, double> failed_on;  // the latest failure there
-    unsigned failures = 0;                  // waves of them in a row, without a success
-    double last_at = -1e9;
+    std::map<NodeIndex, double> failed_on;  // with the time of the latest failure there
+    unsigned failure_waves = 0;             // in a row, without a success
+    double last_failure_at = -1e9;
     bool suspect = false;
-    unsigned probes = 0;  // tries that failed since it is suspected
-    double not_before = 0;
+    unsigned failed_retries = 0;  // since it is suspect
+    double not_before = 0;        // of the next retry
   };
   struct NodeEvidence {
-    std::set<JobIndex> failed;  // jobs not suspected that failed there since the last success
+    std::set<JobIndex> failed_jobs;  // not suspect ones that failed there since the last success
     unsigned times_cordoned = 0;
-    double cordoned_until = 0;
+    double cordoned_until = 0;  // 0: not cordoned, or not since the last success
   };
-  void blame_node(JobIndex j, NodeIndex h, double at);
-  void clear_node(JobIndex j, NodeIndex h);
+  void remember_failure(JobEvidence& evidence, NodeIndex node, double at);
+  void delay_next_retry(JobEvidence& evidence, double at);
+  [[nodiscard]] bool is_job_at_fault(JobIndex job, const JobEvidence& evidence) const;
+  void suspect_job(JobIndex job, JobEvidence& evidence, double at);
+  void blame_node(JobIndex job, NodeIndex node, double at);
+  void clear_node(JobIndex job, NodeIndex node);
+  void credit_node(JobIndex job, NodeIndex node);
+  void credit_job(JobIndex job, NodeIndex node);
 
   std::unordered_map<JobIndex, JobEvidence> jobs_;
   std::unordered_map<NodeIndex, NodeEvidence> nodes_;
-  std::vector<Verdict> news_;
+  std::vector<Verdict> verdicts_;
 };
 
 }  // namespace thistlefront
--- a/src/cluster_state/job_size_ranking.cpp
+++ b/src/cluster_state/job_size_ranking.cpp
@@ -5,30 +5,33 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kLately = 64;   // jobs of a class
-constexpr double kLargeShare = 0.85;  // at or above this share of them
+constexpr std::size_t kRecentJobs = 64;  // of a class
+constexpr double kLargeQuantile = 0.85;  // a job is large at or above this quantile of the recent sizes
+
+double quantile(const std::vector<double>& sorted, double share) {
+  return sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+}
 }  // namespace
 
-double size_of(const JobSpec& s) {
-  return s.demand.cores * s.task_count;
+double size_of(const JobSpec& spec) {
+  return spec.demand.cores * spec.task_count;
 }
 
-void JobSizeRanking::record(JobClassIndex c, double size) {
-  if (classes_.size() <= c.value) classes_.resize(c.value + 1);
-  auto& lately = classes_[c.value];
-  lately.sizes.push_back(size);
-  if (lately.sizes.size() > kLately) lately.sizes.pop_front();
-  std::vector<double> sorted(lately.sizes.begin(), lately.sizes.end());
+void JobSizeRanking::record(JobClassIndex job_class, double size) {
+  if (classes_.size() <= job_class.value) classes_.resize(job_class.value + 1);
+  RecentSizes& recent = classes_[job_class.value];
+  recent.sizes.push_back(size);
+  if (recent.sizes.size() > kRecentJobs) recent.sizes.pop_front();
+  std::vector<double> sorted(recent.sizes.begin(), recent.sizes.end());
   std::sort(sorted.begin(), sorted.end());
-  const auto at = [&](double share) { return sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))]; };
-  lately.large = at(kLargeShare);
-  lately.median = at(0.5);
+  recent.large = quantile(sorted, kLargeQuantile);
+  recent.median = quantile(sorted, 0.5);
 }
 
-bool JobSizeRanking::is_among_largest(JobClassIndex c, double size) const {
-  if (!c.valid() || classes_.size() <= c.value) return false;
-  const auto& lately = classes_[c.value];
-  return size >= lately.large && size > lately.median;
+bool JobSizeRanking::is_among_largest(JobClassIndex job_class, double size) const {
+  if (!job_class.valid() || classes_.size() <= job_class.value) return false;
+  const RecentSizes& recent = classes_[job_class.value];
+  return size >= recent.large && size > recent.median;
 }
 
 }  // namespace thistlefront
--- a/src/cluster_state/job_size_ranking.hpp
+++ b/src/cluster_state/job_size_ranking.hpp
@@ -1,5 +1,5 @@
-// Which jobs of a class are its largest: by what the class asked for lately. A large gang among a stream of small ones finds
-// its machines free together late, if at all, and is what its users miss first. Pure.
+// Which jobs are the largest of their class, by the recent submissions of the class. A large gang among a stream of small ones
+// finds enough free nodes at the same time late, if at all, and is what its users miss first. No I/O and no clock.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -10,25 +10,27 @@
 
 namespace thistlefront {
 
-// What a job asks for in all, to be compared within its class: cores.
-double size_of(const JobSpec& s);
+// Size of a job, to be compared within its class: the cores of all its tasks.
+double size_of(const JobSpec& spec);
 
 class JobSizeRanking {
  public:
-  // A job of the class came.
-  void record(JobClassIndex c, double size);
-  // Among the largest few of those that came lately, and larger than most of them; none where all are alike.
-  [[nodiscard]] bool is_among_largest(JobClassIndex c, double size) const;
+  // A job of the class was accepted.
+  void record(JobClassIndex job_class, double size);
+  // Whether a job of this size is among the largest few of the recent ones, and larger than most of them; false where all
+  // are alike.
+  [[nodiscard]] bool is_among_largest(JobClassIndex job_class, double size) const;
 
  private:
   struct RecentSizes {
     std::deque<double> sizes;
-    double large = 0, median = 0;  // the least that counts as large
+    double large = 0;  // least size that counts as large
+    double median = 0;
   };
-  std::vector<RecentSizes> classes_;
+  std::vector<RecentSizes> classes_;  // by job class index
 };
 
-// Seconds within which its users want one of the largest to begin.
+// Seconds within which the users of one of the largest jobs want it to start.
 inline constexpr double kLargestStartTarget = 240.0;
 
 }  // namespace thistlefront
--- a/src/cluster_state/quota_accounts.cpp
+++ b/src/cluster_state/quota_accounts.cpp
@@ -5,33 +5,43 @@
 namespace thistlefront {
 
 namespace {
+// A limit of 0 is none.
 double lower_limit(double a, double b) {
-  return a <= 0 ? b : b <= 0 ? a : std::min(a, b);
+  if (a <= 0) return b;
+  if (b <= 0) return a;
+  return std::min(a, b);
 }
-double within(double guarantee, double limit) {
+
+double guarantee_within(double guarantee, double limit) {
   return limit > 0 ? std::min(guarantee, limit) : guarantee;
 }
+
+TeamQuota quota_in_force(const TeamQuotaRecord& record) {
+  if (record.agreed && record.proposed) return stricter_quota(*record.agreed, *record.proposed);
+  if (record.agreed) return *record.agreed;
+  return record.proposed.value_or(TeamQuota{});
+}
 }  // namespace
 
 TeamQuota stricter_quota(const TeamQuota& a, const TeamQuota& b) {
   TeamQuota out;
   out.limit = {lower_limit(a.limit.cores, b.limit.cores), lower_limit(a.limit.accelerators, b.limit.accelerators), 0};
-  out.guarantee = {within(std::max(a.guarantee.cores, b.guarantee.cores), out.limit.cores),
-                   within(std::max(a.guarantee.accelerators, b.guarantee.accelerators), out.limit.accelerators), 0};
+  out.guarantee = {guarantee_within(std::max(a.guarantee.cores, b.guarantee.cores), out.limit.cores),
+                   guarantee_within(std::max(a.guarantee.accelerators, b.guarantee.accelerators), out.limit.accelerators), 0};
   return out;
 }
 
-QuotaAccounts::QuotaAccounts(const std::vector<Team>& of_settings) : teams_(of_settings) {
-  for (const auto& t : teams_) names_.intern(t.name);
+QuotaAccounts::QuotaAccounts(const std::vector<Team>& configured_teams) : teams_(configured_teams) {
+  for (const Team& team : teams_) names_.intern(team.name);
 }
 
 TeamIndex QuotaAccounts::find_or_add(std::string_view name) {
-  const TeamIndex team = names_.intern(name);
-  if (team.value < teams_.size()) return team;
-  teams_.emplace_back();
-  teams_.back().name = name;
-  teams_.back().lacks_quota = true;
-  return team;
+  const TeamIndex index = names_.intern(name);
+  if (index.value < teams_.size()) return index;
+  Team& team = teams_.emplace_back();
+  team.name = name;
+  team.lacks_quota = true;
+  return index;
 }
 
 void QuotaAccounts::apply_record(const TeamQuotaRecord& record) {
@@ -39,40 +49,39 @@
   Team& team = teams_[find_or_add(record.name).value];
   team.record = record;
   team.lacks_quota = !record.agreed && !record.proposed;
-  const TeamQuota none;
-  const TeamQuota quota = record.agreed && record.proposed ? stricter_quota(*record.agreed, *record.proposed)
-                                                           : record.agreed.value_or(record.proposed.value_or(none));
+  const TeamQuota quota = quota_in_force(record);
   team.guarantee = quota.guarantee;
   team.limit = quota.limit;
 }
 
-bool QuotaAccounts::accepts_jobs(TeamIndex team) const {
-  const Team& t = teams_[team.value];
-  return !t.lacks_quota && (agreed_ ? t.record && !t.record->leaving : true);
+bool QuotaAccounts::accepts_jobs(TeamIndex index) const {
+  const Team& team = teams_[index.value];
+  if (team.lacks_quota) return false;
+  return !agreed_ || (team.record && !team.record->leaving);
 }
 
 void QuotaAccounts::raise_usage(TeamIndex team, const Resources& used) {
-  Resources& now = teams_[team.value].used;
-  now.cores = std::max(now.cores, used.cores);
-  now.accelerators = std::max(now.accelerators, used.accelerators);
+  Resources& account = teams_[team.value].used;
+  account.cores = std::max(account.cores, used.cores);
+  account.accelerators = std::max(account.accelerators, used.accelerators);
 }
 
 void QuotaAccounts::clear_unplaced() {
-  for (auto& t : teams_) t.unplaced = {};
+  for (Team& team : teams_) team.unplaced = {};
 }
 
-Resources QuotaAccounts::headroom(TeamIndex team, double unlimited) const {
-  const Team& t = teams_[team.value];
-  // Below nothing: also a task that needs none of what is limited does not fit.
-  if (t.lacks_quota) return {-1, -1, -1};
-  const auto of = [&](double limit, double used) { return limit > 0 ? limit - used : unlimited; };
-  return {of(t.limit.cores, t.used.cores + t.unplaced.cores), of(t.limit.accelerators, t.used.accelerators + t.unplaced.accelerators),
-          unlimited};
+Resources QuotaAccounts::headroom(TeamIndex index, double unlimited) const {
+  const Team& team = teams_[index.value];
+  // Less than nothing, so that not even a task without demand fits.
+  if (team.lacks_quota) return {-1, -1, -1};
+  const Resources used = team.used + team.unplaced;
+  const auto remaining = [&](double limit, double amount_used) { return limit > 0 ? limit - amount_used : unlimited; };
+  return {remaining(team.limit.cores, used.cores), remaining(team.limit.accelerators, used.accelerators), unlimited};
 }
 
 std::optional<std::string> QuotaAccounts::changing_team() const {
-  for (const auto& t : teams_)
-    if (t.record && (t.record->proposed || t.record->leaving)) return t.name;
+  for (const Team& team : teams_)
+    if (team.record && (team.record->proposed || team.record->leaving)) return team.name;
   return std::nullopt;
 }
 
--- a/src/cluster_state/quota_agreement.cpp
+++ b/src/cluster_state/quota_agreement.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <bit>
 #include <set>
-#include <string_view>
+#include <utility>
 
 #include "model/identifiers.hpp"
 #include "model/ledger_records.hpp"
@@ -15,83 +15,99 @@
   std::uint64_t digest = 1;
   for (const auto& [name, quota] : file) {
     digest = digest_with(digest, digest_of_text(name));
-    for (const double v : {quota.guarantee.cores, quota.guarantee.accelerators, quota.limit.cores, quota.limit.accelerators})
-      digest = digest_with(digest, std::bit_cast<std::uint64_t>(v));
+    for (const double amount : {quota.guarantee.cores, quota.guarantee.accelerators, quota.limit.cores, quota.limit.accelerators})
+      digest = digest_with(digest, std::bit_cast<std::uint64_t>(amount));
   }
   return digest == 0 ? 1 : digest;
 }
 
 namespace {
 
-// What the controllers' files say of one team.
-struct Said {
-  bool all_known = true, all_same = true;
-  std::vector<std::optional<TeamQuota>> known;
+// What the known settings files say of one team.
+struct KnownQuotas {
+  bool all_files_known = true;
+  bool all_same = true;
+  std::vector<std::optional<TeamQuota>> quotas;  // one per known file; nullopt: the file is without the team
 };
 
-Said said_of(const std::string& team, const std::map<std::string, std::optional<TeamQuotas>>& files) {
-  Said out;
+KnownQuotas known_quotas(const std::string& team, const std::map<std::string, std::optional<TeamQuotas>>& files) {
+  KnownQuotas known;
   for (const auto& [label, file] : files) {
     if (!file) {
-      out.all_known = false;
+      known.all_files_known = false;
       continue;
     }
     const auto it = file->find(team);
-    out.known.push_back(it == file->end() ? std::nullopt : std::optional(it->second));
+    known.quotas.push_back(it == file->end() ? std::nullopt : std::optional(it->second));
   }
-  out.all_same = std::all_of(out.known.begin(), out.known.end(), [&](const auto& t) { return t == out.known.front(); });
-  return out;
+  known.all_same = std::all_of(known.quotas.begin(), known.quotas.end(), [&](const auto& quota) { return quota == known.quotas.front(); });
+  return known;
 }
 
-TeamQuotaRecord next_of(TeamQuotaRecord record, const Said& said) {
-  if (said.all_known && said.all_same && !said.known.empty()) {
-    record.proposed.reset();
-    if (const auto& quota = said.known.front()) {
-      record.agreed = quota;
-      record.leaving = false;
-    } else {
-      record.leaving = record.agreed.has_value();
-    }
-    return record;
+TeamQuotaRecord with_agreement(TeamQuotaRecord record, const std::optional<TeamQuota>& quota) {
+  record.proposed.reset();
+  if (quota) {
+    record.agreed = quota;
+    record.leaving = false;
+  } else {
+    record.leaving = record.agreed.has_value();
   }
+  return record;
+}
+
+TeamQuotaRecord next_record(TeamQuotaRecord record, const KnownQuotas& known) {
+  if (known.all_files_known && known.all_same && !known.quotas.empty()) return with_agreement(std::move(record), known.quotas.front());
   std::optional<TeamQuota> narrowed;
-  for (const auto& quota : said.known) {
+  for (const auto& quota : known.quotas) {
     if (!quota || quota == record.agreed) continue;
     narrowed = narrowed ? stricter_quota(*narrowed, *quota) : *quota;
   }
-  // A controller that can't be asked may still have what was proposed.
-  if (narrowed || said.all_known) record.proposed = narrowed;
+  // While some file is not known, it may still hold the quota that was proposed: that one stays.
+  if (narrowed || known.all_files_known) record.proposed = narrowed;
   return record;
 }
 
+std::set<std::string> all_team_names(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
+                                     const std::map<std::string, std::optional<TeamQuotas>>& files) {
+  std::set<std::string> names;
+  for (const auto& [name, quota] : own) names.insert(name);
+  for (const auto& [label, file] : files) {
+    if (!file) continue;
+    for (const auto& [name, quota] : *file) names.insert(name);
+  }
+  for (const Team& team : quota_accounts.teams())
+    if (team.record) names.insert(team.name);
+  return names;
+}
+
+// The ledger's record of the team; nullptr: it holds none.
+const TeamQuotaRecord* ledger_record(const QuotaAccounts& quota_accounts, const std::string& name) {
+  const TeamIndex team = quota_accounts.find(name);
+  if (!team.valid()) return nullptr;
+  const auto& record = quota_accounts.team(team).record;
+  return record ? &*record : nullptr;
+}
+
 }  // namespace
 
 std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
                                                 const std::map<std::string, std::optional<TeamQuotas>>& files) {
-  std::set<std::string> names;
-  for (const auto& [name, quota] : own) names.insert(name);
-  for (const auto& [label, file] : files)
-    if (file)
-      for (const auto& [name, quota] : *file) names.insert(name);
-  for (const auto& t : quota_accounts.teams())
-    if (t.record) names.insert(t.name);
-  std::vector<TeamQuotaRecord> out;
-  for (const auto& name : names) {
+  std::vector<TeamQuotaRecord> records;
+  for (const auto& name : all_team_names(quota_accounts, own, files)) {
     TeamQuotaRecord before;
     before.name = name;
-    const TeamIndex t = quota_accounts.find(name);
-    const bool recorded = t.valid() && quota_accounts.team(t).record;
+    const TeamQuotaRecord* recorded = ledger_record(quota_accounts, name);
     if (recorded) {
-      before = *quota_accounts.team(t).record;
+      before = *recorded;
     } else if (!quota_accounts.agreed()) {
-      // Nothing is in the ledger yet: what this leader decided by so far.
+      // The ledger holds no quotas yet: so far the leader's own file was in force.
       if (const auto it = own.find(name); it != own.end()) before.agreed = it->second;
     }
-    auto after = next_of(before, said_of(name, files));
+    TeamQuotaRecord after = next_record(before, known_quotas(name, files));
     if (!recorded && !after.agreed && !after.proposed) continue;
-    if (!recorded || after != before) out.push_back(std::move(after));
+    if (!recorded || after != before) records.push_back(std::move(after));
   }
-  return out;
+  return records;
 }
 
 }  // namespace thistlefront
--- a/src/cluster_state/quota_agreement.hpp
+++ b/src/cluster_state/quota_agreement.hpp
@@ -1,5 +1,5 @@
-// Teams by agreement: which terms of teams come into force when controllers' settings files differ. Each team
-// for itself. Pure; the leader asks it, and what comes out goes into the ledger.
+// Which team quotas come into force when the controllers' settings files differ. Each team is decided by itself. The leader
+// asks before it writes team quota records to the ledger. Pure.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,17 +12,16 @@
 
 namespace thistlefront {
 
-// The teams of one controller's settings file.
+// The quotas in one controller's settings file, by team.
 using TeamQuotas = std::map<std::string, TeamQuota>;
-// Tells one file's teams from another's; never 0.
+// Differs between files with different quotas; never 0.
 std::uint64_t digest_of(const TeamQuotas& file);
 
-// The records that are to be written now. `files`: of every controller of the settings, by label; nullopt
-// where a file is not known (never seen, or changed and not heard of since). `own`: the leader's, whose terms
-// are in force at first.
+// The records to be written now. `files`: by label of every controller in the settings; nullopt where a file is not known
+// (never received, or changed and not received since). `own`: the leader's file, which is in force at first.
 //
-// All have the same terms for a team: they are in force. Some differ: what is in force holds, narrowed by
-// theirs. All are without the team: it takes no more jobs, and keeps its last terms for those that it has.
+// While all files give a team the same quota, that one is in force. While some differ, the quota in force stays, narrowed by
+// the different ones. A team that is in no file has no more jobs accepted, and keeps its last quota for those that it has.
 std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
                                                 const std::map<std::string, std::optional<TeamQuotas>>& files);
 
--- a/src/cluster_state/service_level_counters.cpp
+++ b/src/cluster_state/service_level_counters.cpp
@@ -1,5 +1,7 @@
 #include "cluster_state/service_level_counters.hpp"
 
+#include <variant>
+
 #include "model/identifiers.hpp"
 #include "model/job.hpp"
 #include "model/ledger_records.hpp"
@@ -7,59 +9,59 @@
 namespace thistlefront {
 
 namespace {
-// The job that a record is about; not valid for records of other kinds, and for a job that is not in the book.
-template <class Kind>
-JobIndex job_of(const Record& record, const ClusterState& cluster_state) {
-  const auto* r = std::get_if<Kind>(&record);
-  return r ? cluster_state.find(r->uid) : JobIndex{};
+// The job of a record of this kind; nullptr for records of other kinds, and for an unknown job.
+template <class RecordKind>
+const Job* find_job(const Record& record, const ClusterState& cluster_state) {
+  const auto* typed_record = std::get_if<RecordKind>(&record);
+  if (!typed_record) return nullptr;
+  const JobIndex job_index = cluster_state.find(typed_record->uid);
+  return job_index.valid() ? &cluster_state.job(job_index) : nullptr;
+}
+
+bool is_unstarted(const Job& job) {
+  return job.attempts == 0 && !job.ended();
 }
 }  // namespace
 
 void ServiceLevelCounters::before_apply(const Record& record, const ClusterState& cluster_state) {
-  if (const auto* accept = std::get_if<JobAcceptedRecord>(&record)) {
-    if (!cluster_state.find(accept->job.uid).valid()) ++counts_of(accept->job).accepted;
+  if (const auto* accepted = std::get_if<JobAcceptedRecord>(&record)) {
+    if (!cluster_state.find(accepted->job.uid).valid()) ++counts_of(accepted->job).accepted;
     return;
   }
-  if (const JobIndex j = job_of<TasksStartedRecord>(record, cluster_state); j.valid()) {
-    const Job& job = cluster_state.job(j);
-    if (job.attempts == 0 && !job.ended()) {
-      auto& f = counts_of(job.spec);
-      ++f.started;
-      if (cluster_state.is_large(job)) {
-        ++f.largest;
-        f.largest_in_time += std::get<TasksStartedRecord>(record).at - job.eligible_since <= kLargestStartTarget;
-      }
+  if (const Job* job = find_job<TasksStartedRecord>(record, cluster_state); job && is_unstarted(*job)) {
+    Counts& counts = counts_of(job->spec);
+    ++counts.started;
+    if (cluster_state.is_large(*job)) {
+      ++counts.largest;
+      counts.largest_in_time += std::get<TasksStartedRecord>(record).at - job->eligible_since <= kLargestStartTarget;
     }
   }
-  if (const JobIndex j = job_of<JobCancelledRecord>(record, cluster_state); j.valid()) {
-    const Job& job = cluster_state.job(j);
-    if (job.attempts == 0 && !job.ended()) ++counts_of(job.spec).withdrawn_unstarted;
-  }
+  if (const Job* job = find_job<JobCancelledRecord>(record, cluster_state); job && is_unstarted(*job))
+    ++counts_of(job->spec).withdrawn_unstarted;
   ending_.reset();
-  if (const JobIndex j = job_of<TasksCompletedRecord>(record, cluster_state); j.valid() && !cluster_state.job(j).ended()) {
-    const Job& job = cluster_state.job(j);
-    ending_ = Ending{key_of(job.spec), {}};
-    if (job.spec.deadline_s) ending_->deadline_at = job.accepted_at + *job.spec.deadline_s;
+  if (const Job* job = find_job<TasksCompletedRecord>(record, cluster_state); job && !job->ended()) {
+    ending_ = Ending{key_of(job->spec), {}};
+    if (job->spec.deadline_s) ending_->deadline_at = job->accepted_at + *job->spec.deadline_s;
   }
 }
 
 void ServiceLevelCounters::after_apply(const Record& record, const ClusterState& cluster_state, double wall) {
-  const JobIndex j = job_of<TasksCompletedRecord>(record, cluster_state);
-  if (!j.valid() || !ending_ || cluster_state.job(j).status != JobStatus::done) return;
-  auto& f = counts_[ending_->key];
-  ++f.done;
+  const Job* job = find_job<TasksCompletedRecord>(record, cluster_state);
+  if (!job || !ending_ || job->status != JobStatus::done) return;
+  Counts& counts = counts_[ending_->key];
+  ++counts.done;
   if (!ending_->deadline_at) return;
-  ++f.due;
-  f.in_time += wall <= *ending_->deadline_at;
+  ++counts.due;
+  counts.in_time += wall <= *ending_->deadline_at;
 }
 
 void ServiceLevelCounters::add_replica_time(const ClusterState& cluster_state, double seconds) {
-  for (JobIndex j : cluster_state.live()) {
-    const Job& job = cluster_state.job(j);
+  for (const JobIndex job_index : cluster_state.live()) {
+    const Job& job = cluster_state.job(job_index);
     if (job.ended() || job.spec.job_type != JobType::service) continue;
-    auto& f = counts_of(job.spec);
-    f.replica_s += seconds * static_cast<double>(job.tasks.size());
-    f.replica_up_s += seconds * job.running();
+    Counts& counts = counts_of(job.spec);
+    counts.replica_s += seconds * static_cast<double>(job.tasks.size());
+    counts.replica_up_s += seconds * job.running();
   }
 }
 
--- a/src/cluster_state/service_level_counters.hpp
+++ b/src/cluster_state/service_level_counters.hpp
@@ -1,5 +1,5 @@
-// What was served, by team and class: counted by a leader from the records that it wrote itself, so that the sum over all
-// controllers counts each job's steps once, whoever led. Pure. A controller's counts end with its process, as any counter's.
+// How well jobs were served, by team and job class. A leader counts the records that it wrote itself, so that the sum over
+// all controllers counts each event once, whoever led. The counts start at 0 with each process, as those of any metric. Pure.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -17,25 +17,30 @@
 class ServiceLevelCounters {
  public:
   struct Counts {
-    std::uint64_t accepted = 0, started = 0;  // jobs; started: its first task, or its gang
+    std::uint64_t accepted = 0;  // jobs, as all counts up to `largest_in_time`
+    std::uint64_t started = 0;   // their first task, or their gang
     std::uint64_t done = 0;
-    std::uint64_t due = 0, in_time = 0;              // of those done: with a deadline, and by it
-    std::uint64_t withdrawn_unstarted = 0;           // their users gave up before anything ran
-    std::uint64_t largest = 0, largest_in_time = 0;  // of the started: its largest, and those that began soon enough
-    double replica_s = 0, replica_up_s = 0;          // of services: seconds asked for, and running
+    std::uint64_t due = 0;                  // of those done: with a deadline
+    std::uint64_t in_time = 0;              // of those due: done by the deadline
+    std::uint64_t withdrawn_unstarted = 0;  // cancelled by their users before anything ran
+    std::uint64_t largest = 0;              // of those started: among the largest of their class
+    std::uint64_t largest_in_time = 0;      // of the largest: started within kLargestStartTarget
+    double replica_s = 0;                   // of services: replica seconds asked for
+    double replica_up_s = 0;                // of services: replica seconds running
     friend bool operator==(const Counts&, const Counts&) = default;
   };
-  // Classes that `classes` does not name are counted together, as "other".
+  // Job classes that `classes` does not name are counted together, as "other".
   explicit ServiceLevelCounters(std::set<std::string> classes) : classes_(std::move(classes)) {}
   [[nodiscard]] std::string class_label(const std::string& job_class) const { return classes_.contains(job_class) ? job_class : "other"; }
 
-  // This record of its own is in the ledger; `book` is as it is before it is applied, and `wall` seconds.
+  // Call these two for each record that this leader wrote, once it is in the ledger: the first directly before the record is
+  // applied to `cluster_state`, the second directly after. `wall`: wall seconds.
   void before_apply(const Record& record, const ClusterState& cluster_state);
   void after_apply(const Record& record, const ClusterState& cluster_state, double wall);
-  // The services of the book for the seconds since the last look.
+  // Counts the replicas of all services for the `seconds` since the last call.
   void add_replica_time(const ClusterState& cluster_state, double seconds);
 
-  using Key = std::pair<std::string, std::string>;  // team, class
+  using Key = std::pair<std::string, std::string>;  // team, job class
   [[nodiscard]] const std::map<Key, Counts>& counts() const { return counts_; }
 
  private:
@@ -44,7 +49,8 @@
 
   std::set<std::string> classes_;
   std::map<Key, Counts> counts_;
-  // The job that the record at hand may end: an ended one no longer says whose it was.
+
+  // What must be known of a job that the present record may end: an ended job no longer has its spec.
   struct Ending {
     Key key;
     std::optional<double> deadline_at;  // wall seconds
--- /dev/null
+++ b/src/cluster_state/usage_accounting.cpp
@@ -0,0 +1,72 @@
+// Checks of the team accounts against the placements, and the usage by tasks that agents report and that are placed nowhere.
+#include <algorithm>
+#include <cmath>
+
+#include "cluster_state/cluster_state.hpp"
+
+namespace thistlefront {
+
+namespace {
+constexpr double kRoundingSlack = 1e-3;  // sums of decimals drift
+
+bool differs(double a, double b) {
+  return std::abs(a - b) > kRoundingSlack;
+}
+
+bool is_on_node(const ReportedTask& task) {
+  return task.phase != TaskPhase::exited;
+}
+}  // namespace
+
+std::vector<Resources> ClusterState::recount() const {
+  std::vector<Resources> usage_by_team(quota_accounts_.teams().size());
+  for (const Job& job : jobs_)
+    for (std::size_t i = 0; i < job.placed.size(); ++i) usage_by_team[job.team.value] += job.spec.demand;
+  return usage_by_team;
+}
+
+std::vector<std::string> ClusterState::correct_accounts() {
+  std::vector<std::string> differing_teams;
+  const std::vector<Resources> counted = recount();
+  for (std::uint32_t i = 0; i < counted.size(); ++i) {
+    const TeamIndex team_index{i};
+    const Team& team = quota_accounts_.team(team_index);
+    if (differs(team.used.cores, counted[i].cores) || differs(team.used.accelerators, counted[i].accelerators))
+      differing_teams.push_back(team.name);
+    quota_accounts_.raise_usage(team_index, counted[i]);
+  }
+  return differing_teams;
+}
+
+void ClusterState::recount_unplaced() {
+  quota_accounts_.clear_unplaced();
+  for (std::uint32_t i = 0; i < nodes_.size(); ++i)
+    if (may_have_unplaced_tasks(nodes_[i])) charge_unplaced(NodeIndex{i});
+}
+
+// Spares the search task by task for nearly all nodes, on which every reported task is placed.
+bool ClusterState::may_have_unplaced_tasks(const Node& node) {
+  if (node.lease_expired || node.terminated || node.agent.tasks.empty()) return false;
+  const auto reported = std::count_if(node.agent.tasks.begin(), node.agent.tasks.end(), is_on_node);
+  // Tasks of an earlier incarnation, and tasks whose end is on its way into the ledger, are not on the node any more: counted
+  // here, they would hide as many unplaced ones.
+  const auto placed_and_seen = std::count_if(node.placed.begin(), node.placed.end(), [&](const PlacedTask& task) {
+    const Placement& placement = *task.placement;
+    return placement.reported && !placement.end_pending && placement.agent_incarnation == node.agent.incarnation &&
+           placement.phase != TaskPhase::exited;
+  });
+  return reported > placed_and_seen;
+}
+
+void ClusterState::charge_unplaced(NodeIndex node_index) {
+  for (const ReportedTask& task : nodes_[node_index.value].agent.tasks) {
+    if (!is_on_node(task) || !task.ref.job.valid()) continue;
+    // A task that is placed, here or on another node, is counted by its placement.
+    if (placement(task.ref)) continue;
+    // The demand of an ended job is not known any more.
+    const Job& job = jobs_[task.ref.job.value];
+    if (!job.tasks.empty()) quota_accounts_.add_unplaced(job.team, job.spec.demand);
+  }
+}
+
+}  // namespace thistlefront
