--- /dev/null
+++ b/src/ledger/ledger_keys.cpp
@@ -0,0 +1,20 @@
+#include "ledger/ledger_keys.hpp"
+
+#include <algorithm>
+
+namespace thistlefront {
+
+namespace {
+constexpr std::size_t kKeyDigits = 12;
+}  // namespace
+
+std::string entry_key(std::uint64_t number) {
+  const auto digits = std::to_string(number);
+  return kLedgerPrefix + std::string(kKeyDigits - std::min(kKeyDigits, digits.size()), '0') + digits;
+}
+
+std::uint64_t entry_number(const std::string& key) {
+  return std::stoull(key.substr(std::string(kLedgerPrefix).size()));
+}
+
+}  // namespace thistlefront
--- a/src/ledger/ledger_reader.cpp
+++ b/src/ledger/ledger_reader.cpp
@@ -14,63 +14,79 @@
 }
 
 bool LedgerReader::add_entry(EntryPage::Row row) {
-  std::uint64_t number = 0;
+  std::uint64_t key_number = 0;
   try {
-    number = entry_number(row.key);
+    key_number = entry_number(row.key);
   } catch (const std::exception&) {
     return fail(row.key, "not an entry's key");
   }
-  // First the level: what is written at one that this build does not have need not look right to it.
-  if (row.entry.format_version < least_ || row.entry.format_version > most_)
-    return fail(row.key, "it is of state level " + std::to_string(row.entry.format_version) + ", and this build reads " +
-                             std::to_string(least_) + " to " + std::to_string(most_));
+  // The version comes first: an entry of one that this build doesn't know need not parse.
+  const auto version = row.entry.format_version;
+  if (version < least_version_ || version > most_version_)
+    return fail(row.key, "it is of state level " + std::to_string(version) + ", and this build reads " + std::to_string(least_version_) +
+                             " to " + std::to_string(most_version_));
   if (!row.error.empty()) return fail(row.key, row.error);
-  const auto n = reuses_keys(row.entry.format_version) ? row.entry.number : number;
-  pending_.push_back({n, {number, row.mod_revision}, std::move(row.entry)});
+  const auto number = reuses_keys(version) ? row.entry.number : key_number;
+  parsed_.push_back({number, {key_number, row.mod_revision}, std::move(row.entry)});
   return true;
 }
 
 bool LedgerReader::finish() {
-  std::sort(pending_.begin(), pending_.end(), [](const PendingEntry& a, const PendingEntry& b) { return a.number < b.number; });
-  // What the newest entry does not need is an earlier time's: read, it would bring back what is over.
-  const auto first = pending_.empty() ? 0 : pending_.back().entry.first_needed;
-  for (const auto& taken : pending_) {
-    if (taken.number < first) {
-      contents_.free.push_back(taken.slot);
-    } else if (!replay(taken)) {
+  std::sort(parsed_.begin(), parsed_.end(), [](const ParsedEntry& a, const ParsedEntry& b) { return a.number < b.number; });
+  // Entries before the first needed one are outdated: applied, they would bring back what is over.
+  const auto first_needed = parsed_.empty() ? 0 : parsed_.back().entry.first_needed;
+  for (const auto& parsed : parsed_) {
+    if (parsed.number < first_needed) {
+      contents_.stored.free_slots.push_back(parsed.slot);
+    } else if (!apply(parsed)) {
       return false;
     }
   }
-  pending_.clear();
+  parsed_.clear();
   return true;
 }
 
-bool LedgerReader::replay(const PendingEntry& taken) {
-  const auto& [n, slot, entry] = taken;
-  const auto key = entry_key(slot.number);
-  if (contents_.kept.contains(n)) return fail(key, "its number is another entry's");
-  if (has_checksums(entry.format_version) && entries_ > 0) {
-    // The first entry kept is linked to ones that are gone, and one behind an entry of level 1 to none.
-    if (entry.previous_link != contents_.link)
-      return fail(key, "it does not follow entry " + std::to_string(contents_.next - 1) +
-                           ": one between them is missing, or one before it is older");
-  }
-  for (const auto& record : entry.records) {
+bool LedgerReader::apply(const ParsedEntry& parsed) {
+  if (const auto reason = misplacement(parsed)) return fail(entry_key(parsed.slot.number), *reason);
+  apply_records(parsed);
+  update_contents(parsed);
+  ++applied_entries_;
+  return true;
+}
+
+// Why the entry can't stand behind those applied so far.
+std::optional<std::string> LedgerReader::misplacement(const ParsedEntry& parsed) const {
+  if (contents_.stored.slots.contains(parsed.number)) return "its number is another entry's";
+  // The first entry applied is linked to ones that are gone. One that follows an entry of version 1, which has no link, is
+  // linked to none.
+  if (!has_checksums(parsed.entry.format_version) || applied_entries_ == 0) return std::nullopt;
+  if (parsed.entry.previous_link == contents_.link) return std::nullopt;
+  return "it does not follow entry " + std::to_string(contents_.stored.next - 1) +
+         ": one between them is missing, or one before it is older";
+}
+
+void LedgerReader::apply_records(const ParsedEntry& parsed) {
+  auto& compactor = contents_.compactor;
+  for (const auto& record : parsed.entry.records) {
     cluster_state_.apply(record);
-    if (const auto fact = LedgerCompactor::singleton_of(record, cluster_state_)) contents_.compactor.record_first_entry(n, *fact);
+    if (const auto singleton = LedgerCompactor::singleton_of(record, cluster_state_))
+      compactor.record_first_entry(parsed.number, *singleton);
   }
-  for (; jobs_ < cluster_state_.job_count(); ++jobs_)
-    contents_.compactor.record_first_entry(n, JobIndex{static_cast<std::uint32_t>(jobs_)});
-  if (entries_ == 0) contents_.first = n;
-  if (entry.format_version != contents_.format_version) contents_.same_version_from = n;
+  for (; known_jobs_ < cluster_state_.job_count(); ++known_jobs_)
+    compactor.record_first_entry(parsed.number, JobIndex{static_cast<std::uint32_t>(known_jobs_)});
+}
+
+void LedgerReader::update_contents(const ParsedEntry& parsed) {
+  const auto& entry = parsed.entry;
+  auto& stored = contents_.stored;
+  if (applied_entries_ == 0) stored.first = parsed.number;
+  stored.next = parsed.number + 1;
+  stored.slots[parsed.number] = parsed.slot;
+  if (entry.format_version != contents_.format_version) contents_.same_version_from = parsed.number;
   contents_.format_version = entry.format_version;
   contents_.generation = entry.generation;
-  contents_.link = has_checksums(entry.format_version) ? link_of(entry.previous_link, n, entry.check) : 0;
+  contents_.link = has_checksums(entry.format_version) ? link_of(entry.previous_link, parsed.number, entry.check) : 0;
   contents_.seq = std::max(contents_.seq, entry.seq);
-  contents_.next = n + 1;
-  contents_.kept[n] = slot;
-  ++entries_;
-  return true;
 }
 
 }  // namespace thistlefront
--- a/src/ledger/ledger_writer.hpp
+++ b/src/ledger/ledger_writer.hpp
@@ -1,129 +1,91 @@
-// The ledger's end: what the next commit writes, and what is known of it afterwards. Pure; the ledger's
-// writer sends it.
+// The end of the ledger: prepares each commit, and keeps track of what is stored once it has been applied. Called by the
+// controller's ledger thread, under its lock, which sends the commits. Pure: no locks, no I/O.
 //
-// Entries have a number each. The newest is written anew with more records until it is full; then the next
-// one begins. From level 2 on, each tells its level and carries a check of its records and a link to all
-// entries before it. From level 4 on a new entry goes where one stood that is not needed any more, if there is such a key.
+// Entries are numbered. The newest one, while it is this writer's, is written again with more records until it is full; then the
+// next one begins. From format version 2 on each entry carries its version, a checksum of its records and a link to all entries
+// before it. From version 4 on a new entry reuses the key of one that isn't needed any more, if there is one.
 #pragma once
 #include <cstdint>
 #include <deque>
-#include <map>
 #include <string>
-#include <vector>
 
+#include "cluster_state/cluster_state.hpp"
+#include "ledger/entry_packer.hpp"
 #include "ledger/ledger_compactor.hpp"
+#include "ledger/ledger_contents.hpp"
+#include "ledger/ledger_keys.hpp"
+#include "ledger/pending_commit.hpp"
+#include "ledger/record_queue.hpp"
 #include "model/identifiers.hpp"
 #include "model/ledger_records.hpp"
 #include "protocol/messages.hpp"
 
 namespace thistlefront {
 
-// What one record may take where entries stay below this.
-std::size_t max_record_bytes(std::size_t value_bytes);
-
-inline constexpr const char* kLedgerPrefix = "ledger/";
-std::string entry_key(std::uint64_t n);
-// Throws std::exception where the key is none of an entry.
-std::uint64_t entry_number(const std::string& key);
-
-// A key of the ledger, by its number, with the revision of what stands there.
-struct LedgerSlot {
-  std::uint64_t number = 0, mod_revision = 0;
-};
-
-// A record on its way into the ledger.
-struct QueuedRecord {
-  Record record;
-  std::uint64_t ticket = 0;
-};
-
-// Whether an entry that is there is the one that was to be written. Its key and sequence number do not tell: the next leader
-// writes one with the same, where this one's was not carried out before it read the ledger.
+// Whether the value found at a key is the one that `put` was to write. The key and the sequence number don't tell: if this
+// leader's commit wasn't applied before the next one read the ledger, that one writes an entry with the same.
 bool is_as_written(const Put& put, const std::string& value);
 
-// Takes ends of tasks into an earlier record of the queue on ends of the same job, where nothing else about that job stands
-// behind it: nine in ten of the records that a busy ledger takes are ends of single tasks. Whether it did.
-bool merge_completions(std::deque<QueuedRecord>& queue, const Record& record);
-
 class LedgerWriter {
  public:
-  // What a reader found; entries of a level other than `level` are to be written anew.
-  struct Contents {
-    std::uint64_t first = 0, next = 0, seq = 0;
-    std::uint64_t same_version_from = 0;  // all entries from this one on are of the newest one's level
-    std::uint32_t format_version = 0;     // of the newest; 0: there is none
-    std::uint64_t generation = 0;
-    std::uint64_t link = 0;  // to all of them; 0 where the newest has none
-    LedgerCompactor compactor;
-    std::map<std::uint64_t, LedgerSlot> kept;  // by number of the entry
-    std::deque<LedgerSlot> free;               // of entries that are not needed any more
-  };
+  using Contents = LedgerContents;
+  using Limits = CommitLimits;
+  using PendingCommit = thistlefront::PendingCommit;
+
   LedgerWriter() = default;
+  // Goes on after what a reader found. Entries of a version other than `format_version` are to be written anew.
   LedgerWriter(Contents found, std::uint32_t format_version);
 
-  // Entries are written at this level from now on.
+  // Entries are written in this version from now on.
   void set_format_version(std::uint32_t format_version);
   [[nodiscard]] std::uint32_t format_version() const { return format_version_; }
-  // Some entries are of another level than the one that is written.
-  [[nodiscard]] bool has_old_entries() const { return first_ < same_version_from_ || (!free_.empty() && !reuses_keys(format_version_)); }
+  // Whether some stored entries are of another version than the one being written.
+  [[nodiscard]] bool has_old_entries() const;
   [[nodiscard]] std::uint64_t generation() const { return generation_; }
 
-  struct Limits {
-    std::size_t value_bytes = 0;                                   // an entry stays below
-    std::size_t max_puts = 0;                                      // entries in one transaction
-    std::size_t max_changes = 0;                                   // puts and removes in one transaction
-    double length_factor = LedgerCompactor::kDefaultLengthFactor;  // entries kept for each that the book would take
-  };
-  struct PendingCommit {
-    struct Entry {
-      std::uint64_t n = 0;
-      LedgerSlot slot;
-      std::string records;       // encoded, joined by commas
-      std::uint64_t digest = 0;  // of the records
-      std::uint64_t before = 0, link = 0;
-    };
-    std::vector<Entry> entries;
-    std::vector<LedgerCompactor::Item> rewrites;
-    std::vector<std::uint64_t> rewritten_in;
-    std::vector<QueuedRecord> batch;
-    std::vector<std::uint64_t> batch_entries;  // entries
-    std::vector<std::string> too_large;        // beginnings of records that fit into no entry
-    std::uint64_t seq = 0, first = 0;
-    std::vector<Condition> conditions;  // of the entries; the leader's own comes on top
-    std::vector<Put> puts;
-    std::vector<std::string> removes;
-    std::deque<LedgerSlot> free;  // afterwards
-    [[nodiscard]] std::size_t changes() const { return puts.size() + removes.size(); }
-  };
-  // Whether a job's description, and this list, fit into an entry now and when they are written anew; `value_bytes` as in
-  // Limits. What does not fit must not come into the ledger's queue.
-  [[nodiscard]] static bool fits_in_entry(const JobAcceptedRecord& accept, std::size_t value_bytes);
-  [[nodiscard]] static bool fits_in_entry(const MachineTypesRecord& machine_types, std::size_t value_bytes);
-  // What goes next: some of what is to be written anew, then as much of the queue as fits, which is taken off
-  // it. No puts: there is nothing to write.
+  // Whether the record fits into an entry, now and when it is written anew; `value_bytes` as in Limits. What doesn't fit must not
+  // come into the queue.
+  [[nodiscard]] static bool fits_in_entry(const JobAcceptedRecord& accept, std::size_t value_bytes) {
+    return thistlefront::fits_in_entry(accept, value_bytes);
+  }
+  [[nodiscard]] static bool fits_in_entry(const MachineTypesRecord& machine_types, std::size_t value_bytes) {
+    return thistlefront::fits_in_entry(machine_types, value_bytes);
+  }
+
+  // Prepares the next commit: first some of what is to be written anew, then as much of the queue as fits, which is taken off it.
+  // Nothing to write: the commit has no changes.
   PendingCommit prepare_commit(const ClusterState& cluster_state, std::deque<QueuedRecord>& queue, const Limits& limits) const;
-  // It is in the ledger; `stamp` is its revision. The batch's records are still to be applied to the book.
-  void record_committed(const PendingCommit& prepare_commit, std::uint64_t mod_revision);
-  // A record of the batch made a job known, or is a fact.
+  // The commit is in the ledger, at this revision. The batch's records are still to be applied to the cluster state.
+  void record_committed(const PendingCommit& commit, std::uint64_t mod_revision);
+  // A record of the batch made a job known, or is a singleton; see LedgerCompactor.
   void record_first_entry(std::uint64_t entry, JobIndex job) { compactor_.record_first_entry(entry, job); }
 
  private:
-  // Which of the oldest entries go, and where the new ones stand; `puts`: entries that are written.
-  void shorten(PendingCommit& out, std::uint64_t below, std::size_t puts, const Limits& limits) const;
+  // The newest entry, if this writer may write it again.
+  struct OpenEntry {
+    std::uint64_t mod_revision = 0;  // 0: there is none, the next commit begins an entry
+    std::string records;
+    std::uint64_t digest = 0;
+    std::uint64_t link = 0;
+  };
+  [[nodiscard]] bool has_open_entry() const { return open_entry_.mod_revision != 0; }
+  [[nodiscard]] PendingCommit begin_commit() const;
+  void pack_rewrites(PendingCommit& commit, EntryPacker& packer, const ClusterState& cluster_state, const Limits& limits) const;
+  static void pack_queue(PendingCommit& commit, EntryPacker& packer, std::deque<QueuedRecord>& queue);
+  void drop_unchanged_entry(PendingCommit& commit) const;
+  [[nodiscard]] EntryHead entry_head(const PendingCommit& commit) const;
+  void link_entries(PendingCommit& commit) const;
+  void add_conditions(PendingCommit& commit) const;
+  void add_puts(PendingCommit& commit) const;
 
   std::uint32_t format_version_ = 1;
   std::uint64_t generation_ = 0;
-  std::uint64_t first_ = 0, next_ = 0;  // the oldest entry kept, and the number after the newest
   std::uint64_t seq_ = 0;
-  std::uint64_t same_version_from_ = 0;
-  std::uint64_t newest_mod_revision_ = 0;  // of the newest entry, where it is this writer's and may be written anew
-  std::string newest_records_;             // its records
-  std::uint64_t newest_digest_ = 0;
-  std::uint64_t before_ = 0;  // link to what stands before the newest, or before the next where that is closed
-  std::uint64_t newest_link_ = 0;
+  std::uint64_t same_version_from_ = 0;  // all entries from this one on are of format_version_
+  StoredEntries stored_;
+  OpenEntry open_entry_;
+  std::uint64_t previous_link_ = 0;  // to all entries before the open one, or to all if there is none
   LedgerCompactor compactor_;
-  std::map<std::uint64_t, LedgerSlot> kept_;
-  std::deque<LedgerSlot> free_;
 };
 
 }  // namespace thistlefront
--- /dev/null
+++ b/src/ledger/rewrite_packer.hpp
@@ -0,0 +1,40 @@
+// Packs what the compactor wants written anew into a commit. Ended jobs, which are most of them, share records.
+// Called by LedgerWriter for each commit. Pure: no locks, no I/O.
+#pragma once
+#include <cstdint>
+
+#include "ledger/entry_packer.hpp"
+#include "ledger/pending_commit.hpp"
+#include "model/ledger_records.hpp"
+
+namespace thistlefront {
+
+class RewritePacker {
+ public:
+  // `record_bytes`: about what one record may take. `packer` and `commit` outlive this.
+  RewritePacker(EntryPacker& packer, PendingCommit& commit, std::uint32_t format_version, std::size_t value_bytes,
+                std::size_t record_bytes);
+  // Packs `commit.rewrites`, ended jobs first, until the commit is full, and fills `commit.rewrite_entries`.
+  void pack();
+
+ private:
+  // Ended jobs of one status, collected into one record.
+  struct EndedJobs {
+    JobsEndedRecord record;
+    std::size_t bytes = 0;
+  };
+  void add_ended_job(const JobsEndedRecord& job);
+  void flush(EndedJobs& ended);
+  [[nodiscard]] bool is_storable(const Record& record) const;
+
+  EntryPacker& packer_;
+  PendingCommit& commit_;
+  std::uint32_t format_version_;
+  std::size_t value_bytes_;
+  std::size_t max_ended_bytes_;
+  EndedJobs done_{{JobStatus::done, {}}};
+  EndedJobs cancelled_{{JobStatus::cancelled, {}}};
+  bool all_ended_fit_ = true;
+};
+
+}  // namespace thistlefront
--- a/src/ledger/write_rate_limiter.hpp
+++ b/src/ledger/write_rate_limiter.hpp
@@ -1,5 +1,6 @@
-// How many changes the ledger's writer may make, so that the state service never refuses one: a bucket that
-// fills with time, part of which is kept for records that users wait for. Pure.
+// Limits the rate of the leader's changes to the key-value store, so that the store never refuses one: a token bucket, part of
+// which is kept for records that users wait for. Called by the controller, under its lock, before and after each transaction.
+// Pure: the caller tells the time.
 #pragma once
 #include <algorithm>
 
@@ -7,32 +8,40 @@
 
 class WriteRateLimiter {
  public:
-  // `allowed`: changes a second that the state service takes, of all who write to it.
-  explicit WriteRateLimiter(double allowed) : rate_(allowed * kShare), burst_(std::max(1.0, rate_ * kBurst)) {}
+  // `allowed`: changes a second that the store takes, of all who write to it.
+  explicit WriteRateLimiter(double allowed) : rate_(allowed * kLeaderShare), burst_(std::max(1.0, rate_ * kBurstSeconds)) {}
 
-  [[nodiscard]] double rate() const { return rate_; }  // changes a second
-  // How long a ledger is kept, in entries for each that the book itself would take, where an entry holds so many bytes: a
-  // longer one is read for longer by the next leader, a shorter one is written anew more often, which is dear where little
-  // may be written (kaubaalus next, 15 changes of 2 KiB a second: as much was written anew as came).
+  // Changes a second that the leader may make.
+  [[nodiscard]] double rate() const { return rate_; }
+  // How long a ledger is kept, in entries for each that the cluster state itself would take, if an entry holds so many bytes. A
+  // longer ledger takes the next leader longer to read. A shorter one is written anew more often, which is expensive where few
+  // writes are allowed: at 15 changes of 2 KiB a second, as much was written anew as came.
   [[nodiscard]] double length_factor(std::size_t entry_bytes) const {
-    return std::clamp(kLeastLog * kAmple / (rate_ * static_cast<double>(entry_bytes)), kLeastLog, kMostLog);
+    const double bytes_per_s = rate_ * static_cast<double>(entry_bytes);
+    return std::clamp(kMinLengthFactor * kAmpleBytesPerSecond / bytes_per_s, kMinLengthFactor, kMaxLengthFactor);
   }
-  // Seconds until a write may be made; 0: now. `now`: steady seconds.
+  // Seconds until a write may be made; 0: now. `now`: steady seconds. `for_users`: users wait for it, so that it may use the
+  // part of the bucket that is kept for them.
   double delay_s(double now, bool for_users) {
-    tokens_ = std::min(burst_, tokens_ + (now - at_) * rate_);
-    at_ = now;
-    const double enough = for_users ? 1 : std::max(1.0, burst_ * kUsersShare);
-    return std::max(0.0, (enough - tokens_) / rate_);
+    tokens_ = std::min(burst_, tokens_ + (now - updated_at_) * rate_);
+    updated_at_ = now;
+    const double needed = for_users ? 1 : std::max(1.0, burst_ * kUserShare);
+    return std::max(0.0, (needed - tokens_) / rate_);
   }
+  // So many changes are made now.
   void charge(double changes) { tokens_ -= changes; }
 
  private:
-  static constexpr double kAmple = 64 * 1024;  // bytes a second
-  static constexpr double kLeastLog = 2, kMostLog = 4;
-  static constexpr double kShare = 0.85;       // of the service's writes that the leader uses
-  static constexpr double kBurst = 0.7;        // seconds' worth of them that may be made at once
-  static constexpr double kUsersShare = 0.35;  // of those, kept for records that users wait for
-  double rate_, burst_, tokens_ = 0, at_ = 0;
+  static constexpr double kAmpleBytesPerSecond = 64 * 1024;  // at this rate or more the ledger is kept as short as it may be
+  static constexpr double kMinLengthFactor = 2, kMaxLengthFactor = 4;
+  static constexpr double kLeaderShare = 0.85;  // of the store's changes a second
+  static constexpr double kBurstSeconds = 0.7;  // the bucket holds the changes of so many seconds
+  static constexpr double kUserShare = 0.35;    // of the bucket, kept for records that users wait for
+
+  double rate_;            // changes a second
+  double burst_;           // changes that the full bucket allows at once
+  double tokens_ = 0;      // changes allowed now; below 0 after a transaction of several
+  double updated_at_ = 0;  // steady seconds
 };
 
 }  // namespace thistlefront
