--- a/src/transport/acceptor.cpp
+++ b/src/transport/acceptor.cpp
@@ -12,15 +12,16 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kClosing = 16;  // connections beyond the bound that may be closing at a time
+constexpr std::size_t kMaxClosing = 16;  // connections beyond the bound that may be closing at a time
+constexpr double kAcceptRetrySeconds = 0.02;
 }  // namespace
 
 void Acceptor::Connection::touch() {
-  active_.store(steady_now(), std::memory_order_relaxed);
+  active_at_.store(steady_now(), std::memory_order_relaxed);
 }
 
-Acceptor::Acceptor(const std::string& address, std::size_t most, Routine routine)
-    : listener_(listen_on(address)), most_(std::max<std::size_t>(most, 1)), routine_(std::move(routine)) {
+Acceptor::Acceptor(const std::string& address, std::size_t max_connections, Routine routine)
+    : listener_(listen_on(address)), max_connections_(std::max<std::size_t>(max_connections, 1)), routine_(std::move(routine)) {
   thread_ = std::jthread([this](std::stop_token stop) { accept_loop(stop); });
 }
 
@@ -37,49 +38,49 @@
   {
     std::lock_guard lock(mutex_);
     rest.swap(connections_);
-    by_standing_.clear();
+    by_eviction_rank_.clear();
   }
   for (auto& c : rest) {
     c->stop_.request_stop();
     c->stream.socket().shutdown();
   }
-  // Their routines use what the owner of this acceptor takes down next.
+  // Their routines use objects that the owner of this acceptor destroys next.
   for (auto& c : rest)
     while (!c->finished_.load()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-std::size_t Acceptor::open() {
+std::size_t Acceptor::open_connections() {
   std::lock_guard lock(mutex_);
   return connections_.size() - std::min(connections_.size(), ended_count_.load());
 }
 
-void Acceptor::sweep() {
+void Acceptor::remove_ended() {
   if (ended_count_.load() == 0) return;
-  std::vector<Connection*> over;
+  std::vector<Connection*> finished;
   {
     std::lock_guard lock(ended_mutex_);
-    // A thread names its connection first and lets go of it last: one that is in between is left for the next sweep.
-    const auto still_held = std::partition(ended_.begin(), ended_.end(), [](const Connection* c) { return !c->finished_.load(); });
-    over.assign(still_held, ended_.end());
-    ended_.erase(still_held, ended_.end());
+    // A thread lists its connection before it sets finished_: one in between is left for the next call.
+    const auto still_running = std::partition(ended_.begin(), ended_.end(), [](const Connection* c) { return !c->finished_.load(); });
+    finished.assign(still_running, ended_.end());
+    ended_.erase(still_running, ended_.end());
   }
   std::lock_guard lock(mutex_);
-  for (Connection* connection : over) {
-    by_standing_.erase({connection->filed_under_, connection});
-    connections_.erase(connection->place_);
+  for (Connection* connection : finished) {
+    by_eviction_rank_.erase({connection->indexed_rank_, connection});
+    connections_.erase(connection->position_);
   }
-  ended_count_ -= over.size();
+  ended_count_ -= finished.size();
 }
 
-void Acceptor::close_one() {
-  while (!by_standing_.empty()) {
-    const auto [filed, connection] = *by_standing_.begin();
-    by_standing_.erase(by_standing_.begin());
-    const auto now = connection->standing();
-    if (filed < now) {
-      // It was active since: it is filed under that, and the next one is looked at.
-      connection->filed_under_ = now;
-      by_standing_.insert({now, connection});
+void Acceptor::evict_one() {
+  while (!by_eviction_rank_.empty()) {
+    const auto [indexed_rank, connection] = *by_eviction_rank_.begin();
+    by_eviction_rank_.erase(by_eviction_rank_.begin());
+    const auto rank = connection->eviction_rank();
+    if (indexed_rank < rank) {
+      // It was active since it was indexed: it is indexed anew, and the next one is tried.
+      connection->indexed_rank_ = rank;
+      by_eviction_rank_.insert({rank, connection});
       continue;
     }
     connection->stream.socket().shutdown();
@@ -93,7 +94,7 @@
   } catch (const std::exception& e) {
     spdlog::error("connection routine: {}", e.what());
   }
-  // The descriptor is closed when the owner sweeps; until then the peer must not wait for us.
+  // The descriptor is closed only when the accept loop removes the connection; until then the peer must not wait for us.
   connection.stream.socket().shutdown();
   {
     std::lock_guard lock(ended_mutex_);
@@ -107,20 +108,19 @@
   while (!stop.stop_requested()) {
     Socket s = accept_from(listener_);
     if (stop.stop_requested()) return;
-    sweep();
+    remove_ended();
     if (!s.open()) {
-      if (!pause_for(stop, 0.02)) return;
+      if (!pause_for(stop, kAcceptRetrySeconds)) return;
       continue;
     }
     std::lock_guard lock(mutex_);
-    // As many as may be closing at a time are: the newcomer goes.
-    if (connections_.size() >= most_ + kClosing) continue;
-    // Room for the newcomer comes from the connection that has said nothing for the longest time: a user's, before that of a
-    // worker that holds tasks.
-    if (connections_.size() >= most_) close_one();
+    // As many connections as allowed are closing already: the new one is refused.
+    if (connections_.size() >= max_connections_ + kMaxClosing) continue;
+    // A user's connection is closed before that of a worker that runs tasks.
+    if (connections_.size() >= max_connections_) evict_one();
     connections_.push_back(std::make_unique<Connection>(std::move(s)));
     Connection& connection = *connections_.back();
-    connection.place_ = std::prev(connections_.end());
+    connection.position_ = std::prev(connections_.end());
     connection.touch();
     try {
       std::thread([this, &connection] { run(connection); }).detach();
@@ -129,8 +129,8 @@
       connections_.pop_back();
       continue;
     }
-    connection.filed_under_ = connection.standing();
-    by_standing_.insert({connection.filed_under_, &connection});
+    connection.indexed_rank_ = connection.eviction_rank();
+    by_eviction_rank_.insert({connection.indexed_rank_, &connection});
   }
 }
 
--- a/src/transport/acceptor.hpp
+++ b/src/transport/acceptor.hpp
@@ -1,5 +1,6 @@
-// Accepts connections and gives each its own thread. At the bound, the connection longest idle is closed, and of those that are
-// dear one only where there is no other. Accepting and ending a connection costs the same however many are open.
+// Accepts TCP connections and runs each in a thread of its own. At the bound the connection idle for the longest time is closed
+// to make room; one marked evict_last only if there is no other. Accepting or ending a connection costs O(log n) however many
+// are open. Used by HttpServer and FrameServer. The accept loop must never wait for a connection's thread.
 #pragma once
 #include <atomic>
 #include <functional>
@@ -18,63 +19,66 @@
 
 class Acceptor {
  public:
-  // A connection as its routine sees it; touch() marks activity.
+  // A connection as its routine sees it.
   class Connection {
    public:
     explicit Connection(Socket socket) : stream(std::move(socket)) {}
+    // Marks activity: the idle time begins again.
     void touch();
-    void evict_last(bool is) { evict_last_.store(is, std::memory_order_relaxed); }
+    // Whether other connections are to be closed before this one.
+    void set_evict_last(bool evict_last) { evict_last_.store(evict_last, std::memory_order_relaxed); }
     Stream stream;
 
    private:
     friend class Acceptor;
-    // Which connection goes first when there are too many: the smallest.
-    struct Standing {
+    // The connection with the smallest rank is closed first.
+    struct EvictionRank {
       bool evict_last = false;
-      double active = 0;  // steady seconds
-      auto operator<=>(const Standing&) const = default;
+      double active_at = 0;  // steady seconds
+      auto operator<=>(const EvictionRank&) const = default;
     };
-    [[nodiscard]] Standing standing() const {
-      return {evict_last_.load(std::memory_order_relaxed), active_.load(std::memory_order_relaxed)};
+    [[nodiscard]] EvictionRank eviction_rank() const {
+      return {evict_last_.load(std::memory_order_relaxed), active_at_.load(std::memory_order_relaxed)};
     }
-    Standing filed_under_;  // where it stands in by_standing_; used by the accept loop alone
-    std::list<std::unique_ptr<Connection>>::iterator place_;
-    std::atomic<double> active_{0};
+    EvictionRank indexed_rank_;  // its key in by_eviction_rank_; used by the accept loop alone
+    std::list<std::unique_ptr<Connection>>::iterator position_;
+    std::atomic<double> active_at_{0};
     std::atomic<bool> evict_last_{false};
     std::stop_source stop_;
-    // The last thing that its thread touches. The thread is detached, and is never waited for: a join in the accept loop did
-    // not return once in a while though the thread was gone, and nothing was accepted any more by a controller that led on
-    // (simulated machines, lienzo fleet: all leases over, no user answered, until the process ended).
+    // The last thing that its thread touches. The thread is detached and never joined: a join in the accept loop sometimes didn't
+    // return though the thread was gone, and the controller accepted no connection any more while it still led.
     std::atomic<bool> finished_{false};
   };
   using Routine = std::function<void(Connection&, std::stop_token)>;
 
-  Acceptor(const std::string& address, std::size_t most, Routine routine);
+  // Listens on `address` and accepts at once. Throws std::runtime_error if it can't listen.
+  Acceptor(const std::string& address, std::size_t max_connections, Routine routine);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
 
+  // Closes all connections and returns when their routines have ended.
   void stop();
-  // Connections that have a thread now.
-  [[nodiscard]] std::size_t open();
+  // Connections whose routines run.
+  [[nodiscard]] std::size_t open_connections();
 
  private:
-  using Filed = std::pair<Connection::Standing, Connection*>;
+  using RankedConnection = std::pair<Connection::EvictionRank, Connection*>;
   void accept_loop(std::stop_token stop);
   void run(Connection& connection);
   // Removes connections whose threads have ended.
-  void sweep();
-  // Closes the connection that goes first. Its thread ends by that; it is removed by a later sweep.
-  void close_one();
+  void remove_ended();
+  // Closes the connection with the smallest rank. That ends its thread, and a later remove_ended() removes it.
+  void evict_one();
 
   Socket listener_;
-  std::size_t most_;
+  std::size_t max_connections_;
   Routine routine_;
   std::mutex mutex_;
   std::list<std::unique_ptr<Connection>> connections_;
-  std::set<Filed> by_standing_;  // open ones; each is filed anew only when it comes to be the first
+  std::set<RankedConnection> by_eviction_rank_;  // open ones; a rank is brought up to date only when it is the smallest
   std::mutex ended_mutex_;
-  std::vector<Connection*> ended_;  // to be swept
+  std::vector<Connection*> ended_;  // to be removed
   std::atomic<std::size_t> ended_count_{0};
   std::jthread thread_;
 };
--- a/src/transport/connection_pool.cpp
+++ b/src/transport/connection_pool.cpp
@@ -15,7 +15,7 @@
   if (!client->connected() || by_address_.contains(address)) return;
   entries_.push_back({address, std::move(client)});
   by_address_.emplace(address, std::prev(entries_.end()));
-  if (entries_.size() <= most_) return;
+  if (entries_.size() <= max_connections_) return;
   by_address_.erase(entries_.front().address);
   entries_.pop_front();
 }
--- a/src/transport/connection_pool.hpp
+++ b/src/transport/connection_pool.hpp
@@ -1,5 +1,5 @@
-// Connections kept between calls, one for each address at most; over the bound the one longest unused is
-// closed.
+// Pool of idle HTTP connections, at most one for each address. Beyond the bound the least recently used one is closed. Not
+// thread-safe: each thread that calls workers owns a pool.
 #pragma once
 #include <list>
 #include <memory>
@@ -12,10 +12,12 @@
 
 class ConnectionPool {
  public:
-  explicit ConnectionPool(std::size_t most) : most_(most) {}
-  // The kept one, or a new one that is not connected yet.
+  explicit ConnectionPool(std::size_t max_connections) : max_connections_(max_connections) {}
+  // Takes the idle connection to this address out of the pool, or makes a new one that is not connected yet.
   std::unique_ptr<HttpClient> acquire(const std::string& address);
+  // Puts a connection back. It is closed if it is broken, or if one to this address is in the pool already.
   void release(const std::string& address, std::unique_ptr<HttpClient> client);
+  // Closes all idle connections.
   void clear();
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
@@ -24,8 +26,8 @@
     std::string address;
     std::unique_ptr<HttpClient> client;
   };
-  std::size_t most_;
-  std::list<Entry> entries_;  // longest unused first
+  std::size_t max_connections_;
+  std::list<Entry> entries_;  // least recently used first
   std::unordered_map<std::string, std::list<Entry>::iterator> by_address_;
 };
 
--- a/src/transport/frames.cpp
+++ b/src/transport/frames.cpp
@@ -8,16 +8,16 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kConnectTimeout = 0.5;  // between controllers; a silent one refuses nothing
+constexpr double kConnectTimeoutSeconds = 0.5;  // an unreachable controller does not refuse the connection
 constexpr std::size_t kHeaderBytes = 6;
-constexpr std::uint32_t kLengthCounts = 2;  // of the header: version and kind
-constexpr std::size_t kFirstRead = 2048;
+constexpr std::uint32_t kCountedHeaderBytes = 2;  // version and kind, which the length field counts
+constexpr std::size_t kFirstReadBytes = 2048;
 }  // namespace
 
-// Header and payload mostly come by one system call: a frame is asked for or answered before the next one is sent, so nothing
-// stands behind it.
+// Header and payload mostly come with one system call. Nothing can follow the frame in the buffer, since the peer sends the next
+// one only after the reply to this one.
 bool read_frame(Stream& stream, Frame& out, ErrorCode& ec) {
-  char first[kFirstRead];
+  char first[kFirstReadBytes];
   std::size_t got = 0;
   while (got < kHeaderBytes) {
     got += stream.read_some(boost::asio::buffer(first + got, sizeof first - got), ec);
@@ -27,27 +27,27 @@
   const auto length = in.integer<std::uint32_t>();
   const auto version = in.integer<std::uint8_t>();
   const auto kind = in.integer<std::uint8_t>();
-  const std::size_t payload = length < kLengthCounts ? 0 : length - kLengthCounts;
-  const std::size_t here = got - kHeaderBytes;
-  if (version != kFrameVersion || length < kLengthCounts || length > kMaxFrame || here > payload) {
+  const std::size_t payload = length < kCountedHeaderBytes ? 0 : length - kCountedHeaderBytes;
+  const std::size_t received = got - kHeaderBytes;
+  if (version != kFrameVersion || length < kCountedHeaderBytes || length > kMaxFrame || received > payload) {
     ec = boost::asio::error::invalid_argument;
     return false;
   }
   out.kind = kind;
   out.payload.resize(payload);
-  std::copy_n(first + kHeaderBytes, here, out.payload.begin());
-  return stream.read_exact(out.payload.data() + here, payload - here, ec);
+  std::copy_n(first + kHeaderBytes, received, out.payload.begin());
+  return stream.read_exact(out.payload.data() + received, payload - received, ec);
 }
 
 bool write_frame(Stream& stream, const Frame& frame, ErrorCode& ec) {
   Packer out;
-  out.integer(static_cast<std::uint32_t>(frame.payload.size() + 2)).integer(kFrameVersion).integer(frame.kind);
+  out.integer(static_cast<std::uint32_t>(frame.payload.size() + kCountedHeaderBytes)).integer(kFrameVersion).integer(frame.kind);
   std::string bytes = out.take() + frame.payload;
   return stream.write_all(bytes.data(), bytes.size(), ec);
 }
 
-FrameServer::FrameServer(const std::string& address, std::size_t most_connections, Handler handler)
-    : handler_(std::move(handler)), acceptor_(address, most_connections, [this](Acceptor::Connection& c, std::stop_token stop) {
+FrameServer::FrameServer(const std::string& address, std::size_t max_connections, Handler handler)
+    : handler_(std::move(handler)), acceptor_(address, max_connections, [this](Acceptor::Connection& c, std::stop_token stop) {
         Frame frame;
         ErrorCode ec;
         while (!stop.stop_requested() && read_frame(c.stream, frame, ec)) {
@@ -63,19 +63,19 @@
     std::lock_guard lock(mutex_);
     interrupts = interrupts_;
   }
-  auto tried = try_once(frame, deadline, interrupts);
-  if (tried.again) tried = try_once(frame, deadline, interrupts);
-  return std::move(tried.answer);
+  auto attempt = try_once(frame, deadline, interrupts);
+  if (attempt.retry) attempt = try_once(frame, deadline, interrupts);
+  return std::move(attempt.answer);
 }
 
-FramePool::Tried FramePool::try_once(const Frame& frame, double deadline, std::uint64_t interrupts) {
+FramePool::Attempt FramePool::try_once(const Frame& frame, double deadline, std::uint64_t interrupts) {
   std::unique_ptr<Stream> stream;
   {
     std::unique_lock lock(mutex_);
-    // Refused at once, 25 submissions a second met 683 refusals within a burst while the leader was a moment late.
+    // Waits rather than refuses: with refusals, a burst of 25 submissions a second met 683 of them while the leader was briefly late.
     freed_.wait_for(lock, std::chrono::duration<double>(std::max(0.0, deadline - steady_now())),
-                    [&] { return interrupts_ != interrupts || !idle_.empty() || open_ < most_; });
-    if (interrupts_ != interrupts || (idle_.empty() && open_ >= most_)) return {};
+                    [&] { return interrupts_ != interrupts || !idle_.empty() || open_ < max_connections_; });
+    if (interrupts_ != interrupts || (idle_.empty() && open_ >= max_connections_)) return {};
     if (!idle_.empty()) {
       stream = std::move(idle_.back());
       idle_.pop_back();
@@ -85,10 +85,10 @@
   }
   const bool reused = stream != nullptr;
   if (!stream) {
-    Socket s = connect_to(address_, std::clamp(deadline - steady_now(), 0.0, kConnectTimeout));
+    Socket s = connect_to(address_, std::clamp(deadline - steady_now(), 0.0, kConnectTimeoutSeconds));
     if (s.open()) stream = std::make_unique<Stream>(std::move(s));
   }
-  Tried out;
+  Attempt out;
   Frame answer;
   ErrorCode ec;
   bool ok = false;
@@ -103,16 +103,16 @@
   std::lock_guard lock(mutex_);
   if (stream) busy_.erase(stream.get());
   const bool interrupted = interrupts_ != interrupts;
-  // What was answered while this process stood still is as old as the question.
+  // A reply that came while this process was suspended may be outdated.
   if (ok && steady_now() <= deadline && !interrupted) out.answer = std::move(answer);
   if (ok && !interrupted) {
     idle_.push_back(std::move(stream));
     freed_.notify_one();
     return out;
   }
-  out.again = reused && !interrupted && ec != boost::asio::error::timed_out;
+  out.retry = reused && !interrupted && ec != boost::asio::error::timed_out;
   --open_;
-  // One broken connection means the others are of no use either: the peer restarted or a cut began.
+  // The other connections are broken as well: the peer has restarted, or the network is partitioned.
   open_ -= idle_.size();
   idle_.clear();
   freed_.notify_all();
--- a/src/transport/frames.hpp
+++ b/src/transport/frames.hpp
@@ -1,5 +1,5 @@
-// Frames between controllers: a fixed little-endian header, then the payload. One request at a time on a
-// connection; a pool of kept connections carries many at once.
+// Request and reply frames between controllers: a fixed little-endian header, then the payload. One request at a time on a
+// connection; a pool of connections carries many at once.
 #pragma once
 #include <condition_variable>
 #include <cstdint>
@@ -17,6 +17,7 @@
 
 namespace thistlefront {
 
+// One message. What the kinds mean is in protocol/peer_messages.hpp.
 struct Frame {
   std::uint8_t kind = 0;
   std::string payload;
@@ -26,6 +27,7 @@
 inline constexpr std::uint8_t kFrameVersion = 2;
 inline constexpr std::size_t kMaxFrame = 512 * 1024;
 
+// Both return false on failure, with the reason in `ec`. A malformed or oversized header is invalid_argument.
 bool read_frame(Stream& stream, Frame& out, ErrorCode& ec);
 bool write_frame(Stream& stream, const Frame& frame, ErrorCode& ec);
 
@@ -49,7 +51,8 @@
   std::string out_;
 };
 
-// Reads what Packer wrote; every read is checked against the bounds, and ok() tells whether all were inside.
+// Reads what Packer wrote. Every read is checked against the bounds: beyond them it returns 0 or an empty text, and ok() is false
+// from then on.
 class Unpacker {
  public:
   explicit Unpacker(std::string_view in) : in_(in) {}
@@ -75,6 +78,7 @@
     return s;
   }
   [[nodiscard]] bool ok() const { return ok_; }
+  // All was read, and nothing is left.
   [[nodiscard]] bool done() const { return ok_ && in_.empty(); }
 
  private:
@@ -82,42 +86,44 @@
   bool ok_ = true;
 };
 
-// Serves frames: one answer for each.
+// Answers each request frame with the handler's reply, one thread for each connection.
 class FrameServer {
  public:
   using Handler = std::function<Frame(const Frame&)>;
-  FrameServer(const std::string& address, std::size_t most_connections, Handler handler);
+  FrameServer(const std::string& address, std::size_t max_connections, Handler handler);
   void stop() { acceptor_.stop(); }
-  [[nodiscard]] std::size_t connections() { return acceptor_.open(); }
+  [[nodiscard]] std::size_t connections() { return acceptor_.open_connections(); }
 
  private:
   Handler handler_;
   Acceptor acceptor_;
 };
 
-// Kept connections to one peer. ask() takes an idle one or opens another, up to the bound, and waits for one beyond it.
+// Connections to one peer, shared by many threads.
 class FramePool {
  public:
-  FramePool(std::string address, std::size_t most) : address_(std::move(address)), most_(most) {}
+  FramePool(std::string address, std::size_t max_connections) : address_(std::move(address)), max_connections_(max_connections) {}
+  // Sends a request and waits for the reply, on an idle connection or on a new one; at the bound it waits for one to be free.
+  // Nothing if there is no reply within the time: the peer may have handled the request or not.
   std::optional<Frame> ask(const Frame& frame, double timeout_s);
-  // Ends all calls in progress without an answer: there is nothing to wait for there any more.
+  // Ends all calls in progress without a reply, because the caller knows that none will come. Later calls are not concerned.
   void interrupt();
 
  private:
-  struct Tried {
+  struct Attempt {
     std::optional<Frame> answer;
-    bool again = false;  // a kept connection had gone stale: another may do
+    bool retry = false;  // an idle connection was stale: a new one may work
   };
-  Tried try_once(const Frame& frame, double deadline, std::uint64_t interrupts);
+  Attempt try_once(const Frame& frame, double deadline, std::uint64_t interrupts);
 
   std::string address_;
-  std::size_t most_;
+  std::size_t max_connections_;
   std::mutex mutex_;
   std::condition_variable freed_;
-  std::size_t open_ = 0;
+  std::size_t open_ = 0;  // connections, idle and busy
   std::vector<std::unique_ptr<Stream>> idle_;
   std::set<Stream*> busy_;
-  std::uint64_t interrupts_ = 0;
+  std::uint64_t interrupts_ = 0;  // calls of interrupt() so far
 };
 
 }  // namespace thistlefront
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -11,24 +11,26 @@
 namespace http = boost::beast::http;
 
 namespace {
-constexpr std::size_t kMaxBody = 64 * 1024;
-constexpr std::size_t kMaxHeader = 8 * 1024;
-constexpr std::size_t kMaxAnswer = 64 * 1024 * 1024;  // watches and ledger pages have no small bound
-constexpr std::size_t kReadBuffer = 2048;
+constexpr std::size_t kMaxRequestBodyBytes = 64 * 1024;
+constexpr std::size_t kMaxRequestHeaderBytes = 8 * 1024;
+constexpr std::size_t kMaxResponseBodyBytes = 64 * 1024 * 1024;  // watches and pages of the ledger can be large
+constexpr std::size_t kReadBufferBytes = 2048;
+constexpr unsigned kHttp11 = 11;
+constexpr int kMaxAttempts = 2;  // the second one if a kept connection was stale
 }  // namespace
 
-HttpServer::HttpServer(const std::string& address, std::size_t most_connections, Handler handler)
+HttpServer::HttpServer(const std::string& address, std::size_t max_connections, Handler handler)
     : handler_(std::move(handler)),
-      acceptor_(address, most_connections, [this](Acceptor::Connection& c, std::stop_token stop) { serve(c, stop); }) {}
+      acceptor_(address, max_connections, [this](Acceptor::Connection& c, std::stop_token stop) { serve(c, stop); }) {}
 
 void HttpServer::serve(Acceptor::Connection& connection, std::stop_token stop) const {
   beast::flat_buffer buffer;
-  buffer.reserve(kReadBuffer);
+  buffer.reserve(kReadBufferBytes);
   std::any session;
   while (!stop.stop_requested()) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kMaxBody);
-    parser.header_limit(kMaxHeader);
+    parser.body_limit(kMaxRequestBodyBytes);
+    parser.header_limit(kMaxRequestHeaderBytes);
     ErrorCode ec;
     http::read(connection.stream, buffer, parser, ec);
     connection.touch();
@@ -47,9 +49,9 @@
       const auto method = request.method_string();
       const auto target = request.target();
       reply = handler_({{method.data(), method.size()}, {target.data(), target.size()}, request.body(), session});
-      connection.evict_last(reply.evict_last);
+      connection.set_evict_last(reply.evict_last);
     }
-    http::response<http::string_body> response(static_cast<http::status>(reply.status), 11);
+    http::response<http::string_body> response(static_cast<http::status>(reply.status), kHttp11);
     response.set(http::field::content_type, beast::string_view(reply.type.data(), reply.type.size()));
     if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
     response.body() = std::move(reply.body);
@@ -63,14 +65,14 @@
     }
     http::write(connection.stream, response, ec);
     if (ec || !response.keep_alive()) return;
-    if (buffer.capacity() > 4 * kReadBuffer && buffer.size() == 0) {
+    if (buffer.capacity() > 4 * kReadBufferBytes && buffer.size() == 0) {
       buffer.shrink_to_fit();
-      buffer.reserve(kReadBuffer);
+      buffer.reserve(kReadBufferBytes);
     }
   }
 }
 
-bool HttpClient::connect(double timeout_s, Late* late) {
+bool HttpClient::connect(double timeout_s, LateCallback* late) {
   Socket s = connect_to(address_, timeout_s, late);
   std::lock_guard lock(mutex_);
   if (!s.open() || aborted_) return false;
@@ -89,16 +91,17 @@
   if (stream_) stream_->socket().shutdown();
 }
 
-HttpResult HttpClient::call(std::string_view method, const std::string& target, const std::string& body, double timeout_s, Late* late) {
+HttpResult HttpClient::call(std::string_view method, const std::string& target, const std::string& body, double timeout_s,
+                            LateCallback* late) {
   const double deadline = steady_now() + timeout_s;
-  http::request<http::string_body> request(http::string_to_verb(beast::string_view(method.data(), method.size())), target, 11);
+  http::request<http::string_body> request(http::string_to_verb(beast::string_view(method.data(), method.size())), target, kHttp11);
   request.set(http::field::host, address_);
   if (!body.empty()) {
     request.set(http::field::content_type, "application/json");
     request.body() = body;
   }
   request.prepare_payload();
-  for (int round = 0; round < 2; ++round) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const bool reused = stream_ != nullptr;
     if (!reused && !connect(deadline - steady_now(), late)) return {};
     stream_->deadline(deadline, late);
@@ -106,7 +109,7 @@
     http::write(*stream_, request, ec);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaxAnswer);
+    parser.body_limit(kMaxResponseBodyBytes);
     if (!ec) http::read(*stream_, buffer, parser, ec);
     stream_->deadline(deadline);
     if (!ec) {
@@ -115,7 +118,7 @@
       return result;
     }
     disconnect();
-    // A kept connection that the other side had closed meanwhile: a request that only reads is sent anew.
+    // The other side may have closed a kept connection meanwhile. A request that only reads is safe to send again.
     if (reused && method == "GET" && ec != boost::asio::error::timed_out) continue;
     return {Delivery::in_doubt, 0, {}};
   }
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -19,16 +19,18 @@
 
 namespace {
 
+constexpr int kListenBacklog = 512;
+
 ErrorCode last_error() {
   return ErrorCode(errno, boost::system::system_category());
 }
 
-void no_delay(int fd) {
+void disable_nagle(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-bool fill(const std::string& address, sockaddr_in& out) {
+bool parse_address(const std::string& address, sockaddr_in& out) {
   auto parts = split_address(address);
   if (!parts) return false;
   std::memset(&out, 0, sizeof out);
@@ -37,19 +39,19 @@
   return ::inet_pton(AF_INET, parts->first.c_str(), &out.sin_addr) == 1;
 }
 
-int left_ms(double deadline) {
-  double left = deadline - steady_now();
-  return left <= 0 ? 0 : static_cast<int>(std::ceil(left * 1000.0));
+int remaining_ms(double deadline) {
+  const double remaining_s = deadline - steady_now();
+  return remaining_s <= 0 ? 0 : static_cast<int>(std::ceil(remaining_s * 1000.0));
 }
 
-// As poll(), until the deadline; tells on the way that it is late.
-int wait_until(int fd, short events, double deadline, Late* late) {
+// Polls one descriptor until the deadline and returns what poll() does. Calls `late` back on the way.
+int wait_until(int fd, short events, double deadline, LateCallback* late) {
   for (;;) {
-    const bool tells = late && late->then && late->at < deadline;
+    const bool calls_back = late && late->then && late->at < deadline;
     pollfd p{fd, events, 0};
-    const int n = ::poll(&p, 1, left_ms(tells ? late->at : deadline));
+    const int n = ::poll(&p, 1, remaining_ms(calls_back ? late->at : deadline));
     if (n < 0 && errno == EINTR) continue;
-    if (n != 0 || !tells) return n;
+    if (n != 0 || !calls_back) return n;
     std::exchange(late->then, nullptr)();
   }
 }
@@ -82,9 +84,9 @@
   return std::make_pair(host, port);
 }
 
-Socket connect_to(const std::string& address, double timeout_s, Late* late) {
+Socket connect_to(const std::string& address, double timeout_s, LateCallback* late) {
   sockaddr_in to{};
-  if (!fill(address, to)) return {};
+  if (!parse_address(address, to)) return {};
   Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   if (!s.open()) return {};
   if (::connect(s.fd(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) {
@@ -96,18 +98,18 @@
   }
   int flags = ::fcntl(s.fd(), F_GETFL, 0);
   ::fcntl(s.fd(), F_SETFL, flags & ~O_NONBLOCK);
-  no_delay(s.fd());
+  disable_nagle(s.fd());
   return s;
 }
 
 Socket listen_on(const std::string& address) {
   sockaddr_in at{};
-  if (!fill(address, at)) throw std::runtime_error("not an address: " + address);
+  if (!parse_address(address, at)) throw std::runtime_error("not an address: " + address);
   Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (!s.open()) throw std::runtime_error("socket: " + std::string(std::strerror(errno)));
   int on = 1;
   ::setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (::bind(s.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(s.fd(), 512) != 0) {
+  if (::bind(s.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(s.fd(), kListenBacklog) != 0) {
     throw std::runtime_error("cannot listen on " + address + ": " + std::strerror(errno));
   }
   return s;
@@ -118,7 +120,7 @@
   do {
     fd = ::accept4(listener.fd(), nullptr, nullptr, SOCK_CLOEXEC);
   } while (fd < 0 && (errno == EINTR || errno == ECONNABORTED));
-  if (fd >= 0) no_delay(fd);
+  if (fd >= 0) disable_nagle(fd);
   return Socket(fd);
 }
 
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -1,4 +1,5 @@
-// Blocking TCP sockets: RAII descriptor, connect with a time limit, a stream that Beast can read and write.
+// Blocking TCP sockets over IPv4: an owned descriptor, connecting with a time limit, and a stream that Boost.Beast can read and
+// write. The base of HttpClient, HttpServer and the frames between controllers.
 #pragma once
 #include <poll.h>
 #include <sys/socket.h>
@@ -17,6 +18,7 @@
 
 using ErrorCode = boost::system::error_code;
 
+// Owns a socket's descriptor.
 class Socket {
  public:
   Socket() = default;
@@ -44,28 +46,31 @@
   int fd_ = -1;
 };
 
-// What is done, once, when a call is not over at this moment; it goes on all the same.
-struct Late {
+// Called once, from the calling thread, if a call is still waiting at the given time. The call goes on all the same.
+struct LateCallback {
   double at = 0;  // steady seconds
   std::function<void()> then;
 };
+using Late = LateCallback;  // former name, for callers not renamed yet
 
-// "1.2.3.4:80" split at the colon; empty when it is not of that form.
+// Splits "1.2.3.4:80" into host and port; nothing if it is not of that form.
 std::optional<std::pair<std::string, std::uint16_t>> split_address(const std::string& address);
-// Connects within the time limit; a socket that is not open on failure.
-Socket connect_to(const std::string& address, double timeout_s, Late* late = nullptr);
+// Connects within the time limit. On failure the socket returned is not open.
+Socket connect_to(const std::string& address, double timeout_s, LateCallback* late = nullptr);
 // Listens with a deep backlog; throws std::runtime_error with the reason.
 Socket listen_on(const std::string& address);
-// Blocks for the next connection; not open when the listener was shut down or a descriptor could not be had.
+// Waits for the next connection. Not open if the listener was shut down, or if there is no descriptor left.
 Socket accept_from(const Socket& listener);
 
-// A synchronous stream over a socket. With a deadline set, a read that would pass it fails with timed_out.
+// A synchronous stream over a socket, with the members that Boost.Beast requires. With a deadline, a read or write that would
+// pass it fails with timed_out.
 class Stream {
  public:
   Stream() = default;
   explicit Stream(Socket socket) : socket_(std::move(socket)) {}
 
-  void deadline(std::optional<double> steady_s, Late* late = nullptr) {
+  // Sets the deadline of the reads and writes that follow; nothing: none.
+  void deadline(std::optional<double> steady_s, LateCallback* late = nullptr) {
     deadline_ = steady_s;
     late_ = late;
   }
@@ -93,10 +98,10 @@
   }
   template <class Buffers>
   std::size_t write_some(const Buffers& buffers, ErrorCode& ec) {
-    iovec parts[16];
+    iovec parts[kMaxParts];
     int count = 0;
     const auto end = boost::asio::buffer_sequence_end(buffers);
-    for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count < 16; ++it) {
+    for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count < kMaxParts; ++it) {
       boost::asio::const_buffer b(*it);
       if (b.size() == 0) continue;
       parts[count++] = {const_cast<void*>(b.data()), b.size()};
@@ -111,17 +116,19 @@
     return n;
   }
 
+  // Read or write all of it; false on failure, with the reason in `ec`.
   bool read_exact(void* data, std::size_t size, ErrorCode& ec);
   bool write_all(const void* data, std::size_t size, ErrorCode& ec);
 
  private:
+  static constexpr int kMaxParts = 16;  // buffers written with one system call
   std::size_t read_raw(void* data, std::size_t size, ErrorCode& ec);
   std::size_t write_raw(const iovec* parts, int count, ErrorCode& ec);
   bool wait_ready(short events, ErrorCode& ec) const;
 
   Socket socket_;
   std::optional<double> deadline_;
-  Late* late_ = nullptr;
+  LateCallback* late_ = nullptr;
 };
 
 }  // namespace thistlefront
--- a/src/transport/threads.cpp
+++ b/src/transport/threads.cpp
@@ -10,45 +10,51 @@
 
 namespace thistlefront {
 
+namespace {
+constexpr int kTrimThresholdBytes = 512 * 1024;
+constexpr int kMmapThresholdBytes = 256 * 1024;
+[[maybe_unused]] constexpr std::size_t kStackBytes = 256 * 1024;  // sanitizers need the default
+}  // namespace
+
 void configure_process_memory() {
   mallopt(M_ARENA_MAX, 1);
-  mallopt(M_TRIM_THRESHOLD, 512 * 1024);
-  mallopt(M_MMAP_THRESHOLD, 256 * 1024);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
   pthread_attr_t attr;
   if (pthread_attr_init(&attr) != 0) return;
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-  pthread_attr_setstacksize(&attr, 256 * 1024);
+  pthread_attr_setstacksize(&attr, kStackBytes);
   pthread_setattr_default_np(&attr);
 #endif
   pthread_attr_destroy(&attr);
 }
 
 void run_at_once(const std::vector<std::function<void()>>& work) {
-  struct Left {
+  struct Unfinished {
     std::mutex mutex;
-    std::condition_variable none;
+    std::condition_variable all_done;
     std::size_t count;
-    void one_less() {
+    void count_down() {
       std::lock_guard lock(mutex);
-      if (--count == 0) none.notify_all();
+      if (--count == 0) all_done.notify_all();
     }
   };
-  const auto left = std::make_shared<Left>();
-  left->count = work.size();
-  for (const auto& one : work) {
+  const auto unfinished = std::make_shared<Unfinished>();
+  unfinished->count = work.size();
+  for (const auto& function : work) {
     try {
-      std::thread([&one, left] {
-        one();
-        left->one_less();
+      std::thread([&function, unfinished] {
+        function();
+        unfinished->count_down();
       }).detach();
     } catch (const std::system_error& e) {
       spdlog::error("no thread: {}", e.what());
-      one();
-      left->one_less();
+      function();
+      unfinished->count_down();
     }
   }
-  std::unique_lock lock(left->mutex);
-  left->none.wait(lock, [&] { return left->count == 0; });
+  std::unique_lock lock(unfinished->mutex);
+  unfinished->all_done.wait(lock, [&] { return unfinished->count == 0; });
 }
 
 }  // namespace thistlefront
--- a/src/transport/threads.hpp
+++ b/src/transport/threads.hpp
@@ -1,4 +1,5 @@
-// Thread settings that suit a small machine, and an interruptible sleep for long-lived duties.
+// Memory settings for a process with many threads on a small machine, an interruptible sleep for long-lived threads, and running
+// work in parallel.
 #pragma once
 #include <chrono>
 #include <condition_variable>
@@ -9,20 +10,20 @@
 
 namespace thistlefront {
 
-// Small default stacks and one malloc arena: a connection costs a thread, so its memory is kept low.
+// Sets small default stacks and a single malloc arena, since each connection costs a thread. Called once, at the process's start.
 void configure_process_memory();
 
-// Sleeps until the time is over or the duty is asked to stop; false when asked to stop.
+// Sleeps for the time given, or until a stop is requested; false if it was.
 inline bool pause_for(std::stop_token stop, double seconds) {
-  std::mutex m;
-  std::condition_variable_any cv;
-  std::unique_lock lock(m);
-  cv.wait_for(lock, stop, std::chrono::duration<double>(seconds), [] { return false; });
+  std::mutex mutex;
+  std::condition_variable_any never_notified;
+  std::unique_lock lock(mutex);
+  never_notified.wait_for(lock, stop, std::chrono::duration<double>(seconds), [] { return false; });
   return !stop.stop_requested();
 }
 
-// Runs all of it at the same time, each in a thread of its own, and returns when all of it is done; what gets no thread is run
-// here. The work is waited for, and not the threads: see Acceptor::Connection.
+// Runs all functions in parallel, each in a thread of its own, and returns when all have returned. One for which no thread can be
+// made runs in the calling thread. Waits for the functions and not for the end of their threads: see Acceptor::Connection.
 void run_at_once(const std::vector<std::function<void()>>& work);
 
 }  // namespace thistlefront
