--- /dev/null
+++ b/src/controller/cloud_timeout.hpp
@@ -0,0 +1,8 @@
+// The time limit of a request to the cloud.
+#pragma once
+
+namespace thistlefront {
+
+inline constexpr double kCloudTimeout_s = 5.0;
+
+}  // namespace thistlefront
--- /dev/null
+++ b/src/controller/command_sender.cpp
@@ -0,0 +1,193 @@
+#include "controller/command_sender.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+#include <system_error>
+
+#include "protocol/messages.hpp"
+#include "transport/clock.hpp"
+
+namespace thistlefront {
+
+namespace {
+constexpr double kCommandTimeout_s = 1.5;
+constexpr double kPauseAfterFailure_s = 1.5;
+constexpr std::size_t kSlots = 6;
+constexpr double kSlotPatience_s = 0.15;  // a node that takes longer to answer is waited for without a slot
+constexpr std::size_t kSlowShare = 4;     // one thread in so many may wait for slow nodes
+}  // namespace
+
+CommandSender::CommandSender(SharedState& shared, AgentMessages& agent_messages)
+    : shared_(shared),
+      agent_messages_(agent_messages),
+      queue_(std::max<std::size_t>(shared.config.budget.senders / kSlowShare, 1)),
+      connections_(shared.config.budget.worker_connections) {
+  shared_.on_step_down([this] {
+    queue_.clear();
+    connections_.clear();
+  });
+}
+
+void CommandSender::enqueue(NodeIndex node, bool announce) {
+  queue_.enqueue(node, announce, steady_now());
+  assign_slots();
+}
+
+void CommandSender::enqueue_for(const Job& job) {
+  std::set<NodeIndex> nodes;
+  for (const auto& [task, placement] : job.placed) nodes.insert(placement.node);
+  for (const NodeIndex node : nodes) enqueue(node);
+}
+
+void CommandSender::stop() {
+  for (auto& thread : threads_) thread.request_stop();
+  threads_.clear();
+}
+
+CommandSender::Load CommandSender::load() const {
+  const auto busy = threads_.size() - std::min(threads_.size(), idle_threads_);
+  return {threads_.size(), busy, connections_.size(), queue_.size()};
+}
+
+// Preempting for 58 starts at once kept a controller of half speed busy past the end of its lease: so only a few threads make
+// and read commands at a time, and the rest of them wait for slow nodes, or idle.
+void CommandSender::assign_slots() {
+  while (busy_slots_ < kSlots && assigned_slots_ < queue_.size() && queue_.has_ready()) {
+    if (idle_threads_ > assigned_slots_) {
+      slot_assigned_.notify_one();
+    } else if (!add_thread()) {
+      // All threads wait for slow nodes: the next one that is free goes on.
+      return;
+    }
+    ++busy_slots_;
+    ++assigned_slots_;
+  }
+}
+
+bool CommandSender::add_thread() {
+  if (threads_.size() >= shared_.config.budget.senders) return false;
+  try {
+    threads_.emplace_back([this](std::stop_token stop) { run(stop); });
+  } catch (const std::system_error& e) {
+    spdlog::error("command sender: no thread available: {}", e.what());
+    return false;
+  }
+  ++idle_threads_;
+  return true;
+}
+
+void CommandSender::run(std::stop_token stop) {
+  Lock lock(shared_.mutex);  // add_thread() counted this thread as idle
+  for (;;) {
+    slot_assigned_.wait(lock, stop, [&] { return assigned_slots_ > 0; });
+    if (stop.stop_requested()) return;
+    --assigned_slots_;
+    --idle_threads_;
+    bool has_slot = true;
+    serve(lock, stop, has_slot);
+    if (has_slot) --busy_slots_;
+    ++idle_threads_;
+    assign_slots();
+  }
+}
+
+void CommandSender::serve(Lock& lock, std::stop_token stop, bool& has_slot) {
+  while (!stop.stop_requested()) {
+    // Its slot was given up for a slow node: it goes on if there is another.
+    if (!has_slot && busy_slots_ >= kSlots) return;
+    const auto item = queue_.dequeue();
+    if (!item) return;
+    if (!has_slot) ++busy_slots_;
+    has_slot = true;
+    send(lock, *item, has_slot);
+  }
+}
+
+void CommandSender::send(Lock& lock, const CommandQueue::Item& item, bool& has_slot) {
+  const auto term = shared_.term_number;
+  if (!shared_.term || !shared_.term->cluster_state) return;
+  const auto request = make_request(item);
+  if (!request) {
+    queue_.complete(item.node);
+    return;
+  }
+  auto client = connections_.acquire(request->address);
+  if (request->has_start) shared_.term->cluster_state->node(item.node).commands.in_flight_token = request->fencing_token;
+  lock.unlock();
+  bool unanswered = false;
+  const auto report = post(*client, *request, has_slot, unanswered);
+  lock.lock();
+  if (!shared_.is_term(term)) return;
+  connections_.release(request->address, std::move(client));
+  record_outcome(*request, report.has_value(), unanswered);
+  if (report) apply_answer(lock, *request, *report);
+}
+
+std::optional<CommandSender::Request> CommandSender::make_request(const CommandQueue::Item& item) {
+  const Term& term = *shared_.term;
+  const Node& node = term.cluster_state->node(item.node);
+  if (node.terminated || node.address.empty()) return std::nullopt;
+  const auto commands = agent_messages_.due_commands(item.node);
+  if (commands.empty() && !(item.announce && shared_.may_decide())) return std::nullopt;
+  Request request;
+  request.node = item.node;
+  request.fencing_token = term.fencing_token;
+  request.address = node.address;
+  request.body = commands_body(term.fencing_token, std::max<std::uint64_t>(node.agent.incarnation, 1), commands);
+  request.has_start = std::any_of(commands.begin(), commands.end(), [](const Command& c) { return c.type == CommandType::run; });
+  return request;
+}
+
+std::optional<Heartbeat> CommandSender::post(HttpClient& client, const Request& request, bool& has_slot, bool& unanswered) {
+  Late give_up_slot{steady_now() + kSlotPatience_s, [&] {
+                      Lock lock(shared_.mutex);
+                      has_slot = false;
+                      --busy_slots_;
+                      assign_slots();
+                    }};
+  const auto result = client.post(kCommandsPath, request.body, kCommandTimeout_s, &give_up_slot);
+  unanswered = result.delivery == Delivery::in_doubt;
+  if (!result.is(200) && !result.is(409)) return std::nullopt;
+  try {
+    return parse_heartbeat(result.body);
+  } catch (const ProtocolError& e) {
+    spdlog::error("command sender: malformed answer from a worker: {}", e.what());
+    return std::nullopt;
+  }
+}
+
+void CommandSender::record_outcome(const Request& request, bool understood, bool unanswered) {
+  Term& term = *shared_.term;
+  Node& node = term.cluster_state->node(request.node);
+  node.commands.in_flight_token = 0;
+  if (request.has_start && unanswered) {
+    // It may be executed much later. Until the agent has seen a higher token, nothing is concluded there.
+    node.commands.uncertain_token = std::max(node.commands.uncertain_token, request.fencing_token);
+    shared_.request_pass();
+    spdlog::debug("node {}: start command unanswered", node.name);
+  }
+  node.commands.failing = !understood;
+  if (understood) {
+    term.commands_failing_since = 0;
+    queue_.complete(request.node);
+    return;
+  }
+  if (term.commands_failing_since == 0) term.commands_failing_since = steady_now();
+  queue_.back_off(request.node, steady_now() + kPauseAfterFailure_s);
+}
+
+void CommandSender::apply_answer(const Lock& lock, const Request& request, const Heartbeat& report) {
+  Term& term = *shared_.term;
+  if (report.fencing_token > term.fencing_token) {
+    shared_.step_down(lock, "a worker reports a higher fencing token");
+    return;
+  }
+  Node& node = term.cluster_state->node(request.node);
+  if (report.node != node.name) return;
+  node.agent.last_direct_contact_at = steady_now();
+  agent_messages_.apply(report, MessageKind::command_answer);
+}
+
+}  // namespace thistlefront
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -2,122 +2,146 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
+#include <any>
+#include <optional>
+#include <utility>
 
+#include "protocol/messages.hpp"
+#include "protocol/peer_messages.hpp"
 #include "transport/clock.hpp"
 #include "transport/threads.hpp"
 
 namespace thistlefront {
 
 namespace {
-std::uint64_t random_word() {
-  std::random_device device;
-  return (static_cast<std::uint64_t>(device()) << 31) ^ device();
+constexpr double kSleep_s = 3600;  // of the thread that waits for the process to be stopped
+
+HeartbeatCache& heartbeat_cache_of(std::any& session) {
+  if (!session.has_value()) session.emplace<HeartbeatCache>();
+  return std::any_cast<HeartbeatCache&>(session);
 }
 
-std::set<std::string> named_classes(const Settings& settings) {
-  std::set<std::string> out;
-  for (const auto& o : settings.objectives)
-    if (!o.job_class.empty()) out.insert(o.job_class);
-  return out;
+// The leader that heartbeats are relayed to, if it is another controller.
+std::optional<HeartbeatRelay::Lead> relay_target(SharedState& shared) {
+  Lock lock(shared.mutex);
+  FramePool* pool = shared.role == Role::follower ? shared.leader_pool() : nullptr;
+  if (!pool) return std::nullopt;
+  return HeartbeatRelay::Lead{pool, shared.known_leader.number, shared.known_leader.takeover_token};
 }
 
-TeamQuotas team_quotas(const Settings& settings) {
-  TeamQuotas out;
-  for (const auto& t : settings.teams) out[t.name] = {t.guarantee, t.limit};
-  return out;
+bool reaches_store(StoreClient& store) {
+  Rows rows;
+  return store.list(kLeadershipPrefix, rows) == StoreStatus::ok;
 }
 }  // namespace
 
-Controller::Controller(Settings settings, Options options)
-    : settings_(std::move(settings)),
-      options_(options),
-      budget_(split_resource_budget(options.threads, settings_.max_sockets, settings_.peers.size())),
-      incarnation_(random_word() >> 2),
-      team_quotas_(team_quotas(settings_)),
-      supported_versions_{rollout::kMinFormatVersion,
-                          options.max_readable_format_version,
-                          std::min(options.max_format_version, options.max_readable_format_version),
-                          incarnation_,
-                          rollout::kBuild,
-                          digest_of(team_quotas_)},
-      write_limiter_(settings_.state_write_rps),
-      random_(random_word()),
-      command_queue_(std::max<std::size_t>(budget_.senders / 4, 1)),
-      worker_connections_(budget_.worker_connections),
-      began_(steady_now()),
-      partition_lease_(max_partition_lease_s(settings_.cancel_s, settings_.lease_s), began_),
-      service_levels_(named_classes(settings_)),
-      relay_store_(settings_.store_address),
-      heartbeat_relay_(
-          settings_.label,
-          [this]() -> std::optional<HeartbeatRelay::Lead> {
-            Lock lock(mutex_);
-            FramePool* pool = role_ == Role::follower ? leader_pool() : nullptr;
-            if (!pool) return std::nullopt;
-            return HeartbeatRelay::Lead{pool, leads_known_, known_takeover_token_};
-          },
-          [this] {
-            Rows rows;
-            return relay_store_.list(kLeadershipPrefix, rows) == StoreStatus::ok;
-          }) {
-  follower_since_ = began_;
-  for (const auto& o : settings_.objectives)
-    if (o.kind == "wait") wait_aims_[o.job_class].push_back(o.within_s);
-  for (const auto& p : settings_.peers) {
-    links_.push_back(
-        {p, std::make_unique<FramePool>(p.address, ResourceBudget::kCallsToAPeer), std::make_unique<FramePool>(p.address, 1), {}, 0, 0, 0});
-  }
-}
+Controller::Controller(Settings settings, const Options& options)
+    : config_(make_controller_config(std::move(settings), options)),
+      shared_(config_),
+      metrics_(config_.settings),
+      commit_queue_(shared_, config_.settings.state_write_rps),
+      relay_store_(config_.settings.store_address),
+      relay_(config_.settings.label, [this] { return relay_target(shared_); }, [this] { return reaches_store(relay_store_); }),
+      agent_messages_(shared_, commit_queue_, metrics_),
+      commands_(shared_, agent_messages_),
+      recovery_(shared_, commit_queue_),
+      rollout_(shared_, commit_queue_, metrics_),
+      committer_(shared_, commit_queue_, recovery_, rollout_, metrics_),
+      scheduling_(shared_, commit_queue_, commands_, metrics_),
+      scale_out_(shared_),
+      releaser_(shared_, commit_queue_, agent_messages_),
+      service_monitor_(shared_, commit_queue_, metrics_),
+      cloud_(shared_, commit_queue_, commands_, scale_out_, releaser_, service_monitor_),
+      peer_monitor_(shared_),
+      election_(shared_, commit_queue_, recovery_, relay_, metrics_),
+      requests_(shared_, commit_queue_, commands_, metrics_),
+      heartbeats_(shared_, commit_queue_, agent_messages_, relay_, metrics_),
+      reporter_(shared_, commit_queue_, commands_, relay_, rollout_, metrics_) {}
 
 Controller::~Controller() = default;
 
 void Controller::run(std::stop_token stop) {
-  if (max_partition_lease_s(settings_.cancel_s, settings_.lease_s) <= 0)
-    spdlog::info("cancel_s, {} s, leaves no time beyond lease_s, {} s: no lease is renewed in a cut or in doubt", settings_.cancel_s,
-                 settings_.lease_s);
-  frame_server_ = std::make_unique<FrameServer>(settings_.peer_listen, budget_.peers, [this](const Frame& f) { return on_frame(f); });
-  http_server_ = std::make_unique<HttpServer>(settings_.client_listen, budget_.clients, [this](const HttpCall& c) { return on_http(c); });
-  duties_.emplace_back([this](std::stop_token st) { ledger_duty(st); });
-  duties_.emplace_back([this](std::stop_token st) { pass_duty(st); });
-  duties_.emplace_back([this](std::stop_token st) { cloud_duty(st); });
-  duties_.emplace_back([this](std::stop_token st) { rollout_duty(st); });
-  if (options_.relay_mode != RelayMode::off) duties_.emplace_back([this](std::stop_token st) { heartbeat_relay_.run(st); });
-  for (std::size_t i = 0; i < links_.size(); ++i) duties_.emplace_back([this, i](std::stop_token st) { peer_duty(st, i); });
-  duties_.emplace_back([this](std::stop_token st) { leadership_duty(st); });
-  spdlog::info("{} serves on {}, peers on {}", settings_.label, settings_.client_listen, settings_.peer_listen);
-  spdlog::info(
-      "at most {} of {} threads and {} of {} sockets: {} connections of users and workers, {} of controllers, "
-      "{} senders, {} connections to workers",
-      budget_.most_threads(), budget_.threads, budget_.most_sockets(), budget_.sockets, budget_.clients, budget_.peers, budget_.senders,
-      budget_.worker_connections);
-  while (pause_for(stop, 3600)) {
+  const auto& settings = config_.settings;
+  frame_server_ = std::make_unique<FrameServer>(settings.peer_listen, config_.budget.peers, [this](const Frame& f) { return on_frame(f); });
+  http_server_ = std::make_unique<HttpServer>(settings.client_listen, config_.budget.clients, [this](const HttpCall& c) { return on_http(c); });
+  start_duties();
+  log_configuration();
+  while (pause_for(stop, kSleep_s)) {
   }
-  spdlog::info("stopping");
-  for (auto& d : duties_) d.request_stop();
-  // The leadership duty gives its hold back, so that another controller takes over at once.
-  for (auto it = duties_.rbegin(); it != duties_.rend(); ++it) it->join();
+  spdlog::info("controller: stopping");
+  stop_duties();
   http_server_->stop();
   frame_server_->stop();
   {
-    Lock lock(mutex_);
-    step_down(lock, "stopping");
+    Lock lock(shared_.mutex);
+    shared_.step_down(lock, "stopping");
   }
-  for (auto& sender : senders_) sender.request_stop();
-  senders_.clear();
+  commands_.stop();
+}
+
+void Controller::start_duties() {
+  duties_.emplace_back([this](std::stop_token stop) { committer_.run(stop); });
+  duties_.emplace_back([this](std::stop_token stop) { scheduling_.run(stop); });
+  duties_.emplace_back([this](std::stop_token stop) { cloud_.run(stop); });
+  duties_.emplace_back([this](std::stop_token stop) { rollout_.run(stop); });
+  if (config_.options.relay_mode != RelayMode::off) duties_.emplace_back([this](std::stop_token stop) { relay_.run(stop); });
+  for (std::size_t peer = 0; peer < shared_.peers.size(); ++peer)
+    duties_.emplace_back([this, peer](std::stop_token stop) { peer_monitor_.run(stop, peer); });
+  duties_.emplace_back([this](std::stop_token stop) { election_.run(stop); });
 }
 
-HttpReply error_reply(unsigned status, std::string_view reason, int retry_after_s) {
-  return {status, error_body(reason), retry_after_s};
+// The election first: it gives the lease back, so that another controller takes over at once.
+void Controller::stop_duties() {
+  for (auto& duty : duties_) duty.request_stop();
+  for (auto it = duties_.rbegin(); it != duties_.rend(); ++it) it->join();
+}
+
+void Controller::log_configuration() const {
+  const auto& settings = config_.settings;
+  const auto& budget = config_.budget;
+  if (max_partition_lease_s(settings.cancel_s, settings.lease_s) <= 0)
+    spdlog::info(
+        "settings: cancel_s ({} s) does not exceed lease_s ({} s), no lease is renewed in a partition or while leadership is uncertain",
+        settings.cancel_s, settings.lease_s);
+  spdlog::info("controller {}: serving clients on {}, peers on {}", settings.label, settings.client_listen, settings.peer_listen);
+  spdlog::info(
+      "resource budget: at most {} of {} threads and {} of {} sockets: {} connections of users and workers, {} of controllers, "
+      "{} senders, {} connections to workers",
+      budget.most_threads(), budget.threads, budget.most_sockets(), budget.sockets, budget.clients, budget.peers, budget.senders,
+      budget.worker_connections);
+}
+
+HttpReply Controller::on_http(const HttpCall& call) {
+  const UserRoute route = route_of(call.method, call.target);
+  using Kind = UserRoute::Kind;
+  switch (route.kind) {
+    case Kind::unknown: return error_reply(404, "no such path");
+    case Kind::wrong_method: return error_reply(405, "wrong method");
+    case Kind::health: return requests_.health();
+    case Kind::metrics: return reporter_.report({http_server_->connections(), frame_server_->connections()});
+    case Kind::report: return heartbeats_.handle(call.body, heartbeat_cache_of(call.session));
+    default: return requests_.handle(route, call);
+  }
 }
 
-bool Controller::may_decide() const {
-  return role_ == Role::leading && !term_->hand_over && steady_now() < term_->valid_until;
+Frame Controller::on_frame(const Frame& frame) {
+  if (const auto heartbeat = unpack_peer_heartbeat(frame)) return pack(peer_monitor_.receive(*heartbeat));
+  if (frame.kind == static_cast<std::uint8_t>(PeerKind::heartbeat_batch)) return heartbeats_.handle_batch(frame);
+  if (const auto call = unpack_call(frame)) return on_peer_call(*call);
+  spdlog::error("peer: malformed frame, kind {}", frame.kind);
+  return pack(error_reply(400, "malformed frame"), steady_now());
 }
 
-void Controller::request_pass() {
-  pass_due_ = true;
-  pass_wanted_.notify_all();
+Frame Controller::on_peer_call(const PeerCall& call) {
+  // What an answer has left of its validity is counted from here, and by the controller that asked from before it did: so it is
+  // never more than it was, and what the ledger took is not taken off it.
+  const double received_at = steady_now();
+  if (call.target == kSupportedVersionsTarget) return pack(HttpReply{200, pack(config_.supported_versions)}, received_at);
+  if (call.target == kRelaySupportTarget) return pack(heartbeats_.accepts_batches(), received_at);
+  if (call.target == kTeamQuotasTarget) return pack(HttpReply{200, pack(config_.team_quotas)}, received_at);
+  const UserRoute route = route_of(call.method, call.target);
+  const bool is_heartbeat = route.kind == UserRoute::Kind::report;
+  return pack(is_heartbeat ? heartbeats_.handle_forwarded(call.body) : requests_.answer(route, call.body), received_at);
 }
 
 }  // namespace thistlefront
--- /dev/null
+++ b/src/controller/heartbeat_handler.cpp
@@ -0,0 +1,205 @@
+#include "controller/heartbeat_handler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "controller/leadership_conditions.hpp"
+#include "controller/user_answer.hpp"
+#include "heartbeat_relay/relay_mode.hpp"
+#include "protocol/messages.hpp"
+#include "protocol/peer_messages.hpp"
+#include "transport/clock.hpp"
+#include "worker_control/reachability.hpp"
+#include "worker_control/reconciliation.hpp"
+
+namespace thistlefront {
+
+namespace {
+constexpr double kLedgerWait_s = 1.0;             // for the ledger to be read; the agent itself waits 4 s
+constexpr double kCommandsLost_s = 2.0;           // without an answered command, though some were sent
+constexpr double kCountPeriod_s = 1.0;            // how often the leader counts its own agents
+constexpr double kRecentHeartbeatPeriods = 2.5;   // heartbeat intervals within which an agent counts as heard
+
+HttpReply redirect_to(std::string_view label) {
+  return {421, redirect_body(label)};
+}
+
+HttpReply refuse() {
+  return redirect_to("");
+}
+}  // namespace
+
+HeartbeatHandler::HeartbeatHandler(SharedState& shared, CommitQueue& commit_queue, AgentMessages& agent_messages, HeartbeatRelay& relay,
+                                   ControllerMetrics& metrics)
+    : shared_(shared), commit_queue_(commit_queue), agent_messages_(agent_messages), relay_(relay), metrics_(metrics) {}
+
+HttpReply HeartbeatHandler::handle(std::string_view body, HeartbeatCache& cache) {
+  const Heartbeat* heartbeat = nullptr;
+  try {
+    heartbeat = &cache.read(body);
+  } catch (const ProtocolError& e) {
+    spdlog::error("heartbeat: malformed: {}", e.what());
+    return error_reply(400, e.what());
+  }
+  if (heartbeat->repeated_serial) ++metrics_.counters.repeated_heartbeats;
+  Lock lock(shared_.mutex);
+  if (shared_.role == Role::follower) return handle_as_follower(lock, *heartbeat, body);
+  return handle_as_leader(lock, *heartbeat, Route::direct);
+}
+
+HttpReply HeartbeatHandler::handle_forwarded(std::string_view body) {
+  Heartbeat heartbeat;
+  try {
+    heartbeat = parse_heartbeat(body);
+  } catch (const ProtocolError& e) {
+    spdlog::error("heartbeat: malformed: {}", e.what());
+    return error_reply(400, e.what());
+  }
+  Lock lock(shared_.mutex);
+  if (shared_.role == Role::follower) return refuse();
+  return handle_as_leader(lock, heartbeat, Route::forwarded);
+}
+
+HttpReply HeartbeatHandler::accepts_batches() {
+  Lock lock(shared_.mutex);
+  if (shared_.role == Role::follower) return unavailable_reply();
+  Term& term = *shared_.term;
+  const auto& config = shared_.config;
+  const bool needed = config.options.relay_mode == RelayMode::automatic && term.cluster_state &&
+                      is_relay_needed(term.cluster_state->node_count(), config.settings.cpu, config.budget.clients);
+  if (config.options.relay_mode == RelayMode::on || needed) term.accepts_batches = true;
+  if (term.accepts_batches) return {200, "{}"};
+  if (!term.cluster_state) return unavailable_reply();
+  return error_reply(404, "batches of reports are not taken");
+}
+
+HttpReply HeartbeatHandler::handle_as_leader(Lock& lock, const Heartbeat& heartbeat, Route route) {
+  if (!shared_.term->cluster_state && route == Route::direct && shared_.ledger_unreadable_since == 0) await_ledger(lock);
+  if (shared_.role == Role::follower) return refuse();
+  if (shared_.term->accepts_batches && route == Route::direct && shared_.may_decide()) {
+    const double now = steady_now();
+    if (const auto other = shared_.term->balancer.redirect_from_leader(count_direct_agents(now), now)) return redirect_to(*other);
+  }
+  const auto answered = answer(lock, heartbeat, route);
+  if (answered.outcome != HeartbeatAnswer::Outcome::renewed) return refuse();
+  HttpReply reply{200, heartbeat_response_body(shared_.term->fencing_token, answered.commands)};
+  reply.evict_last = !heartbeat.tasks.empty();
+  return reply;
+}
+
+void HeartbeatHandler::await_ledger(Lock& lock) {
+  const auto term = shared_.term_number;
+  commit_queue_.wait_for_progress(lock, kLedgerWait_s, [&] {
+    return !shared_.is_term(term) || shared_.term->cluster_state || shared_.term->hand_over_reason;
+  });
+}
+
+std::size_t HeartbeatHandler::count_direct_agents(double now) {
+  Term& term = *shared_.term;
+  if (now - term.direct_agents_at < kCountPeriod_s) return term.direct_agents;
+  term.direct_agents_at = now;
+  const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
+  const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent;
+  const auto at_relays = term.balancer.workers_at_relays(now);
+  term.direct_agents = heard > at_relays ? heard - at_relays : 0;
+  return term.direct_agents;
+}
+
+HeartbeatAnswer HeartbeatHandler::answer(const Lock& lock, const Heartbeat& heartbeat, Route route) {
+  const HeartbeatAnswer refused{HeartbeatAnswer::Outcome::refused, {}};
+  if (heartbeat.fencing_token > shared_.term->fencing_token) {
+    // The agent has seen a later leader.
+    shared_.step_down(lock, "a worker reports a higher fencing token");
+    shared_.known_leader.fencing_token = heartbeat.fencing_token;
+    shared_.known_leader.label.clear();
+    return refused;
+  }
+  const double now = steady_now();
+  const auto& settings = shared_.config.settings;
+  const bool ledger_read = shared_.term->cluster_state != nullptr;
+  // Without the ledger for long, it answers agents without tasks for so long only.
+  const double unreadable_since = shared_.ledger_unreadable_since;
+  const double span = max_partition_lease_s(settings.cancel_s, settings.lease_s);
+  if (!ledger_read && unreadable_since != 0 && now - unreadable_since > span) return refused;
+  const LeadershipEvidence evidence = leadership_evidence(shared_, heartbeat, now);
+  const bool certain_or_backed = evidence.lease_valid || evidence.has_quorum;
+  if (decide_lease_renewal(evidence, !heartbeat.tasks.empty()) == LeaseRenewal::refuse) return refused;
+  if (route != Route::direct && !certain_or_backed) return refused;
+  if (!certain_or_backed) {
+    shared_.partition_lease.record_renewal(now);
+    ++metrics_.counters.kept;
+  }
+  ++metrics_.counters.heartbeats;
+  if (!ledger_read) {
+    shared_.term->early_answers[heartbeat.node] = now;
+    return {HeartbeatAnswer::Outcome::renewed, {}};
+  }
+  return answer_with_commands(heartbeat, route, now);
+}
+
+HeartbeatAnswer HeartbeatHandler::answer_with_commands(const Heartbeat& heartbeat, Route route, double now) {
+  ClusterState& cluster_state = *shared_.term->cluster_state;
+  const auto& settings = shared_.config.settings;
+  const bool stale = !agent_messages_.apply(heartbeat, MessageKind::heartbeat);
+  const NodeIndex index = cluster_state.find_or_add_node(heartbeat.node);
+  Node& node = cluster_state.node(index);
+  if (has_late_start_of_cancelled_job(cluster_state, node, now, max_partition_lease_s(settings.cancel_s, settings.lease_s)))
+    return {HeartbeatAnswer::Outcome::refused, {}};
+  record_lease_renewal(node, stale, now);
+  record_direct_contact(node, route, stale, now);
+  HeartbeatAnswer out{HeartbeatAnswer::Outcome::renewed, {}};
+  // Each answer that renews a lease carries the kills of what is cancelled, also one to a heartbeat that another overtook.
+  const bool newest = node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial;
+  out.commands = newest ? agent_messages_.due_commands(index) : kills_for_cancelled_jobs(cluster_state, index);
+  record_commands_sent(node, heartbeat.serial, out.commands);
+  if (!shared_.may_decide()) {
+    ++metrics_.counters.answered_in_doubt;
+    metrics_.counters.kills_in_doubt += out.commands.size();
+  }
+  return out;
+}
+
+// An agent that stays with a peer has not tried to reach this controller: what is known is whether commands reach it.
+void HeartbeatHandler::record_direct_contact(Node& node, Route route, bool stale, double now) const {
+  const double failing_since = shared_.term->commands_failing_since;
+  const bool commands_arrive = !node.commands.failing && (failing_since == 0 || now - failing_since < kCommandsLost_s);
+  const bool reachable = route == Route::direct || (route == Route::relayed && commands_arrive);
+  if (reachable && !stale) node.agent.last_direct_contact_at = now;
+}
+
+Frame HeartbeatHandler::handle_batch(const Frame& frame) {
+  const auto batch = unpack_heartbeat_batch(frame);
+  if (!batch) {
+    spdlog::error("heartbeat relay: malformed batch from a peer, {} bytes", frame.payload.size());
+    return pack(error_reply(400, "malformed batch"), steady_now());
+  }
+  Lock lock(shared_.mutex);
+  HeartbeatBatchAnswer out;
+  // Of another leader, or of none: its sender looks again who leads.
+  if (shared_.role == Role::follower) return pack(out);
+  Term& term = *shared_.term;
+  if (!term.accepts_batches || batch->takeover_token != term.takeover_token) return pack(out);
+  out.takeover_token = batch->takeover_token;
+  out.fencing_token = term.fencing_token;
+  const double now = steady_now();
+  term.balancer.record_worker_count(batch->sender, batch->worker_count, now);
+  if (shared_.may_decide()) {
+    const auto redirection = term.balancer.redirect_from_relay(batch->sender, now);
+    out.redirect_count = redirection.count;
+    out.redirect_target = redirection.target;
+  }
+  const bool is_reading_ledger = !term.cluster_state && shared_.ledger_unreadable_since == 0;
+  for (const HeartbeatDelta& delta : batch->heartbeats) out.answers.push_back(answer_batched(lock, delta, is_reading_ledger));
+  return pack(out);
+}
+
+HeartbeatAnswer HeartbeatHandler::answer_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger) {
+  using Outcome = HeartbeatAnswer::Outcome;
+  if (shared_.role == Role::follower) return {Outcome::refused, {}};
+  if (is_reading_ledger) return {Outcome::retry_later, {}};
+  const Heartbeat* heartbeat = shared_.term->relayed_heartbeats.decode(delta);
+  return heartbeat ? answer(lock, *heartbeat, Route::relayed) : HeartbeatAnswer{Outcome::full_required, {}};
+}
+
+}  // namespace thistlefront
--- /dev/null
+++ b/src/controller/ledger_recovery.cpp
@@ -0,0 +1,135 @@
+#include "controller/ledger_recovery.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "transport/clock.hpp"
+#include "transport/threads.hpp"
+
+namespace thistlefront {
+
+namespace {
+constexpr double kRereadPause_s = 1.0;
+constexpr double kRetryPause_s = 0.1;        // where the key-value store does not answer
+constexpr double kKeepUnreadableFor_s = 8.0;  // so long one that can't read keeps the lead, where nobody can
+
+std::vector<Team> teams_in(const Settings& settings) {
+  std::vector<Team> teams;
+  for (const auto& team : settings.teams) teams.push_back({team.name, team.guarantee, team.limit, {}});
+  return teams;
+}
+}  // namespace
+
+LedgerRecovery::LedgerRecovery(SharedState& shared, CommitQueue& commit_queue) : shared_(shared), commit_queue_(commit_queue) {}
+
+LedgerReadResult LedgerRecovery::read(StoreClient& store, std::stop_token stop, const std::function<bool()>& retry) const {
+  ReadLedger out;
+  out.cluster_state = std::make_unique<ClusterState>(teams_in(shared_.config.settings), max_record_bytes(commit_queue_.entry_bytes()));
+  LedgerReader reader(*out.cluster_state, shared_.config.supported_versions.least, shared_.config.supported_versions.most);
+  std::string from;
+  for (bool first = true;; first = false) {
+    EntryPage page;
+    while (store.list_entries(kLedgerPrefix, from, page) != StoreStatus::ok)
+      if (stop.stop_requested() || !retry() || !pause_for(stop, kRetryPause_s)) return ReadAborted{};
+    if (first) out.revision = page.revision;
+    bool readable = true;
+    for (auto& row : page.rows) {
+      from = row.key;
+      readable = readable && reader.add_entry(std::move(row));
+    }
+    if (readable && !page.truncated) readable = reader.finish();
+    if (!readable) return UnreadableLedger{reader.error()};
+    if (!page.truncated) break;
+  }
+  out.entries = reader.entries();
+  out.contents = std::move(reader).contents();
+  return out;
+}
+
+std::optional<ReadLedger> LedgerRecovery::unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted) {
+  std::optional<ReadLedger> ledger;
+  {
+    Lock lock(shared_.mutex);
+    aborted = !shared_.is_term(term);
+    if (aborted) return std::nullopt;
+    ledger = std::exchange(shared_.term->preread_ledger, std::nullopt);
+  }
+  if (!ledger) return std::nullopt;
+  // Another controller may have led in between.
+  bool changed = true;
+  while (store.has_changed(kLedgerPrefix, ledger->revision, changed) != StoreStatus::ok) {
+    const bool is_current = [&] {
+      Lock lock(shared_.mutex);
+      return shared_.is_term(term);
+    }();
+    aborted = !is_current || !pause_for(stop, kRetryPause_s);
+    if (aborted) return std::nullopt;
+  }
+  return changed ? std::nullopt : std::move(ledger);
+}
+
+bool LedgerRecovery::recover(StoreClient& store, std::stop_token stop, std::uint64_t term) {
+  const double began = steady_now();
+  bool aborted = false;
+  auto ledger = unchanged_preread(store, stop, term, aborted);
+  if (aborted) return false;
+  if (!ledger) {
+    auto result = read(store, stop, [&] {
+      Lock lock(shared_.mutex);
+      return shared_.is_term(term);
+    });
+    if (const auto* unreadable = std::get_if<UnreadableLedger>(&result)) {
+      handle_unreadable(unreadable->reason);
+      pause_for(stop, kRereadPause_s);
+      return false;
+    }
+    if (!std::holds_alternative<ReadLedger>(result)) return false;
+    ledger = std::get<ReadLedger>(std::move(result));
+  }
+  Lock lock(shared_.mutex);
+  if (!shared_.is_term(term)) return false;
+  begin_leading(std::move(*ledger), began);
+  return true;
+}
+
+void LedgerRecovery::begin_leading(ReadLedger ledger, double began) {
+  Term& term = *shared_.term;
+  shared_.ledger_unreadable_since = 0;
+  const auto entries = ledger.entries;
+  term.first_term_ever = entries == 0;
+  term.ledger_writer = LedgerWriter(std::move(ledger.contents), term.active_version.writes());
+  term.cluster_state = std::move(ledger.cluster_state);
+  ClusterState& cluster_state = *term.cluster_state;
+  for (const auto& [name, answered_at] : term.early_answers)
+    cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_answered_at = answered_at;
+  term.early_answers.clear();
+  shared_.partition_lease.revoke();
+  commit_queue_.clear();
+  cluster_state.failure_attribution().take_verdicts();  // these were logged by the leader that reached them
+  shared_.role = Role::leading;
+  if (const auto counts = cluster_state.dependency_graph().counts(); counts.unresolved_names > 0)
+    spdlog::error("ledger: {} jobs that others depend on are missing, their dependents do not start", counts.unresolved_names);
+  spdlog::info("ledger: read, {} entries, {} live jobs, {:.0f} ms after the takeover", entries, cluster_state.live().size(),
+               (steady_now() - began) * 1000);
+  shared_.role_changed.notify_all();
+  commit_queue_.notify_progress();
+  shared_.request_pass();
+}
+
+void LedgerRecovery::handle_unreadable(const std::string& reason) {
+  Lock lock(shared_.mutex);
+  if (shared_.role != Role::recovering) return;
+  spdlog::error("{}", reason);
+  const double now = steady_now();
+  const bool again = shared_.ledger_unreadable_since != 0;
+  if (!again) shared_.ledger_unreadable_since = now;
+  // Nobody else could read it either: for the sake of the agents' leases one keeps the lead for a while, and then lets others
+  // try.
+  if (again && now < shared_.term->taken_over_at + kKeepUnreadableFor_s) return;
+  shared_.term->hand_over_reason = "ledger unreadable";
+}
+
+}  // namespace thistlefront
--- a/src/controller/peer_link.hpp
+++ b/src/controller/peer_link.hpp
@@ -1,4 +1,5 @@
-// What a controller knows of another one, and its connections to it.
+// What a controller knows of another one, and its connections to it. Guarded by SharedState::mutex, but for the pools, which
+// have locks of their own.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,11 +12,14 @@
 
 struct PeerLink {
   Settings::Peer peer;
-  std::unique_ptr<FramePool> calls;  // users' requests and reports, when the peer leads
-  std::unique_ptr<FramePool> heartbeats;
-  PartitionLeaseGrant partition_lease;
-  std::uint64_t last_ack_process = 0, last_ack_clock_ms = 0;  // of its latest answer in this term
-  double last_acked_sent_at = 0;                              // steady seconds: when the beat was sent that it answered so
+  std::unique_ptr<FramePool> calls;       // forwarded requests and heartbeats, while the peer leads
+  std::unique_ptr<FramePool> heartbeats;  // between controllers
+
+  // On the leader, of the present term:
+  PartitionLeaseGrant partition_lease;   // what this leader granted to the peer
+  std::uint64_t last_ack_process = 0;    // incarnation of the process that sent the latest acknowledgement; 0: none
+  std::uint64_t last_ack_clock_ms = 0;   // that process's steady clock at that moment
+  double last_acked_sent_at = 0;         // steady seconds: when the heartbeat was sent that it acknowledged
 };
 
 }  // namespace thistlefront
--- /dev/null
+++ b/src/controller/scheduling_loop.cpp
@@ -0,0 +1,235 @@
+#include "controller/scheduling_loop.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+#include "controller/leadership_conditions.hpp"
+#include "transport/clock.hpp"
+#include "transport/threads.hpp"
+#include "worker_control/reconciliation.hpp"
+
+namespace thistlefront {
+
+namespace {
+constexpr double kIdlePeriod_s = 1.0;  // a pass at least this often
+constexpr double kStartWait_s = 30.0;  // for a commit of starts, after which it is waited for once more
+constexpr double kRaiseTokenPeriod_s = 1.0;
+
+PassParameters pass_parameters(const ControllerConfig& config) {
+  PassParameters out;
+  out.weight = config.options.weight;
+  out.overrun_s = config.options.overrun_s;
+  out.heartbeat_interval_s = config.settings.heartbeat_interval_s;
+  for (const auto& objective : config.settings.objectives)
+    if (objective.kind == "wait") out.start_targets[objective.job_class].push_back(objective.within_s);
+  return out;
+}
+
+double shortest_boot_s(const ClusterState& cluster_state) {
+  double out = kForever;
+  for (const auto& type : cluster_state.machine_types()) out = std::min(out, type.boot_s);
+  return out;
+}
+}  // namespace
+
+SchedulingLoop::SchedulingLoop(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ControllerMetrics& metrics)
+    : shared_(shared),
+      commit_queue_(commit_queue),
+      commands_(commands),
+      metrics_(metrics),
+      plan_input_builder_(pass_parameters(shared.config)) {
+  for (const auto& [job_class, targets] : pass_parameters(shared.config).start_targets) classes_with_start_targets_.insert(job_class);
+}
+
+void SchedulingLoop::run(std::stop_token stop) {
+  const PassPacing pacing{shared_.config.options.pass_period_s, shared_.config.settings.cpu};
+  Lock lock(shared_.mutex);
+  while (!stop.stop_requested()) {
+    shared_.wait_for_pass_request(lock, stop, kIdlePeriod_s);
+    if (stop.stop_requested()) return;
+    PassCost cost;
+    if (shared_.may_decide()) cost = pass(lock);
+    lock.unlock();
+    // A pass holds the lock that heartbeats and submissions wait for, and takes the processor from them.
+    if (!pause_for(stop, rest_after_pass(cost, pacing))) return;
+    lock.lock();
+  }
+}
+
+PassCost SchedulingLoop::pass(Lock& lock) {
+  const double processor_before = thread_processor_seconds();
+  const PassContext context = pass_context();
+  const auto term = shared_.term_number;
+  expire_leases(context.steady);
+  fence_uncertain_starts(context.steady);
+  std::set<NodeIndex> touched;
+  mark_stops(context, touched);
+  update_idle_times(context.steady);
+  const Decision decision = plan(context, touched);
+  const PlannedStarts starts = assign_tasks(*shared_.term->cluster_state, decision.plan.starts, context.wall);
+  touched.insert(starts.nodes.begin(), starts.nodes.end());
+  charge_promoted(decision);
+  const PassCost cost = record_cost(decision, context.steady, processor_before);
+  if (!commit_starts(lock, starts, decision.plan.starts, context.steady)) return cost;
+  // Where leadership is uncertain by now, the answers to heartbeats carry the starts once it is certain again.
+  if (!starts.records.empty() && !shared_.may_decide()) return cost;
+  if (shared_.is_term(term))
+    for (const NodeIndex node : touched) commands_.enqueue(node);
+  return cost;
+}
+
+PassContext SchedulingLoop::pass_context() const {
+  const Term& term = *shared_.term;
+  PassContext out;
+  out.steady = steady_now();
+  out.wall = wall_now();
+  out.takeover_token = term.takeover_token;
+  out.taken_over_at = term.taken_over_at;
+  out.first_term_ever = term.first_term_ever;
+  return out;
+}
+
+void SchedulingLoop::expire_leases(double steady) {
+  ClusterState& cluster_state = *shared_.term->cluster_state;
+  const FencingState fencing = fencing_state(shared_, steady);
+  for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+    Node& node = cluster_state.node(NodeIndex{i});
+    if (node.lease_expired || node.terminated) continue;
+    if (!is_lease_expired(node, fencing, shared_.config.settings.lease_s, steady)) continue;
+    node.lease_expired = true;
+    if (node.placed.empty()) continue;
+    spdlog::info("node {}: lease expired, {} tasks requeued", node.name, node.placed.size());
+    commit_queue_.enqueue(evict_all_tasks(cluster_state, NodeIndex{i}));
+  }
+}
+
+void SchedulingLoop::fence_uncertain_starts(double steady) {
+  Term& term = *shared_.term;
+  if (steady - term.token_raised_at <= kRaiseTokenPeriod_s) return;
+  const ClusterState& cluster_state = *term.cluster_state;
+  for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+    const Node& node = cluster_state.node(NodeIndex{i});
+    if (node.lease_expired || node.commands.uncertain_token < term.fencing_token) continue;
+    term.raise_token_requested = true;
+    commit_queue_.wake_committer();
+    return;
+  }
+}
+
+void SchedulingLoop::mark_stops(const PassContext& context, std::set<NodeIndex>& touched) {
+  ClusterState& cluster_state = *shared_.term->cluster_state;
+  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady, context.wall})) touched.insert(node);
+  for (const NodeIndex node : resume_inherited_stops(cluster_state)) touched.insert(node);
+  if (!stop_broken_gangs(cluster_state)) return;
+  for (const JobIndex job : cluster_state.live())
+    for (const auto& [task, placement] : cluster_state.job(job).placed)
+      if (placement.stopping) touched.insert(placement.node);
+}
+
+void SchedulingLoop::update_idle_times(double steady) {
+  Term& term = *shared_.term;
+  ClusterState& cluster_state = *term.cluster_state;
+  for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
+    Node& node = cluster_state.node(NodeIndex{i});
+    const bool idle = node.placed.empty() && node.agent.has_reported &&
+                      std::all_of(node.agent.tasks.begin(), node.agent.tasks.end(),
+                                  [](const ReportedTask& task) { return task.phase == TaskPhase::exited; });
+    if (!idle) {
+      node.idle_since = 0;
+    } else if (node.idle_since == 0) {
+      node.idle_since = steady;
+    }
+  }
+  for (const JobIndex index : cluster_state.live()) {
+    const Job& job = cluster_state.job(index);
+    if (job.pending > 0 || job.spec.job_type != JobType::service) term.last_active_at = steady;
+  }
+}
+
+SchedulingLoop::Decision SchedulingLoop::plan(const PassContext& context, std::set<NodeIndex>& touched) {
+  Term& term = *shared_.term;
+  ClusterState& cluster_state = *term.cluster_state;
+  term.within_guarantee = jobs_within_guarantee(cluster_state);
+  Decision out;
+  out.input = plan_input_builder_.build(cluster_state, context, term.within_guarantee);
+  out.promoted = promote_starving_jobs(out.input, cluster_state, term.starvation_guard, shared_.release_rate.rate(context.steady), context,
+                                       term.within_guarantee);
+  // Units without a slot before a node requested now could be up.
+  out.input.horizon = context.wall + shortest_boot_s(cluster_state);
+  out.plan = make_plan(out.input);
+  term.unserved = out.plan.unserved;
+  out.preempted_tasks = preempt(out.input, out.plan, context, touched);
+  return out;
+}
+
+// What is stopped here makes room that later passes give out, highest tier first.
+std::size_t SchedulingLoop::preempt(const PlanInput& input, Plan& plan, const PassContext& context, std::set<NodeIndex>& touched) {
+  Term& term = *shared_.term;
+  ClusterState& cluster_state = *term.cluster_state;
+  const PreemptionInput preemption_input{cluster_state,
+                                         input,
+                                         plan,
+                                         term.within_guarantee,
+                                         context.wall,
+                                         shared_.release_rate.rate(context.steady),
+                                         classes_with_start_targets_,
+                                         term.starvation_guard.protected_jobs()};
+  const PreemptionPlan preemption = choose_victims(preemption_input);
+  for (const auto& waived : preemption.waived)
+    std::erase_if(plan.starts, [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.at == waived.at; });
+  for (const auto& victim : preemption.victims) {
+    Placement* placement = cluster_state.placement(victim.ref);
+    mark_for_stop(*placement, victim.grace_period_s);
+    touched.insert(placement->node);
+    ++metrics_.counters.preempted;
+  }
+  return preemption.victims.size();
+}
+
+void SchedulingLoop::charge_promoted(const Decision& decision) {
+  Term& term = *shared_.term;
+  for (const auto& slot : decision.plan.starts) {
+    if (!decision.promoted.contains(slot.job)) continue;
+    term.starvation_guard.charge(slot.job, term.cluster_state->job(slot.job).spec.demand.cores * slot.count);
+  }
+}
+
+PassCost SchedulingLoop::record_cost(const Decision& decision, double began, double processor_before) {
+  const PassCost cost{steady_now() - began, thread_processor_seconds() - processor_before};
+  Counters& counters = metrics_.counters;
+  ++counters.passes;
+  counters.pass_seconds = counters.pass_seconds + cost.elapsed_s;
+  counters.pass_processor_seconds = counters.pass_processor_seconds + cost.processor_s;
+  metrics_.pass_times.add(cost.elapsed_s);
+  const Plan& plan = decision.plan;
+  spdlog::debug(
+      "pass: {:.1f} ms, {:.2f} ms CPU, {} nodes, {} jobs pending, {} starts, {} reservations, {} unserved, {} preempted, {:.0f} ms behind",
+      cost.elapsed_s * 1000, cost.processor_s * 1000, decision.input.nodes.size(), decision.input.jobs.size(), plan.starts.size(),
+      plan.reservations.size(), plan.unserved.size(), decision.preempted_tasks, counters.renewal_lag_s * 1000);
+  return cost;
+}
+
+bool SchedulingLoop::commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double steady) {
+  if (starts.records.empty()) return true;
+  const auto term = shared_.term_number;
+  std::vector<Record> records;
+  for (const auto& [job, start] : starts.records) {
+    for (auto& record : split_by_size(start, shared_.term->cluster_state->record_bytes())) {
+      for (const auto& assignment : record.assignments)
+        for (const auto& range : assignment.tasks) metrics_.counters.started += range.last - range.first;
+      records.emplace_back(std::move(record));
+    }
+  }
+  for (const auto& slot : slots) shared_.term->starting_nodes.insert(slot.node);
+  shared_.start_stalls.record_planned(steady);
+  const auto ticket = commit_queue_.enqueue(std::move(records));
+  while (!commit_queue_.wait_applied(lock, ticket, kStartWait_s))
+    if (!shared_.is_term(term)) return false;
+  shared_.term->starting_nodes.clear();
+  return true;
+}
+
+}  // namespace thistlefront
