--- /dev/null
+++ b/.ci/lint.sh
@@ -0,0 +1,9 @@
+#!/usr/bin/env bash
+# Runs clang-tidy over src and testbed, several files at once; .clang-tidy has the checks, and every finding is an error.
+#   lint.sh BUILD-DIRECTORY
+set -euo pipefail
+build=$1
+# Files that are not clean yet, one a line; docs/ROADMAP.md says what each lacks.
+not_clean=.ci/not-linted.txt
+git ls-files 'src/*.cpp' 'testbed/*.cpp' | { grep -vxFf "$not_clean" || true; } |
+  xargs -P "$(nproc)" -n 2 clang-tidy-19 -p "$build" --quiet
--- a/src/controller/agent_messages.cpp
+++ b/src/controller/agent_messages.cpp
@@ -45,9 +45,8 @@
   const NodeIndex known = cluster_state.find_node(report.node);
   if (!known.valid() || report.agent_incarnation <= cluster_state.node(known).agent.incarnation) return;
   const auto& placed = cluster_state.node(known).placed;
-  const auto forgotten = std::count_if(placed.begin(), placed.end(), [&](const PlacedTask& task) {
-    return task.placement->agent_incarnation < report.agent_incarnation;
-  });
+  const auto forgotten = std::count_if(
+      placed.begin(), placed.end(), [&](const PlacedTask& task) { return task.placement->agent_incarnation < report.agent_incarnation; });
   if (forgotten > 0) spdlog::info("node {}: lease expired on the agent, {} tasks requeued", report.node, forgotten);
 }
 
--- a/src/controller/cloud_manager.hpp
+++ b/src/controller/cloud_manager.hpp
@@ -41,7 +41,7 @@
   InstanceReleaser& releaser_;
   ServiceMonitor& service_monitor_;
   // Of this duty's thread alone:
-  std::uint64_t term_ = 0;  // for which the times below hold
+  std::uint64_t term_ = 0;                                // for which the times below hold
   double machine_types_at_ = -1e9, instances_at_ = -1e9;  // steady seconds of the latest refresh
 };
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -41,7 +41,8 @@
       metrics_(config_.settings),
       commit_queue_(shared_, config_.settings.state_write_rps),
       relay_store_(config_.settings.store_address),
-      relay_(config_.settings.label, [this] { return relay_target(shared_); }, [this] { return reaches_store(relay_store_); }),
+      relay_(
+          config_.settings.label, [this] { return relay_target(shared_); }, [this] { return reaches_store(relay_store_); }),
       agent_messages_(shared_, commit_queue_, metrics_),
       commands_(shared_, agent_messages_),
       recovery_(shared_, commit_queue_),
@@ -63,7 +64,8 @@
 void Controller::run(std::stop_token stop) {
   const auto& settings = config_.settings;
   frame_server_ = std::make_unique<FrameServer>(settings.peer_listen, config_.budget.peers, [this](const Frame& f) { return on_frame(f); });
-  http_server_ = std::make_unique<HttpServer>(settings.client_listen, config_.budget.clients, [this](const HttpCall& c) { return on_http(c); });
+  http_server_ =
+      std::make_unique<HttpServer>(settings.client_listen, config_.budget.clients, [this](const HttpCall& c) { return on_http(c); });
   start_duties();
   log_configuration();
   while (pause_for(stop, kSleep_s)) {
@@ -119,7 +121,7 @@
     case Kind::wrong_method: return error_reply(405, "wrong method");
     case Kind::health: return requests_.health();
     case Kind::metrics: return reporter_.report({http_server_->connections(), frame_server_->connections()});
-    case Kind::report: return heartbeats_.handle(call.body, heartbeat_cache_of(call.session));
+    case Kind::heartbeat: return heartbeats_.handle(call.body, heartbeat_cache_of(call.session));
     default: return requests_.handle(route, call);
   }
 }
@@ -140,7 +142,7 @@
   if (call.target == kRelaySupportTarget) return pack(heartbeats_.accepts_batches(), received_at);
   if (call.target == kTeamQuotasTarget) return pack(HttpReply{200, pack(config_.team_quotas)}, received_at);
   const UserRoute route = route_of(call.method, call.target);
-  const bool is_heartbeat = route.kind == UserRoute::Kind::report;
+  const bool is_heartbeat = route.kind == UserRoute::Kind::heartbeat;
   return pack(is_heartbeat ? heartbeats_.handle_forwarded(call.body) : requests_.answer(route, call.body), received_at);
 }
 
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -13,13 +13,13 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kForwardTimeout_s = 2.5;         // the agent itself waits 4 s
-constexpr double kRelayTimeout_s = 3.0;           // the same
-constexpr double kPartitionLeaseWait_s = 3.6;     // after a heartbeat came: the leader is taken for silent after 3 s
+constexpr double kForwardTimeout_s = 2.5;      // the agent itself waits 4 s
+constexpr double kRelayTimeout_s = 3.0;        // the same
+constexpr double kPartitionLeaseWait_s = 3.6;  // after a heartbeat came: the leader is taken for silent after 3 s
 constexpr double kLookAgain_s = 0.1;
-constexpr double kRedirectWindow_s = 12.0;        // an agent that is back sooner can't reach the leader
-constexpr double kForwardWindow_s = 30.0;         // then it is redirected once more
-constexpr double kAnnouncedShareOfLease = 0.6;    // after a takeover: so long its token may come from a command
+constexpr double kRedirectWindow_s = 12.0;      // an agent that is back sooner can't reach the leader
+constexpr double kForwardWindow_s = 30.0;       // then it is redirected once more
+constexpr double kAnnouncedShareOfLease = 0.6;  // after a takeover: so long its token may come from a command
 
 HttpReply redirect_to(std::string_view label) {
   return {421, redirect_body(label)};
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -16,10 +16,10 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLedgerWait_s = 1.0;             // for the ledger to be read; the agent itself waits 4 s
-constexpr double kCommandsLost_s = 2.0;           // without an answered command, though some were sent
-constexpr double kCountPeriod_s = 1.0;            // how often the leader counts its own agents
-constexpr double kRecentHeartbeatPeriods = 2.5;   // heartbeat intervals within which an agent counts as heard
+constexpr double kLedgerWait_s = 1.0;            // for the ledger to be read; the agent itself waits 4 s
+constexpr double kCommandsLost_s = 2.0;          // without an answered command, though some were sent
+constexpr double kCountPeriod_s = 1.0;           // how often the leader counts its own agents
+constexpr double kRecentHeartbeatPeriods = 2.5;  // heartbeat intervals within which an agent counts as heard
 
 HttpReply redirect_to(std::string_view label) {
   return {421, redirect_body(label)};
@@ -90,9 +90,8 @@
 
 void HeartbeatHandler::await_ledger(Lock& lock) {
   const auto term = shared_.term_number;
-  commit_queue_.wait_for_progress(lock, kLedgerWait_s, [&] {
-    return !shared_.is_term(term) || shared_.term->cluster_state || shared_.term->hand_over_reason;
-  });
+  commit_queue_.wait_for_progress(lock, kLedgerWait_s,
+                                  [&] { return !shared_.is_term(term) || shared_.term->cluster_state || shared_.term->hand_over_reason; });
 }
 
 std::size_t HeartbeatHandler::count_direct_agents(double now) {
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -13,20 +13,20 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kBatchPeriod = 0.05;  // seconds from one batch to the next, at least
-constexpr double kBatchTimeout = 1.2;  // seconds for an answer
-constexpr double kAskAgain = 2.0;      // seconds: a leader that took no batches may begin to
-constexpr double kAnnounce = 1.0;      // seconds: an intake without reports tells the leader that it is there
-// Seconds. A leader that ended is succeeded sooner; one that can't be reached from here for longer, and still leads, is perhaps
-// reached by the workers themselves (controllers that refuse each other: replicas were missed for half a minute).
-constexpr double kLinkPatience = 2.2;
-constexpr double kAfterFailure = 0.1;  // seconds
-constexpr double kNoLead = 0.05;       // seconds until it is looked again who leads
-constexpr std::size_t kMostBytes = 256 * 1024;
-constexpr std::size_t kMaxHeartbeats = 1024;
-constexpr std::size_t kMostWaiting = 4096;  // reports; a connection has one at a time
-constexpr double kHeardLately = 20.0;       // seconds
-constexpr double kCountPeriod = 1.0;        // seconds
+constexpr double kBatchPeriod_s = 0.05;    // from one batch to the next, at least
+constexpr double kBatchTimeout_s = 1.2;    // for an answer
+constexpr double kAskAgain_s = 2.0;        // a leader that accepted no batches may begin to
+constexpr double kAnnouncePeriod_s = 1.0;  // a relay without heartbeats tells the leader that it is there
+// A leader that ended is succeeded sooner; one that can't be reached from here for longer, and still leads, is perhaps reached by
+// the agents themselves.
+constexpr double kLinkPatience_s = 2.2;
+constexpr double kFailurePause_s = 0.1;
+constexpr double kNoLeaderPause_s = 0.05;  // until it is looked again who leads
+constexpr std::size_t kMaxBatchBytes = 256 * 1024;
+constexpr std::size_t kMaxHeartbeatsInBatch = 1024;
+constexpr std::size_t kMaxWaiting = 4096;  // heartbeats; a connection has one at a time
+constexpr double kAgentMemory_s = 20.0;    // an agent that was heard of within this time counts
+constexpr double kCountPeriod_s = 1.0;
 }  // namespace
 
 HeartbeatRelay::RelayResult HeartbeatRelay::relay(const Heartbeat& heartbeat, double timeout_s) {
@@ -34,14 +34,14 @@
   const double now = steady_now();
   heard_at_[heartbeat.node] = now;
   if (leader_support_ == LeaderSupport::no) return {RelayResult::Outcome::not_supported, {}, 0, 0};
-  if (waiting_.size() >= kMostWaiting) return {};
+  if (waiting_.size() >= kMaxWaiting) return {};
   WaitingHeartbeat mine;
   mine.heartbeat = &heartbeat;
   mine.since = now;
   mine.until = now + timeout_s;
   waiting_.push_back(&mine);
   queue_filled_.notify_one();
-  // One that is in a batch is waited for: the batch's own time limit is short.
+  // A heartbeat that is in a batch is waited for: the batch's own time limit is short.
   mine.changed.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] { return mine.done; });
   mine.changed.wait(lock, [&] { return mine.done || !mine.in_batch; });
   if (!mine.done) std::erase(waiting_, &mine);
@@ -71,17 +71,17 @@
   while (!stop.stop_requested()) {
     {
       std::unique_lock lock(mutex_);
-      queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnounce), [&] { return !waiting_.empty(); });
+      queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnouncePeriod_s), [&] { return !waiting_.empty(); });
     }
     if (stop.stop_requested()) break;
     const double began = steady_now();
-    find_lead();
-    double rest = kBatchPeriod;
+    find_leader();
+    double rest = kBatchPeriod_s;
     if (!lead_) {
-      rest = kNoLead;
+      rest = kNoLeaderPause_s;
     } else if (leader_support_ == LeaderSupport::unknown) {
       query_leader_support(*lead_);
-      rest = leader_support_ == LeaderSupport::unknown ? kAfterFailure : 0;
+      rest = leader_support_ == LeaderSupport::unknown ? kFailurePause_s : 0;
     } else if (leader_support_ == LeaderSupport::yes) {
       send_batch(*lead_);
     }
@@ -92,33 +92,31 @@
   refuse_waiting();
 }
 
-void HeartbeatRelay::find_lead() {
-  const auto now_leads = lead_now_();
+void HeartbeatRelay::find_leader() {
+  const auto now_leads = current_leader_();
   std::lock_guard lock(mutex_);
   const bool same = lead_ && now_leads && lead_->number == now_leads->number && lead_->takeover_token == now_leads->takeover_token;
   lead_ = now_leads;
   if (!same) {
     heartbeats_.clear();
     leader_support_ = LeaderSupport::unknown;
-    failing_since_ = 0;
-    cut_off_ = false;
+    record_contact();
     redirect_count_ = 0;
   }
-  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgain) leader_support_ = LeaderSupport::unknown;
+  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgain_s) leader_support_ = LeaderSupport::unknown;
 }
 
-// Older builds, and leaders whose operator has switched it off, do not take batches: workers are then sent to the leader.
+// Older builds, and leaders whose operator has switched it off, accept no batches: agents are then redirected to the leader.
 void HeartbeatRelay::query_leader_support(const Lead& lead) {
   const double asked = steady_now();
-  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeout);
+  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeout_s);
   const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(asked);
     return;
   }
   std::lock_guard lock(mutex_);
-  failing_since_ = 0;
-  cut_off_ = false;
+  record_contact();
   asked_at_ = steady_now();
   leader_support_ = reply->status == 200 ? LeaderSupport::yes : LeaderSupport::no;
   in_use_ = leader_support_ == LeaderSupport::yes;
@@ -129,22 +127,20 @@
   HeartbeatBatch batch;
   const auto sent = collect_batch(batch, lead);
   const double asked = steady_now();
-  const auto frame = lead.pool->ask(pack(batch), kBatchTimeout);
+  const auto frame = lead.pool->ask(pack(batch), kBatchTimeout_s);
   const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
-  if (frame && !answer) spdlog::error("malformed answer to a batch of reports");
+  if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
   const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_token == lead.takeover_token;
   if (taken) {
     apply_answer(sent, *answer, lead);
     return;
   }
-  // Not known what came of it: asked once more, of whoever leads then, with whole reports.
+  // What became of it is not known: it is sent once more, to whoever leads then, with whole heartbeats.
   if (!frame) record_failure(asked);
   std::lock_guard lock(mutex_);
   heartbeats_.clear();
   if (leader_support_ == LeaderSupport::yes) leader_support_ = LeaderSupport::unknown;
-  for (WaitingHeartbeat* w : sent) {
-    requeue(*w);
-  }
+  for (WaitingHeartbeat* waiting : sent) requeue(*waiting);
 }
 
 std::vector<HeartbeatRelay::WaitingHeartbeat*> HeartbeatRelay::collect_batch(HeartbeatBatch& batch, const Lead& lead) {
@@ -154,7 +150,7 @@
   batch.worker_count = count_workers(steady_now());
   std::vector<WaitingHeartbeat*> out;
   std::size_t bytes = 0;
-  while (!waiting_.empty() && out.size() < kMaxHeartbeats && bytes < kMostBytes) {
+  while (!waiting_.empty() && out.size() < kMaxHeartbeatsInBatch && bytes < kMaxBatchBytes) {
     WaitingHeartbeat* next = waiting_.front();
     waiting_.pop_front();
     if (steady_now() >= next->until) {
@@ -171,8 +167,7 @@
 
 void HeartbeatRelay::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Lead& lead) {
   std::lock_guard lock(mutex_);
-  failing_since_ = 0;
-  cut_off_ = false;
+  record_contact();
   redirect_count_ = answer.redirect_count;
   redirect_target_ = answer.redirect_target;
   for (std::size_t i = 0; i < sent.size(); ++i) {
@@ -199,12 +194,17 @@
     waiting_.push_back(&waiting);
 }
 
+void HeartbeatRelay::record_contact() {
+  failing_since_ = 0;
+  cut_off_ = false;
+}
+
 void HeartbeatRelay::record_failure(double since) {
-  const bool reaches_state = !is_in_use() || reaches_state_();
+  const bool reaches_store = !is_in_use() || reaches_store_();
   std::lock_guard lock(mutex_);
-  cut_off_ = !reaches_state;
+  cut_off_ = !reaches_store;
   if (failing_since_ == 0) failing_since_ = since;
-  if (steady_now() - failing_since_ < kLinkPatience) return;
+  if (steady_now() - failing_since_ < kLinkPatience_s) return;
   leader_support_ = LeaderSupport::no;
   asked_at_ = steady_now();
   refuse_waiting();
@@ -232,10 +232,10 @@
 }
 
 std::uint32_t HeartbeatRelay::count_workers(double now) {
-  if (now - counted_at_ < kCountPeriod) return workers_;
+  if (now - counted_at_ < kCountPeriod_s) return workers_;
   counted_at_ = now;
   std::erase_if(heard_at_, [&](const auto& heard) {
-    if (now - heard.second <= kHeardLately) return false;
+    if (now - heard.second <= kAgentMemory_s) return false;
     heartbeats_.forget(heard.first);
     return true;
   });
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -20,20 +20,20 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kMaxReleases = 50;      // in one round
-constexpr double kQuiet_s = 20.0;             // no work is pending or runs, services aside, for so long
+constexpr std::size_t kMaxReleases = 50;  // in one round
+constexpr double kQuiet_s = 20.0;         // no work is pending or runs, services aside, for so long
 constexpr double kIdleLimitQuiet_s = 20.0;
 constexpr double kIdleLimitBusy_s = 300.0;
-constexpr double kSilentHeartbeats = 2.0;     // heartbeat intervals
-constexpr double kDirectHeartbeats = 1.45;    // heartbeat intervals within which a node that reaches this leader has been heard
-constexpr std::size_t kDirectShare = 3;       // one node in so many must be heard directly, or this leader does not judge
+constexpr double kSilentHeartbeats = 2.0;   // heartbeat intervals
+constexpr double kDirectHeartbeats = 1.45;  // heartbeat intervals within which a node that reaches this leader has been heard
+constexpr std::size_t kDirectShare = 3;     // one node in so many must be heard directly, or this leader does not judge
 constexpr double kProbeTimeout_s = 1.0;
 constexpr std::size_t kProbesBeforeHandOver = 5;
-constexpr double kMuteLeases = 3.0;           // leases for which a running instance may go unheard of
+constexpr double kMuteLeases = 3.0;  // leases for which a running instance may go unheard of
 
 const char* describe(std::size_t reason) {
-  constexpr const char* kTexts[] = {"dead", "unresponsive", "idle", "faulty", "late and no longer needed", "running but never sent a heartbeat",
-                                    "silent"};
+  constexpr const char* kTexts[] = {
+      "dead", "unresponsive", "idle", "faulty", "late and no longer needed", "running but never sent a heartbeat", "silent"};
   return kTexts[reason];
 }
 }  // namespace
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -25,9 +25,9 @@
 constexpr double kIsolationBackoff_s = 4.0;  // of one that was cut off, before it tries to lead again
 constexpr double kOthersFirst_s = 3.0;       // one that backs off leads all the same when nobody else has for so long
 constexpr double kMaxJitter_s = 0.05;
-constexpr double kLagMemory = 0.7;         // of the lateness before, at each renewal
-constexpr double kLastCommit_s = 0.4;      // what is queued may go into the ledger before the lease is given back
-constexpr double kBehindOthers_s = 0.3;    // one that cleared the key of its own earlier process lets the others go first
+constexpr double kLagMemory = 0.7;       // of the lateness before, at each renewal
+constexpr double kLastCommit_s = 0.4;    // what is queued may go into the ledger before the lease is given back
+constexpr double kBehindOthers_s = 0.3;  // one that cleared the key of its own earlier process lets the others go first
 constexpr double kRenewalsPerLease = 4.0;
 }  // namespace
 
@@ -236,8 +236,7 @@
   const double late = woken_at - slept_at - period;
   if (const double whole = steady_now() - slept_at - period; whole > period)
     spdlog::debug("leader: lease renewal {:.0f} ms late: wake-up {:.0f}, lock {:.0f}, answer {:.0f}, lock {:.0f}", whole * 1000,
-                  late * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000,
-                  (steady_now() - answered_at) * 1000);
+                  late * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000, (steady_now() - answered_at) * 1000);
   if (is_over()) return false;
   return apply_renewal(lock, store, session_lease, status, requested_at);
 }
@@ -259,8 +258,7 @@
   }
   term.lease_valid_until = lease_valid_until(requested_at);
   if (shared_.role == Role::leading) {
-    const double oldest_cancellation_s =
-        oldest_pending_cancellation_s(*term.cluster_state, settings.site, steady_now(), settings.cancel_s);
+    const double oldest_cancellation_s = oldest_pending_cancellation_s(*term.cluster_state, settings.site, steady_now(), settings.cancel_s);
     shared_.partition_lease.grant(term.fencing_token, requested_at, oldest_cancellation_s);
   }
   if (is_isolated(shared_)) {
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -30,8 +30,8 @@
   evidence.lease_valid = now < term.lease_valid_until;
   evidence.has_quorum = term.quorum.has_quorum(now);
   const bool own_zone = heartbeat.zone == shared.config.settings.site;
-  evidence.has_partition_lease = evidence.ledger_read ? may_renew_in_partition(shared, heartbeat, now)
-                                                      : own_zone && shared.partition_lease.is_granted(now);
+  evidence.has_partition_lease =
+      evidence.ledger_read ? may_renew_in_partition(shared, heartbeat, now) : own_zone && shared.partition_lease.is_granted(now);
   return evidence;
 }
 
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -96,8 +96,7 @@
 }
 
 bool LedgerCommitter::is_rewrite_due() const {
-  return shared_.term && shared_.term->ledger_writer.has_old_entries() &&
-         steady_now() >= shared_.term->last_commit_at + rewrite_period_s();
+  return shared_.term && shared_.term->ledger_writer.has_old_entries() && steady_now() >= shared_.term->last_commit_at + rewrite_period_s();
 }
 
 double LedgerCommitter::rewrite_period_s() const {
@@ -230,8 +229,7 @@
   if (const auto* cancelled = std::get_if<JobCancelledRecord>(&record))
     if (const JobIndex job = cluster_state.find(cancelled->uid); job.valid()) cluster_state.job(job).cancelled_at = steady_now();
   if (cluster_state.job_count() > jobs) term.ledger_writer.record_first_entry(entry, JobIndex{static_cast<std::uint32_t>(jobs)});
-  if (const auto singleton = LedgerCompactor::singleton_of(record, cluster_state))
-    term.ledger_writer.record_first_entry(entry, *singleton);
+  if (const auto singleton = LedgerCompactor::singleton_of(record, cluster_state)) term.ledger_writer.record_first_entry(entry, *singleton);
   commit_queue_.set_applied(queued.ticket);
 }
 
--- a/src/controller/ledger_committer.hpp
+++ b/src/controller/ledger_committer.hpp
@@ -30,10 +30,10 @@
   // A commit on its way. Not touched by other threads.
   struct Transaction {
     std::uint64_t term = 0;
-    PendingCommit pending;
+    LedgerWriter::PendingCommit pending;
     std::string body, leader_key;
-    std::string last_key;            // of the entries that it writes, or the leader's where it writes none
-    std::size_t largest_value = 0;   // bytes
+    std::string last_key;             // of the entries that it writes, or the leader's where it writes none
+    std::size_t largest_value = 0;    // bytes
     bool only_leader_guards = false;  // nothing but the leader's key conditions it: the first entry ever
     bool was_in_doubt = false;        // some try of it got no answer
   };
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr double kRereadPause_s = 1.0;
-constexpr double kRetryPause_s = 0.1;        // where the key-value store does not answer
+constexpr double kRetryPause_s = 0.1;         // where the key-value store does not answer
 constexpr double kKeepUnreadableFor_s = 8.0;  // so long one that can't read keeps the lead, where nobody can
 
 std::vector<Team> teams_in(const Settings& settings) {
--- a/src/controller/options.hpp
+++ b/src/controller/options.hpp
@@ -9,11 +9,11 @@
 namespace thistlefront {
 
 struct Options {
-  double weight = 0.1 / 3600;      // of a second waited, in a job's key
-  double pass_period_s = 0.1;      // least time between scheduling passes
-  double overrun_s = 5;            // a task that overruns its estimate counts as ending this long after the pass
+  double weight = 0.1 / 3600;       // of a second waited, in a job's key
+  double pass_period_s = 0.1;       // least time between scheduling passes
+  double overrun_s = 5;             // a task that overruns its estimate counts as ending this long after the pass
   unsigned leader_lease_ms = 1300;  // time to live of the session lease that the leader's key is attached to
-  std::size_t threads = 2000;      // that the process may have
+  std::size_t threads = 2000;       // that the process may have
   std::uint32_t max_format_version = rollout::kMaxFormatVersion;  // highest one that this controller lets be activated
   double format_version_soak_s = 2;  // a version is activated when all controllers have supported it for so long
   // Only set by tests, to play an older build: the highest version that this process can read.
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -52,8 +52,7 @@
   out.fencing_token = term.fencing_token;
   out.takeover_token = term.takeover_token;
   if (!shared_.may_decide() || link.last_ack_process == 0) return out;
-  const double oldest_cancellation_s =
-      oldest_pending_cancellation_s(*term.cluster_state, link.peer.site, steady_now(), settings.cancel_s);
+  const double oldest_cancellation_s = oldest_pending_cancellation_s(*term.cluster_state, link.peer.site, steady_now(), settings.cancel_s);
   if (oldest_cancellation_s >= settings.cancel_s) return out;
   out.echoed_process = link.last_ack_process;
   out.echoed_clock_ms = link.last_ack_clock_ms;
@@ -115,7 +114,8 @@
   KnownLeader& leader = shared_.known_leader;
   leader.last_heartbeat_at = steady_now();
   // The same controller, and a later takeover: its process began anew and leads once more.
-  const bool restarted = heartbeat.label == leader.label && leader.takeover_token != UINT64_MAX && heartbeat.takeover_token > leader.takeover_token;
+  const bool restarted =
+      heartbeat.label == leader.label && leader.takeover_token != UINT64_MAX && heartbeat.takeover_token > leader.takeover_token;
   leader.takeover_token = heartbeat.takeover_token;
   if (restarted && shared_.role == Role::follower) shared_.on_leader_change(true);
   if (shared_.role == Role::follower) shared_.partition_lease.observe_leader(heartbeat.takeover_token);
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -9,8 +9,8 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kAskTimeout = 1.0;
-constexpr double kTryAgain = 1.0;
+constexpr double kAskTimeout_s = 1.0;
+constexpr double kRetryPause_s = 1.0;
 }  // namespace
 
 RegistryView::RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas file, std::vector<FramePool*> pools)
@@ -34,16 +34,16 @@
       // Without an answer the record is looked at once more.
       if (step.kind == rollout::Step::Kind::none || store.commit(step.body(), revision, failed) == StoreStatus::ok) break;
     }
-    if (!pause_for(stop, kTryAgain)) return false;
+    if (!pause_for(stop, kRetryPause_s)) return false;
   }
-  spdlog::info("build {}: state levels {} to {}, at most {} to be switched on", supported_versions_.build, supported_versions_.least,
-               supported_versions_.most, supported_versions_.wants);
+  spdlog::info("build {}: supports format versions {} to {}, allows up to {} to be activated", supported_versions_.build,
+               supported_versions_.least, supported_versions_.most, supported_versions_.wants);
   return true;
 }
 
 std::optional<HttpReply> RegistryView::ask(FramePool& peer, const char* target) {
   const double asked = steady_now();
-  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kAskTimeout);
+  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kAskTimeout_s);
   return answer ? unpack_reply(*answer, asked) : std::nullopt;
 }
 
@@ -52,7 +52,7 @@
   for (std::size_t i = 0; i < pools_.size() && !stop.stop_requested(); ++i) {
     const auto reply = ask(*pools_[i], kSupportedVersionsTarget);
     if (!reply) continue;
-    // Another answer than one of 200 is that of a build from before levels.
+    // An answer other than 200 is that of a build from before format versions.
     const auto supported_versions =
         reply->status == 200 ? unpack_supported_versions(reply->body) : std::optional<SupportedVersions>(SupportedVersions{});
     if (supported_versions) out[settings_.peers[i].label] = *supported_versions;
@@ -86,7 +86,7 @@
 
 std::optional<RegistryView::Seen> RegistryView::observe(StoreClient& store, std::stop_token stop) {
   Rows keys, records;
-  // The roster first, then the peers themselves: an answer is newer than the record that it corrects, and a
+  // The registry first, then the peers themselves: an answer is newer than the record that it corrects, and a
   // record written in between makes the correction fail.
   if (store.list(kLeadershipPrefix, keys) != StoreStatus::ok || store.list(kRegistryPrefix, records) != StoreStatus::ok)
     return std::nullopt;
@@ -94,7 +94,7 @@
   try {
     seen.snapshot = rollout::parse_leadership_keys(keys.rows);
   } catch (const std::exception& e) {
-    spdlog::error("state service: the leader's keys: {}", e.what());
+    spdlog::error("key-value store: leader keys malformed: {}", e.what());
     return std::nullopt;
   }
   seen.registry = rollout::parse_registry(records.rows);
--- a/src/controller/registry_view.hpp
+++ b/src/controller/registry_view.hpp
@@ -1,5 +1,5 @@
-// What a leader looks at before a step of a roll-out: the keys of the lead, the roster, and the peers
-// themselves.
+// What the leader looks at before a step of a roll-out: the leadership keys, the registry of controllers, and the peers
+// themselves. Used by RolloutManager's thread alone; no lock is needed.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -30,10 +30,9 @@
     std::map<std::string, SupportedVersions> answers;        // of the peers that answered
     std::map<std::string, std::optional<TeamQuotas>> files;  // of all controllers; nullopt: not known
   };
-  // Nothing where the state service did not answer.
+  // Nothing where the key-value store did not answer.
   std::optional<Seen> observe(StoreClient& store, std::stop_token stop);
-  // All controllers of the settings, by label; those that it counts and does not name have names of their
-  // own.
+  // The labels of all controllers of the settings; those that are counted and not named there get labels of their own.
   [[nodiscard]] const std::vector<std::string>& expected() const { return expected_; }
 
  private:
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -207,8 +207,7 @@
   Term& term = *shared_.term;
   if (active != term.active_version) {
     if (active.downgrade_to != 0) {
-      spdlog::info("format version {}: to be lowered, ledger is being rewritten at version {}", active.format_version,
-                   active.downgrade_to);
+      spdlog::info("format version {}: to be lowered, ledger is being rewritten at version {}", active.format_version, active.downgrade_to);
     } else {
       spdlog::info("format version {}: activated, fencing token {}", active.format_version, term.fencing_token);
     }
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -13,11 +13,11 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRefusedPause_s = 20.0;          // after "no capacity"
+constexpr double kRefusedPause_s = 20.0;  // after "no capacity"
 constexpr unsigned kMaxMachinesPerRequest = 50;
-constexpr double kShareOfCalls = 0.5;             // of the calls that the cloud takes in a second
-constexpr std::size_t kUnheardShare = 50;         // one node in so many may be up and not heard of
-constexpr double kListLags = 2.0;                 // list lags until what was requested before is in a list
+constexpr double kShareOfCalls = 0.5;      // of the calls that the cloud takes in a second
+constexpr std::size_t kUnheardShare = 50;  // one node in so many may be up and not heard of
+constexpr double kListLags = 2.0;          // list lags until what was requested before is in a list
 // Work of the lowest priority is scaled out for so many times its run and a boot ahead of its objective.
 constexpr double kIdlePriorityLead = 2.0;
 }  // namespace
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -179,7 +179,8 @@
                                          term.starvation_guard.protected_jobs()};
   const PreemptionPlan preemption = choose_victims(preemption_input);
   for (const auto& waived : preemption.waived)
-    std::erase_if(plan.starts, [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.at == waived.at; });
+    std::erase_if(plan.starts,
+                  [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.at == waived.at; });
   for (const auto& victim : preemption.victims) {
     Placement* placement = cluster_state.placement(victim.ref);
     mark_for_stop(*placement, victim.grace_period_s);
--- a/src/controller/scheduling_loop.hpp
+++ b/src/controller/scheduling_loop.hpp
@@ -53,7 +53,7 @@
   CommitQueue& commit_queue_;
   CommandSender& commands_;
   ControllerMetrics& metrics_;
-  PlanInputBuilder plan_input_builder_;          // guarded by SharedState::mutex
+  PlanInputBuilder plan_input_builder_;  // guarded by SharedState::mutex
   std::set<std::string> classes_with_start_targets_;
 };
 
--- a/src/controller/shared_state.hpp
+++ b/src/controller/shared_state.hpp
@@ -59,9 +59,9 @@
   std::condition_variable_any role_changed;
 
   KnownLeader known_leader;
-  std::vector<PeerLink> peers;                                 // in the order of the settings; never resized
-  PartitionLease partition_lease;                              // under which this controller may renew leases in a partition
-  std::unordered_map<std::string, WorkerRedirect> redirects;   // by node; of the known leader
+  std::vector<PeerLink> peers;                                // in the order of the settings; never resized
+  PartitionLease partition_lease;                             // under which this controller may renew leases in a partition
+  std::unordered_map<std::string, WorkerRedirect> redirects;  // by node; of the known leader
 
   // Steady seconds: until then answers that this controller gave, and that may become outdated, can be on their way.
   double answers_valid_until = 0;
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -25,35 +25,35 @@
 
 struct Term {
   // ---- the lead itself
-  std::uint64_t takeover_token = 0;       // fencing token with which the term began
-  std::uint64_t fencing_token = 0;        // now; raised to fence commands without an answer
-  std::uint64_t session_lease = 0;        // of the key-value store; the leader's key is attached to it
-  double lease_valid_until = 0;           // steady seconds: no other controller can lead before
-  double taken_over_at = 0;               // steady seconds
-  QuorumTracker quorum;                   // what the other controllers acknowledged in this term
+  std::uint64_t takeover_token = 0;        // fencing token with which the term began
+  std::uint64_t fencing_token = 0;         // now; raised to fence commands without an answer
+  std::uint64_t session_lease = 0;         // of the key-value store; the leader's key is attached to it
+  double lease_valid_until = 0;            // steady seconds: no other controller can lead before
+  double taken_over_at = 0;                // steady seconds
+  QuorumTracker quorum;                    // what the other controllers acknowledged in this term
   const char* hand_over_reason = nullptr;  // not null: leadership is to be given up in order, and nothing is decided any more
   bool raise_token_requested = false;
   bool leader_key_in_doubt = false;  // a change of its own leader key is under way, or has no answer yet
   double token_raised_at = 0;        // steady seconds
 
   // ---- the ledger and what it says
-  std::optional<ReadLedger> preread_ledger;      // read before the lead was taken
-  std::unique_ptr<ClusterState> cluster_state;   // null until the ledger has been read
+  std::optional<ReadLedger> preread_ledger;     // read before the lead was taken
+  std::unique_ptr<ClusterState> cluster_state;  // null until the ledger has been read
   LedgerWriter ledger_writer;
-  bool first_term_ever = false;                  // the ledger was empty: no earlier leader rented or placed anything
+  bool first_term_ever = false;  // the ledger was empty: no earlier leader rented or placed anything
   bool first_start_committed = false;
-  double last_commit_at = 0;                     // steady seconds
+  double last_commit_at = 0;  // steady seconds
   ActiveVersion active_version;
-  std::uint64_t version_mod_revision = 0;        // of the record that says which format version is active
-  std::optional<rollout::Step> rollout_step;     // planned by RolloutManager, sent by LedgerCommitter
-  std::uint64_t quotas_ticket = 0;               // of the team quotas that were queued last
+  std::uint64_t version_mod_revision = 0;     // of the record that says which format version is active
+  std::optional<rollout::Step> rollout_step;  // planned by RolloutManager, sent by LedgerCommitter
+  std::uint64_t quotas_ticket = 0;            // of the team quotas that were queued last
 
   // ---- scheduling
-  std::set<JobIndex> within_guarantee;           // as the last pass found them
+  std::set<JobIndex> within_guarantee;  // as the last pass found them
   StarvationGuard starvation_guard;
-  std::vector<Plan::Unserved> unserved;          // by the last pass
-  std::set<NodeIndex> starting_nodes;            // a start on them is on its way into the ledger
-  double last_active_at = 0;                     // steady seconds: when work last waited or ended
+  std::vector<Plan::Unserved> unserved;           // by the last pass
+  std::set<NodeIndex> starting_nodes;             // a start on them is on its way into the ledger
+  double last_active_at = 0;                      // steady seconds: when work last waited or ended
   std::map<MachineOffer, double> refused_offers;  // by the cloud; steady seconds at which to try again
 
   // ---- agents
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// Wires the parts together: settings, flags, logging, signals.
+// The thistlefront program: reads flags, variables and the platform's settings, and runs one controller until a signal ends it.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -7,6 +7,8 @@
 #include <cstdlib>
 #include <iostream>
 #include <map>
+#include <optional>
+#include <string>
 #include <thread>
 
 #include "controller/controller.hpp"
@@ -14,13 +16,15 @@
 #include "protocol/settings.hpp"
 #include "transport/threads.hpp"
 
-int main(int argc, char** argv) {
-  CLI::App app{"thistlefront: a cluster scheduler"};
-  std::string config;
-  thistlefront::Options options;
-  app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
-  app.set_version_flag("--version", std::string("thistlefront ") + thistlefront::rollout::kBuild);
-  app.add_option("--config", config, "the platform's settings file (TOML)")->required()->type_name("FILE");
+namespace {
+
+using thistlefront::Options;
+using thistlefront::RelayMode;
+
+constexpr int kRunFailed = 1;
+constexpr int kBadConfiguration = 2;
+
+void add_scheduling_options(CLI::App& app, Options& options) {
   app.add_option("--weight", options.weight, "weight of a second waited in the key")
       ->envname("THISTLEFRONT_WEIGHT")
       ->check(CLI::Range(0.0, 1e6))
@@ -33,7 +37,14 @@
       ->envname("THISTLEFRONT_OVERRUN")
       ->check(CLI::Range(0.1, 86400.0))
       ->capture_default_str();
-  app.add_option("--hold-ms", options.leader_lease_ms, "life of the leader's hold, milliseconds")
+  app.add_option("--rent", options.scale_out, "request machines from the cloud for work that can't be served in time")
+      ->envname("THISTLEFRONT_RENT")
+      ->capture_default_str();
+}
+
+void add_coordination_options(CLI::App& app, Options& options) {
+  static const std::map<std::string, RelayMode> relay_modes{{"off", RelayMode::off}, {"on", RelayMode::on}, {"auto", RelayMode::automatic}};
+  app.add_option("--hold-ms", options.leader_lease_ms, "time to live of the leader's lease, milliseconds")
       ->envname("THISTLEFRONT_HOLD_MS")
       ->check(CLI::Range(500u, 600000u))
       ->capture_default_str();
@@ -42,52 +53,49 @@
       ->check(CLI::Range(thistlefront::ResourceBudget::kLeastThreads, std::size_t{1000000}))
       ->capture_default_str();
   app.add_option("--state-level-most", options.max_format_version,
-                 "highest state level that this controller lets be switched on; a majority held below the one that is on "
+                 "highest format version (state level) that this controller lets be activated; a majority held below the active one "
                  "lowers it")
       ->envname("THISTLEFRONT_STATE_LEVEL_MOST")
       ->check(CLI::Range(thistlefront::rollout::kMinFormatVersion, thistlefront::rollout::kMaxFormatVersion))
       ->capture_default_str();
   app.add_option("--state-level-soak", options.format_version_soak_s,
-                 "seconds for which all controllers must have had a state level before it is switched on")
+                 "seconds for which all controllers must have supported a format version before it is activated")
       ->envname("THISTLEFRONT_STATE_LEVEL_SOAK")
       ->check(CLI::Range(0.0, 604800.0))
       ->capture_default_str();
-  app.add_option("--rent", options.scale_out, "rent machines for work that can't be served in time")
-      ->envname("THISTLEFRONT_RENT")
-      ->capture_default_str();
-  const std::map<std::string, thistlefront::RelayMode> relay_modes{
-      {"off", thistlefront::RelayMode::off}, {"on", thistlefront::RelayMode::on}, {"auto", thistlefront::RelayMode::automatic}};
   app.add_option("--intake", options.relay_mode,
-                 "workers stay with any controller, which passes their reports to the leader in batches: on, off or auto")
+                 "workers stay with any controller, which relays their heartbeats to the leader in batches: on, off or auto")
       ->envname("THISTLEFRONT_INTAKE")
       ->transform(CLI::CheckedTransformer(relay_modes))
       ->default_str("auto");
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e);
-  }
+}
 
+// False, with a line on standard error, where LOG_LEVEL has no known value.
+bool set_up_logging() {
   auto logger = spdlog::stderr_logger_mt("thistlefront");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v", spdlog::pattern_time_type::utc);
   spdlog::set_default_logger(logger);
-  const char* level = std::getenv("LOG_LEVEL");
-  const std::string wanted = level ? level : "info";
+  const char* variable = std::getenv("LOG_LEVEL");  // NOLINT(concurrency-mt-unsafe): no other thread has started
+  const std::string wanted = variable ? variable : "info";
   if (wanted != "error" && wanted != "info" && wanted != "debug") {
     std::cerr << "LOG_LEVEL: not error, info or debug: " << wanted << "\n";
-    return 2;
+    return false;
   }
   spdlog::set_level(spdlog::level::from_str(wanted == "error" ? "err" : wanted));
+  return true;
+}
 
-  thistlefront::configure_process_memory();
-  thistlefront::Settings settings;
+std::optional<thistlefront::Settings> load_settings(const std::string& path) {
   try {
-    settings = thistlefront::load_settings(config);
+    return thistlefront::load_settings(path);
   } catch (const std::exception& e) {
     std::cerr << e.what() << "\n";
-    return 2;
+    return std::nullopt;
   }
-  // SIGTERM and SIGINT end the service in order; the thread that waits for them is the only one that takes them.
+}
+
+// Serves until SIGTERM or SIGINT. The thread that waits for these is the only one that takes them.
+int run_controller(thistlefront::Settings settings, const Options& options) {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -101,7 +109,7 @@
         controller.run(stop);
       } catch (const std::exception& e) {
         std::cerr << e.what() << "\n";
-        std::_Exit(1);
+        std::_Exit(kRunFailed);
       }
     });
     int received = 0;
@@ -109,7 +117,29 @@
     service.request_stop();
   } catch (const std::exception& e) {
     std::cerr << e.what() << "\n";
-    return 1;
+    return kRunFailed;
+  }
+  return EXIT_SUCCESS;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  CLI::App app{"thistlefront: a cluster scheduler"};
+  std::string config;
+  Options options;
+  app.failure_message([](const CLI::App*, const CLI::Error& e) { return std::string(e.what()) + "\n"; });
+  app.set_version_flag("--version", std::string("thistlefront ") + thistlefront::rollout::kBuild);
+  app.add_option("--config", config, "the platform's settings file (TOML)")->required()->type_name("FILE");
+  add_scheduling_options(app, options);
+  add_coordination_options(app, options);
+  try {
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e);
   }
-  return 0;
+  if (!set_up_logging()) return kBadConfiguration;
+  thistlefront::configure_process_memory();
+  auto settings = load_settings(config);
+  return settings ? run_controller(std::move(*settings), options) : kBadConfiguration;
 }
