--- a/src/cluster_state/dependency_graph.cpp
+++ b/src/cluster_state/dependency_graph.cpp
@@ -4,6 +4,8 @@
 #include <cassert>
 #include <utility>
 
+#include "model/invariant.hpp"
+
 namespace thistlefront {
 
 namespace {
@@ -118,7 +120,7 @@
 }
 
 void DependencyGraph::mark_unblocked(Vertex& vertex) {
-  assert(vertex.blocked && blocked_ > 0);
+  THISTLEFRONT_INVARIANT(vertex.blocked && blocked_ > 0);
   vertex.blocked = false;
   --blocked_;
 }
--- a/src/cluster_state/job_dependencies.cpp
+++ b/src/cluster_state/job_dependencies.cpp
@@ -1,9 +1,9 @@
 // How jobs that depend on others become eligible, more urgent or cancelled. The dependency graph decides; what it decides is
 // applied to the jobs here.
 #include <algorithm>
-#include <cassert>
 
 #include "cluster_state/cluster_state.hpp"
+#include "model/invariant.hpp"
 
 namespace thistlefront {
 
@@ -51,7 +51,7 @@
 }
 
 void ClusterState::update_dependents(JobIndex job_index, double ended_at) {
-  assert(jobs_[job_index.value].ended());
+  THISTLEFRONT_INVARIANT(jobs_[job_index.value].ended());
   update_dependency_graph([&](DependencyGraph::Changes& changes) {
     if (jobs_[job_index.value].status == JobStatus::done) {
       dependency_graph_.mark_done(job_index, ended_at, changes);
--- a/src/cluster_state/job_lifecycle.cpp
+++ b/src/cluster_state/job_lifecycle.cpp
@@ -1,9 +1,9 @@
 // How jobs enter the cluster state, become live and are released after their end.
 #include <algorithm>
-#include <cassert>
 #include <utility>
 
 #include "cluster_state/cluster_state.hpp"
+#include "model/invariant.hpp"
 
 namespace thistlefront {
 
@@ -11,7 +11,7 @@
   const JobIndex job_index{static_cast<std::uint32_t>(jobs_.size())};
   jobs_.emplace_back().uid = uid;
   const bool inserted = jobs_by_uid_.emplace(uid, job_index).second;
-  assert(inserted);
+  THISTLEFRONT_INVARIANT(inserted);
   static_cast<void>(inserted);
   return job_index;
 }
@@ -65,7 +65,7 @@
 void ClusterState::deactivate(JobIndex job_index) {
   const std::uint32_t position = std::exchange(jobs_[job_index.value].live_position, kNotLive);
   if (position == kNotLive) return;
-  assert(position < live_.size() && live_[position] == job_index);
+  THISTLEFRONT_INVARIANT(position < live_.size() && live_[position] == job_index);
   // The last live job takes the free position.
   const JobIndex last = live_.back();
   live_.pop_back();
--- a/src/cluster_state/task_placement.cpp
+++ b/src/cluster_state/task_placement.cpp
@@ -1,9 +1,9 @@
 // Placing tasks on nodes, removing them, and marking them done. The counts of a job, the usage of its nodes and the account of
 // its team change together here and nowhere else.
 #include <algorithm>
-#include <cassert>
 
 #include "cluster_state/cluster_state.hpp"
+#include "model/invariant.hpp"
 
 namespace thistlefront {
 
@@ -31,7 +31,7 @@
   job.tasks[task.task] = TaskState::placed;
   --job.pending;
   const auto [it, inserted] = job.placed.emplace(task.task, placement);
-  assert(inserted && has_consistent_counts(job));
+  THISTLEFRONT_INVARIANT(inserted && has_consistent_counts(job));
   static_cast<void>(inserted);
   Node& node = nodes_[placement.node.value];
   node.placed.push_back({task, &it->second});
@@ -49,13 +49,13 @@
   Job& job = jobs_[task.job.value];
   const auto it = job.placed.find(task.task);
   if (it == job.placed.end()) return;
-  assert(job.tasks[task.task] == TaskState::placed);
+  THISTLEFRONT_INVARIANT(job.tasks[task.task] == TaskState::placed);
   remove_from_node(nodes_[it->second.node.value], it->second, job.spec.demand);
   quota_accounts_.refund(job.team, job.spec.demand);
   job.placed.erase(it);
   job.tasks[task.task] = TaskState::pending;
   ++job.pending;
-  assert(has_consistent_counts(job));
+  THISTLEFRONT_INVARIANT(has_consistent_counts(job));
 }
 
 void ClusterState::unplace_all(JobIndex job_index) {
@@ -75,7 +75,7 @@
       job.tasks[task] = TaskState::done;
       --job.pending;
       ++job.done;
-      assert(has_consistent_counts(job));
+      THISTLEFRONT_INVARIANT(has_consistent_counts(job));
     }
   }
   // A job that its user cancelled stays cancelled, whatever its tasks still do.
