--- a/src/cluster_state/failure_attribution.hpp
+++ b/src/cluster_state/failure_attribution.hpp
@@ -28,7 +28,7 @@
   [[nodiscard]] bool is_suspect(JobIndex job) const;
   // Earliest time of a suspect job's next retry; 0: at once.
   [[nodiscard]] double next_try_at(JobIndex job) const;
-  // Nodes on which the job failed lately; older failures no longer keep it off a node.
+  // Nodes on which the job failed recently; older failures no longer keep it off a node.
   [[nodiscard]] std::vector<NodeIndex> avoided_nodes(JobIndex job, double wall) const;
 
   // Whether the node is cordoned: it failed several jobs that are not suspect, with no success in between. It is used again
--- a/src/controller/controller_metrics.hpp
+++ b/src/controller/controller_metrics.hpp
@@ -30,7 +30,7 @@
   // Nodes.
   Count cordoned{0}, unresponsive{0};
   Count handed_over{0}, mismatched_accounts{0};
-  // Seconds by which the renewals of the leader's lease ran late, lately.
+  // Seconds by which the renewals of the leader's lease ran late, recently.
   std::atomic<double> renewal_lag_s{0};
 };
 
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -107,7 +107,7 @@
   HeartbeatDeltaEncoder heartbeats_;
   NameMap<double> heard_at_;  // by worker, steady seconds
   double counted_at_ = 0;
-  std::uint32_t workers_ = 0;  // heard of lately
+  std::uint32_t workers_ = 0;  // heard of recently
   std::uint32_t redirect_count_ = 0;
   std::string redirect_target_;
   bool cut_off_ = false;
--- a/src/controller/resource_budget.cpp
+++ b/src/controller/resource_budget.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 constexpr std::size_t kDuties = 16;               // and one for each peer
-constexpr std::size_t kOwnSockets = 12;           // two that listen, state service, cloud; and some to spare
+constexpr std::size_t kOwnSockets = 12;           // two that listen, the key-value store, the cloud, and some to spare
 constexpr std::size_t kHeartbeatConnections = 1;  // connections to a peer that carry beats
-constexpr std::size_t kFewestClients = 8, kFewestLines = 4;
+constexpr std::size_t kMinClients = 8, kMinWorkerConnections = 4;
 
 std::size_t left_of(std::size_t all, std::size_t taken, std::size_t least) {
   return all > taken + least ? all - taken : least;
@@ -36,8 +36,8 @@
   b.probes = std::clamp<std::size_t>(std::min(threads, sockets) / 32, 2, 64);
   const std::size_t rest = b.peers + 2 * ResourceBudget::kOver + b.senders + b.probes;
   const std::size_t sockets_left = left_of(sockets, own_sockets(peers) + rest, 0);
-  b.clients = std::min({sockets * 11 / 20, left_of(threads, b.own + rest, kFewestClients), std::max(sockets_left * 4 / 5, kFewestClients)});
-  b.worker_connections = left_of(sockets_left, b.clients, kFewestLines);
+  b.clients = std::min({sockets * 11 / 20, left_of(threads, b.own + rest, kMinClients), std::max(sockets_left * 4 / 5, kMinClients)});
+  b.worker_connections = left_of(sockets_left, b.clients, kMinWorkerConnections);
   return b;
 }
 
--- a/src/scheduling/accelerator_reservation.hpp
+++ b/src/scheduling/accelerator_reservation.hpp
@@ -1,4 +1,4 @@
-// Keeps nodes with accelerators free of tasks that need none, as many as the accelerator work has needed lately.
+// Keeps nodes with accelerators free of tasks that need none, as many as the accelerator work has needed recently.
 // Called while the planner's input is built; it marks nodes there and never places or stops anything.
 #pragma once
 #include <map>
--- a/src/scheduling/capacity_release_rate.hpp
+++ b/src/scheduling/capacity_release_rate.hpp
@@ -7,7 +7,7 @@
 
 class CapacityReleaseRate {
  public:
-  // Cores in a second, lately.
+  // Cores in a second, recently.
   [[nodiscard]] double rate(double now) const { return faded(now) / kMemorySeconds; }
   // A task ended and gave these back.
   void add(double cores, double now) {
--- a/src/scheduling/plan_input_builder.hpp
+++ b/src/scheduling/plan_input_builder.hpp
@@ -33,7 +33,7 @@
 };
 
 // Puts starved jobs ahead of all others in `input`, as far as the guard's share of the freed capacity allows; returns
-// them. `release_rate`: cores that come free in a second, lately. Nothing is promoted while a job within a guarantee waits.
+// them. `release_rate`: cores that come free in a second, recently. Nothing is promoted while a job within a guarantee waits.
 std::set<JobIndex> promote_starving_jobs(PlanInput& input, const ClusterState& cluster_state, StarvationGuard& guard, double release_rate,
                                          const PassContext& context, const std::set<JobIndex>& within_guarantee);
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -72,7 +72,7 @@
     return make_room(job, std::min<std::size_t>(wanted, most), {});
   }
 
-  // Units for which room comes in time without stopping anybody, at the rate at which it came lately. A profile knows ends by
+  // Units for which room comes in time without stopping anybody, at the rate at which it came recently. A profile knows ends by
   // estimates only: without this, for each of its tasks a job of 70 stopped another's, a seventh of all work.
   std::uint32_t units_by_release(const PlanJob& job, std::uint32_t wanted) {
     if (job.service || job.demand.accelerators > 0 || job.demand.cores <= 0) return 0;
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -22,7 +22,7 @@
   const Plan& plan;
   const std::set<JobIndex>& within_guarantee;
   double wall = 0;
-  double release_rate = 0;  // cores that come free in a second by themselves, lately, on machines without accelerators
+  double release_rate = 0;  // cores that come free in a second by themselves, recently, on machines without accelerators
   std::set<std::string> classes_with_start_target;  // job classes with a target for their wait
   const std::set<JobIndex>& protected_jobs;         // started by the starvation guard: not stopped for priority alone
 };
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -41,7 +41,7 @@
 struct ScaleOutInput {
   const ClusterState& cluster_state;
   std::vector<UnmetDemand> unmet;         // most urgent first
-  const std::set<MachineOffer>& refused;  // by the cloud, lately
+  const std::set<MachineOffer>& refused;  // by the cloud, recently
   double steady = 0;
   unsigned max_machines = 50;  // machines in one request
 };
--- a/src/scheduling/starvation_guard.hpp
+++ b/src/scheduling/starvation_guard.hpp
@@ -28,7 +28,7 @@
     std::uint32_t units = 0;
     friend bool operator==(const Promotion&, const Promotion&) = default;
   };
-  // Earns the share for the time since the last call. `rate`: cores that come free in a second, lately.
+  // Earns the share for the time since the last call. `rate`: cores that come free in a second, recently.
   void accrue(double rate, double now);
   // Which jobs go first in this pass, and how many units of each: the longest wait first, as far as the balance lasts. While
   // it is above zero, one unit of any size is promoted; the balance is then below zero until as much has been earned.
