--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -106,7 +106,7 @@
 }
 
 HeartbeatAnswer HeartbeatHandler::answer(const Lock& lock, const Heartbeat& heartbeat, Route route) {
-  const HeartbeatAnswer refused{HeartbeatAnswer::Outcome::refused, {}};
+  HeartbeatAnswer refused{HeartbeatAnswer::Outcome::refused, {}};
   if (heartbeat.fencing_token > shared_.term->fencing_token) {
     // The agent has seen a later leader.
     shared_.step_down(lock, "a worker reports a higher fencing token");
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -150,6 +150,7 @@
 // the replicas of the last of 13 dead nodes waited 20 s.
 void InstanceReleaser::probe(std::vector<Probe>& probes) {
   std::vector<std::function<void()>> work;
+  work.reserve(probes.size());
   for (auto& target : probes) work.emplace_back([this, &target] { probe_one(target); });
   run_at_once(work);
 }
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -18,6 +18,7 @@
 
 std::vector<Team> teams_in(const Settings& settings) {
   std::vector<Team> teams;
+  teams.reserve(settings.teams.size());
   for (const auto& team : settings.teams) teams.push_back({team.name, team.guarantee, team.limit, {}});
   return teams;
 }
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -1,5 +1,6 @@
 #include "controller/metrics_reporter.hpp"
 
+#include <initializer_list>
 #include <string_view>
 #include <utility>
 
@@ -13,7 +14,26 @@
 void add_line(std::string& out, std::string_view name, Value value) {
   out += "thistlefront_";
   out += name;
-  out += " " + std::to_string(value) + "\n";
+  out += ' ';
+  out += std::to_string(value);
+  out += '\n';
+}
+
+struct Label {
+  std::string_view name, value;
+};
+
+// In the form of the text format: {name="value",...}.
+std::string label_set(std::initializer_list<Label> labels) {
+  std::string out;
+  for (const auto& label : labels) {
+    out += out.empty() ? '{' : ',';
+    out += label.name;
+    out += "=\"";
+    out += label.value;
+    out += '"';
+  }
+  return out + "}";
 }
 }  // namespace
 
@@ -52,7 +72,7 @@
   add_line(out, "state_level", term ? term->active_version.format_version : 0);  // on the leader alone
   add_line(out, "state_level_writes", term ? term->active_version.writes() : 0);
   add_line(out, "state_level_most", shared_.config.supported_versions.most);
-  if (!rollout_.blocked_by().empty()) out += "thistlefront_state_level_waits_for{reason=\"" + rollout_.blocked_by() + "\"} 1\n";
+  if (!rollout_.blocked_by().empty()) add_line(out, "state_level_waits_for" + label_set({{"reason", rollout_.blocked_by()}}), 1);
   const double unreadable_since = shared_.ledger_unreadable_since;
   add_line(out, "ledger_unread_seconds", unreadable_since != 0 ? steady_now() - unreadable_since : 0.0);
 }
@@ -118,8 +138,7 @@
   add_line(out, "waiting_tasks", pending);
   add_line(out, "placed_tasks", placed);
   for (const auto& summary : summarize_pending(cluster_state, wall_now())) {
-    const std::string labels =
-        "{team=\"" + summary.team + "\",class=\"" + summary.job_class + "\",for=\"" + name_of(summary.reason) + "\"}";
+    const auto labels = label_set({{"team", summary.team}, {"class", summary.job_class}, {"for", name_of(summary.reason)}});
     add_line(out, "waiting_tasks_by" + labels, summary.tasks);
     add_line(out, "unstarted_seconds" + labels, summary.unstarted_s);
   }
@@ -127,7 +146,7 @@
 
 void MetricsReporter::add_teams(std::string& out) const {
   for (const auto& team : shared_.term->cluster_state->teams()) {
-    const std::string labels = "{team=\"" + team.name + "\"}";
+    const auto labels = label_set({{"team", team.name}});
     add_line(out, "team_cores_used" + labels, team.used.cores);
     add_line(out, "team_cores_unplaced" + labels, team.unplaced.cores);
     add_line(out, "team_cores_limit" + labels, team.limit.cores);
@@ -140,7 +159,7 @@
 void MetricsReporter::add_service_levels(std::string& out) const {
   for (const auto& [key, counts] : metrics_.service_levels.counts()) {
     const auto add = [&, &team = key.first, &job_class = key.second](const std::string& name, const char* what, auto value) {
-      add_line(out, name + "{team=\"" + team + "\",class=\"" + job_class + "\",what=\"" + what + "\"}", value);
+      add_line(out, name + label_set({{"team", team}, {"class", job_class}, {"what", what}}), value);
     };
     add("served_jobs_total", "accepted", counts.accepted);
     add("served_jobs_total", "started", counts.started);
--- a/src/transport/frames.hpp
+++ b/src/transport/frames.hpp
@@ -25,7 +25,7 @@
 
 // Header: u32 length of all that follows, u8 version, u8 kind.
 inline constexpr std::uint8_t kFrameVersion = 2;
-inline constexpr std::size_t kMaxFrame = 512 * 1024;
+inline constexpr std::size_t kMaxFrame = std::size_t{512} * 1024;
 
 // Both return false on failure, with the reason in `ec`. A malformed or oversized header is invalid_argument.
 bool read_frame(Stream& stream, Frame& out, ErrorCode& ec);
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -17,6 +17,7 @@
 
 constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
 constexpr int kUsers = 6, kJobsEach = 40, kMachines = 3, kNodesSeenByPeersOnly = 10;
+constexpr double kPauseBefore = 0.2;  // seconds from one cancellation of a user to the next, before the hand-over
 
 class HandOver : public test_support::ClusterFixture, public testing::WithParamInterface<double> {
  protected:
@@ -58,6 +59,8 @@
   // Cancels one job after the other, and repeats each until it is answered.
   void cancel_jobs(int user) {
     std::mt19937 random(static_cast<unsigned>(user) + 1);
+    // Spread over the pause: users that all pause at the same time may miss a short hand-over.
+    wait(kPauseBefore * user / kUsers);
     for (int k = 0; k < kJobsEach; ++k) {
       // Slowly until the hand-over is near, and then as fast as it goes.
       while (k > 8 && handed_over == 0 && cluster->metric(first, "handed_over_total").empty()) wait(0.01);
@@ -65,7 +68,7 @@
       checker.wants_withdrawn(uid);
       while (!cancel_once(uid, random() % 3)) {
       }
-      wait(handed_over == 0 ? 0.2 : 0.02);
+      wait(handed_over == 0 ? kPauseBefore : 0.02);
     }
   }
   bool cancel_once(const std::string& uid, std::size_t replica) {
