--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -33,6 +33,7 @@
   StoreClient store(config.settings.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
   std::vector<FramePool*> pools;
+  pools.reserve(shared_.peers.size());
   for (auto& link : shared_.peers) pools.push_back(link.calls.get());
   RegistryView view(config.settings, config.supported_versions, config.team_quotas, std::move(pools));
   // Before anything else its own record: a switch is conditional on what it says.
--- a/testbed/checker.cpp
+++ b/testbed/checker.cpp
@@ -118,8 +118,14 @@
   const auto name = uid + "/" + std::to_string(task);
   if (std::any_of(on.begin(), on.end(), [&](const auto& m) { return m != machine; }))
     broke("ran_twice", name + " on " + machine + " and on " + *on.begin(), now);
-  for (const auto& need : job.spec.depends_on)
-    if (const auto& of = jobs_.at(need); of.done.size() < of.spec.task_count) broke("too_early", name + " before " + need, now);
+  for (const auto& dependency : job.spec.depends_on) {
+    const auto& other = jobs_.at(dependency);
+    if (other.done.size() >= other.spec.task_count) continue;
+    std::string what = name;
+    what += " before ";
+    what += dependency;
+    broke("too_early", what, now);
+  }
   if (!job.spec.zone.empty() && job.spec.zone != zone) broke("wrong_place", name + " in " + zone, now);
   if (job.cancelled_at > 0 && now > job.cancelled_at + cancel_s_) broke("ran_cancelled", name + " starts", now);
   on.insert(machine);
