--- a/testbed/load_test/load_cluster.cpp
+++ b/testbed/load_test/load_cluster.cpp
@@ -119,9 +119,9 @@
 HttpReply LoadCluster::answer_as_cloud(const HttpCall& call) const {
   if (call.target == "/flavors") return {200, machine_types(kMachineCores, kMachineRamGb, kZones).dump()};
   if (call.method != "GET") return {503, R"({"error":"no capacity"})"};
-  constexpr std::string_view parameter = "from=";
-  const auto found = call.target.find(parameter);
-  const std::string from(found == std::string_view::npos ? "" : call.target.substr(found + parameter.size()));
+  constexpr std::string_view kParameter = "from=";
+  const auto found = call.target.find(kParameter);
+  const std::string from(found == std::string_view::npos ? "" : call.target.substr(found + kParameter.size()));
   const auto& machines = fleet_->machines();
   const auto first = std::upper_bound(machines.begin(), machines.end(), from,
                                       [](const std::string& name, const auto& machine) { return name < machine.name; });
@@ -206,9 +206,9 @@
   if (!answer.is(200)) return out;
   std::istringstream lines(answer.body);
   for (std::string name, value; lines >> name >> value;) {
-    constexpr std::string_view prefix = "thistlefront_";
-    if (!name.starts_with(prefix) || name.find('{') != std::string::npos) continue;
-    out[name.substr(prefix.size())] = std::strtod(value.c_str(), nullptr);
+    constexpr std::string_view kPrefix = "thistlefront_";
+    if (!name.starts_with(kPrefix) || name.find('{') != std::string::npos) continue;
+    out[name.substr(kPrefix.size())] = std::strtod(value.c_str(), nullptr);
   }
   return out;
 }
