--- a/testbed/load_test/hollow_worker.cpp
+++ b/testbed/load_test/hollow_worker.cpp
@@ -266,7 +266,7 @@
   if (!stream_.socket().is_open()) {
     ++fleet_.counters.connects;
     co_await stream_.async_connect(endpoint_of(fleet_.options.controllers[controller_]), ignoring(error));
-    if (!error) stream_.socket().set_option(tcp::no_delay(true), error);
+    if (!error) static_cast<void>(stream_.socket().set_option(tcp::no_delay(true), error));
   }
   if (!error) co_await http::async_write(stream_, request, ignoring(error));
   beast::flat_buffer buffer;
@@ -288,7 +288,7 @@
 
 asio::awaitable<void> HollowWorker::serve(beast::tcp_stream caller) {
   boost::system::error_code error;
-  caller.socket().set_option(tcp::no_delay(true), error);
+  static_cast<void>(caller.socket().set_option(tcp::no_delay(true), error));
   beast::flat_buffer buffer;
   for (;;) {
     Request request;
