--- a/src/cluster_state/cluster_state.cpp
+++ b/src/cluster_state/cluster_state.cpp
@@ -29,10 +29,10 @@
 }
 
 double ClusterState::next_acceptance_time(double wall, double skew_s) const {
-  constexpr double kSpacing_s = 1e-6;
-  constexpr double kSlack_s = 1;
-  const double after_latest = latest_accepted_ + kSpacing_s;
-  return after_latest > wall && after_latest < wall + 2 * skew_s + kSlack_s ? after_latest : wall;
+  constexpr double kSpacingS = 1e-6;
+  constexpr double kSlackS = 1;
+  const double after_latest = latest_accepted_ + kSpacingS;
+  return after_latest > wall && after_latest < wall + 2 * skew_s + kSlackS ? after_latest : wall;
 }
 
 std::optional<std::string> ClusterState::rejection_reason(const JobSpec& spec) const {
--- a/src/cluster_state/failure_attribution.cpp
+++ b/src/cluster_state/failure_attribution.cpp
@@ -11,15 +11,15 @@
 constexpr std::size_t kNodesToSuspect = 3;
 // or in this many waves in a row, on however few nodes.
 constexpr unsigned kWavesToSuspect = 4;
-constexpr double kWave_s = 1.0;  // failures within this time are one wave
+constexpr double kWaveS = 1.0;  // failures within this time are one wave
 
-constexpr double kFirstRetryDelay_s = 2.0;
-constexpr double kMaxRetryDelay_s = 60.0;
+constexpr double kFirstRetryDelayS = 2.0;
+constexpr double kMaxRetryDelayS = 60.0;
 constexpr unsigned kMaxDoublings = 5;
 
 constexpr std::size_t kJobsToCordon = 2;
-constexpr double kFirstCordon_s = 30.0;
-constexpr double kAvoidNode_s = 60.0;
+constexpr double kFirstCordonS = 30.0;
+constexpr double kAvoidNodeS = 60.0;
 constexpr std::size_t kMaxRememberedNodes = 8;  // per job
 
 double doubled(double delay_s, unsigned times) {
@@ -34,7 +34,7 @@
     blame_node(job, node, at);
     return;
   }
-  if (at > evidence.last_failure_at + kWave_s) ++evidence.failure_waves;
+  if (at > evidence.last_failure_at + kWaveS) ++evidence.failure_waves;
   evidence.last_failure_at = at;
   if (evidence.suspect) {
     delay_next_retry(evidence, at);
@@ -57,7 +57,7 @@
   // Tasks of one wave fail together: only a retry made after the delay makes the next delay longer.
   if (at < evidence.not_before) return;
   evidence.failed_retries = std::min(evidence.failed_retries + 1, kMaxDoublings);
-  evidence.not_before = at + std::min(kMaxRetryDelay_s, doubled(kFirstRetryDelay_s, evidence.failed_retries));
+  evidence.not_before = at + std::min(kMaxRetryDelayS, doubled(kFirstRetryDelayS, evidence.failed_retries));
 }
 
 bool FailureAttribution::is_job_at_fault(JobIndex job, const JobEvidence& evidence) const {
@@ -75,7 +75,7 @@
 
 void FailureAttribution::suspect_job(JobIndex job, JobEvidence& evidence, double at) {
   evidence.suspect = true;
-  evidence.not_before = at + kFirstRetryDelay_s;
+  evidence.not_before = at + kFirstRetryDelayS;
   verdicts_.push_back({Verdict::Kind::suspected, job, {}, evidence.failed_on.size(), evidence.not_before});
   for (const auto& [node, failed_at] : evidence.failed_on) clear_node(job, node);
 }
@@ -124,7 +124,7 @@
   NodeEvidence& evidence = nodes_[node];
   evidence.failed_jobs.insert(job);
   if (evidence.failed_jobs.size() < kJobsToCordon || evidence.cordoned_until > at) return;
-  evidence.cordoned_until = at + doubled(kFirstCordon_s, evidence.times_cordoned);
+  evidence.cordoned_until = at + doubled(kFirstCordonS, evidence.times_cordoned);
   // The failed jobs keep counting: once the node is used again, its next failure cordons it.
   ++evidence.times_cordoned;
   verdicts_.push_back({Verdict::Kind::cordoned, job, node, evidence.times_cordoned, evidence.cordoned_until});
@@ -157,7 +157,7 @@
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return avoided;
   for (const auto& [node, failed_at] : it->second.failed_on)
-    if (wall - failed_at < kAvoidNode_s) avoided.push_back(node);
+    if (wall - failed_at < kAvoidNodeS) avoided.push_back(node);
   return avoided;
 }
 
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -14,9 +14,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kMachineTypesPeriod_s = 120.0;
-constexpr double kMinInstancesPeriod_s = 1.0;
-constexpr double kMinRoundPause_s = 0.5;
+constexpr double kMachineTypesPeriodS = 120.0;
+constexpr double kMinInstancesPeriodS = 1.0;
+constexpr double kMinRoundPauseS = 0.5;
 constexpr double kCallsPerRound = 2.0;
 constexpr unsigned kPageSize = 500;
 constexpr double kNever = -1e9;
@@ -50,7 +50,7 @@
       releaser_.release_unneeded(cloud);
       scale_out_.run(cloud);
     }
-    if (!pause_for(stop, std::max(kMinRoundPause_s, kCallsPerRound / settings.cloud_rps))) return;
+    if (!pause_for(stop, std::max(kMinRoundPauseS, kCallsPerRound / settings.cloud_rps))) return;
   }
 }
 
@@ -66,13 +66,13 @@
 
 void CloudManager::refresh(HttpClient& cloud) {
   const double now = steady_now();
-  const double instances_period = std::max(kMinInstancesPeriod_s, shared_.config.settings.list_lag_s / 2);
-  if (now - machine_types_at_ > kMachineTypesPeriod_s && refresh_machine_types(cloud)) machine_types_at_ = now;
+  const double instances_period = std::max(kMinInstancesPeriodS, shared_.config.settings.list_lag_s / 2);
+  if (now - machine_types_at_ > kMachineTypesPeriodS && refresh_machine_types(cloud)) machine_types_at_ = now;
   if (now - instances_at_ > instances_period && refresh_instances(cloud)) instances_at_ = now;
 }
 
 bool CloudManager::refresh_machine_types(HttpClient& cloud) {
-  const auto response = cloud.get(kMachineTypesPath, kCloudTimeout_s);
+  const auto response = cloud.get(kMachineTypesPath, kCloudTimeoutS);
   if (!response.ok()) return false;
   try {
     auto types = parse_machine_types(response.body);
@@ -103,7 +103,7 @@
   std::vector<Instance> all;
   std::string from;
   for (;;) {
-    const auto response = cloud.get(instances_path(from, kPageSize), kCloudTimeout_s);
+    const auto response = cloud.get(instances_path(from, kPageSize), kCloudTimeoutS);
     if (!response.ok()) return false;
     try {
       auto page = parse_instances(response.body);
--- a/src/controller/cloud_timeout.hpp
+++ b/src/controller/cloud_timeout.hpp
@@ -3,6 +3,6 @@
 
 namespace thistlefront {
 
-inline constexpr double kCloudTimeout_s = 5.0;
+inline constexpr double kCloudTimeoutS = 5.0;
 
 }  // namespace thistlefront
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -12,11 +12,11 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kCommandTimeout_s = 1.5;
-constexpr double kPauseAfterFailure_s = 1.5;
+constexpr double kCommandTimeoutS = 1.5;
+constexpr double kPauseAfterFailureS = 1.5;
 constexpr std::size_t kSlots = 6;
-constexpr double kSlotPatience_s = 0.15;  // a node that takes longer to answer is waited for without a slot
-constexpr std::size_t kSlowShare = 4;     // one thread in so many may wait for slow nodes
+constexpr double kSlotPatienceS = 0.15;  // a node that takes longer to answer is waited for without a slot
+constexpr std::size_t kSlowShare = 4;    // one thread in so many may wait for slow nodes
 }  // namespace
 
 CommandSender::CommandSender(SharedState& shared, AgentMessages& agent_messages)
@@ -141,13 +141,13 @@
 }
 
 std::optional<Heartbeat> CommandSender::post(HttpClient& client, const Request& request, bool& has_slot, bool& unanswered) {
-  Late give_up_slot{steady_now() + kSlotPatience_s, [&] {
+  Late give_up_slot{steady_now() + kSlotPatienceS, [&] {
                       Lock lock(shared_.mutex);
                       has_slot = false;
                       --busy_slots_;
                       assign_slots();
                     }};
-  const auto result = client.post(kCommandsPath, request.body, kCommandTimeout_s, &give_up_slot);
+  const auto result = client.post(kCommandsPath, request.body, kCommandTimeoutS, &give_up_slot);
   unanswered = result.delivery == Delivery::in_doubt;
   if (!result.is(200) && !result.is(409)) return std::nullopt;
   try {
@@ -175,7 +175,7 @@
     return;
   }
   if (term.commands_failing_since == 0) term.commands_failing_since = steady_now();
-  queue_.back_off(request.node, steady_now() + kPauseAfterFailure_s);
+  queue_.back_off(request.node, steady_now() + kPauseAfterFailureS);
 }
 
 void CommandSender::apply_answer(const Lock& lock, const Request& request, const Heartbeat& report) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -14,7 +14,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kSleep_s = 3600;  // of the thread that waits for the process to be stopped
+constexpr double kSleepS = 3600;  // of the thread that waits for the process to be stopped
 
 HeartbeatCache& heartbeat_cache_of(std::any& session) {
   if (!session.has_value()) session.emplace<HeartbeatCache>();
@@ -68,7 +68,7 @@
       std::make_unique<HttpServer>(settings.client_listen, config_.budget.clients, [this](const HttpCall& c) { return on_http(c); });
   start_duties();
   log_configuration();
-  while (pause_for(stop, kSleep_s)) {
+  while (pause_for(stop, kSleepS)) {
   }
   spdlog::info("controller: stopping");
   stop_duties();
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -13,12 +13,12 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kForwardTimeout_s = 2.5;      // the agent itself waits 4 s
-constexpr double kRelayTimeout_s = 3.0;        // the same
-constexpr double kPartitionLeaseWait_s = 3.6;  // after a heartbeat came: the leader is taken for silent after 3 s
-constexpr double kLookAgain_s = 0.1;
-constexpr double kRedirectWindow_s = 12.0;      // an agent that is back sooner can't reach the leader
-constexpr double kForwardWindow_s = 30.0;       // then it is redirected once more
+constexpr double kForwardTimeoutS = 2.5;      // the agent itself waits 4 s
+constexpr double kRelayTimeoutS = 3.0;        // the same
+constexpr double kPartitionLeaseWaitS = 3.6;  // after a heartbeat came: the leader is taken for silent after 3 s
+constexpr double kLookAgainS = 0.1;
+constexpr double kRedirectWindowS = 12.0;       // an agent that is back sooner can't reach the leader
+constexpr double kForwardWindowS = 30.0;        // then it is redirected once more
 constexpr double kAnnouncedShareOfLease = 0.6;  // after a takeover: so long its token may come from a command
 
 HttpReply redirect_to(std::string_view label) {
@@ -48,7 +48,7 @@
 
 std::optional<HttpReply> HeartbeatHandler::relay(Lock& lock, const Heartbeat& heartbeat) {
   lock.unlock();
-  const auto result = relay_.relay(heartbeat, kRelayTimeout_s);
+  const auto result = relay_.relay(heartbeat, kRelayTimeoutS);
   lock.lock();
   using Outcome = HeartbeatRelay::RelayResult::Outcome;
   const bool cut_off = result.outcome == Outcome::not_answered && relay_.is_cut_off();
@@ -67,10 +67,10 @@
 // 151 of some 400 lost their lease in a partition of 47 s.
 std::optional<HttpReply> HeartbeatHandler::await_partition_lease(Lock& lock, const Heartbeat& heartbeat, double now) {
   const bool may_renew = heartbeat.zone == shared_.config.settings.site && shared_.partition_lease.is_granted(now);
-  while (may_renew && relay_.is_cut_off() && shared_.role == Role::follower && steady_now() < now + kPartitionLeaseWait_s) {
+  while (may_renew && relay_.is_cut_off() && shared_.role == Role::follower && steady_now() < now + kPartitionLeaseWaitS) {
     if (auto reply = renew_in_partition(heartbeat)) return reply;
     lock.unlock();
-    std::this_thread::sleep_for(std::chrono::duration<double>(kLookAgain_s));
+    std::this_thread::sleep_for(std::chrono::duration<double>(kLookAgainS));
     lock.lock();
   }
   return std::nullopt;
@@ -95,13 +95,13 @@
   // where agents stay with any controller.
   const bool was_with_leader =
       !relaying && heartbeat.fencing_token >= leader.takeover_token && now - leader.since > kAnnouncedShareOfLease * settings.lease_s;
-  const bool left_leader = was_with_leader || now - redirect.redirected_at < kRedirectWindow_s;
+  const bool left_leader = was_with_leader || now - redirect.redirected_at < kRedirectWindowS;
   if (now < redirect.forward_until) return false;
   if (!left_leader || redirect.forward_until > 0) {
     redirect = {now, 0};
     return true;
   }
-  redirect = {-1e9, now + kForwardWindow_s};
+  redirect = {-1e9, now + kForwardWindowS};
   return false;
 }
 
@@ -110,7 +110,7 @@
   const std::string leader = shared_.known_leader.label;
   lock.unlock();
   if (!pool) return redirect_to("");
-  const auto answer = pool->ask(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeout_s);
+  const auto answer = pool->ask(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeoutS);
   auto reply = answer ? unpack_reply(*answer, asked_at) : std::nullopt;
   lock.lock();
   // Not if a later leader was confirmed meanwhile: nothing is answered under an older token from then on.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -16,9 +16,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLedgerWait_s = 1.0;            // for the ledger to be read; the agent itself waits 4 s
-constexpr double kCommandsLost_s = 2.0;          // without an answered command, though some were sent
-constexpr double kCountPeriod_s = 1.0;           // how often the leader counts its own agents
+constexpr double kLedgerWaitS = 1.0;             // for the ledger to be read; the agent itself waits 4 s
+constexpr double kCommandsLostS = 2.0;           // without an answered command, though some were sent
+constexpr double kCountPeriodS = 1.0;            // how often the leader counts its own agents
 constexpr double kRecentHeartbeatPeriods = 2.5;  // heartbeat intervals within which an agent counts as heard
 
 HttpReply redirect_to(std::string_view label) {
@@ -90,13 +90,13 @@
 
 void HeartbeatHandler::await_ledger(Lock& lock) {
   const auto term = shared_.term_number;
-  commit_queue_.wait_for_progress(lock, kLedgerWait_s,
+  commit_queue_.wait_for_progress(lock, kLedgerWaitS,
                                   [&] { return !shared_.is_term(term) || shared_.term->cluster_state || shared_.term->hand_over_reason; });
 }
 
 std::size_t HeartbeatHandler::count_direct_agents(double now) {
   Term& term = *shared_.term;
-  if (now - term.direct_agents_at < kCountPeriod_s) return term.direct_agents;
+  if (now - term.direct_agents_at < kCountPeriodS) return term.direct_agents;
   term.direct_agents_at = now;
   const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
   const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent;
@@ -162,7 +162,7 @@
 // An agent that stays with a peer has not tried to reach this controller: what is known is whether commands reach it.
 void HeartbeatHandler::record_direct_contact(Node& node, Route route, bool stale, double now) const {
   const double failing_since = shared_.term->commands_failing_since;
-  const bool commands_arrive = !node.commands.failing && (failing_since == 0 || now - failing_since < kCommandsLost_s);
+  const bool commands_arrive = !node.commands.failing && (failing_since == 0 || now - failing_since < kCommandsLostS);
   const bool reachable = route == Route::direct || (route == Route::relayed && commands_arrive);
   if (reachable && !stale) node.agent.last_direct_contact_at = now;
 }
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -13,20 +13,20 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kBatchPeriod_s = 0.05;    // from one batch to the next, at least
-constexpr double kBatchTimeout_s = 1.2;    // for an answer
-constexpr double kAskAgain_s = 2.0;        // a leader that accepted no batches may begin to
-constexpr double kAnnouncePeriod_s = 1.0;  // a relay without heartbeats tells the leader that it is there
+constexpr double kBatchPeriodS = 0.05;    // from one batch to the next, at least
+constexpr double kBatchTimeoutS = 1.2;    // for an answer
+constexpr double kAskAgainS = 2.0;        // a leader that accepted no batches may begin to
+constexpr double kAnnouncePeriodS = 1.0;  // a relay without heartbeats tells the leader that it is there
 // A leader that ended is succeeded sooner; one that can't be reached from here for longer, and still leads, is perhaps reached by
 // the agents themselves.
-constexpr double kLinkPatience_s = 2.2;
-constexpr double kFailurePause_s = 0.1;
-constexpr double kNoLeaderPause_s = 0.05;  // until it is looked again who leads
+constexpr double kLinkPatienceS = 2.2;
+constexpr double kFailurePauseS = 0.1;
+constexpr double kNoLeaderPauseS = 0.05;  // until it is looked again who leads
 constexpr std::size_t kMaxBatchBytes = std::size_t{256} * 1024;
 constexpr std::size_t kMaxHeartbeatsInBatch = 1024;
 constexpr std::size_t kMaxWaiting = 4096;  // heartbeats; a connection has one at a time
-constexpr double kAgentMemory_s = 20.0;    // an agent that was heard of within this time counts
-constexpr double kCountPeriod_s = 1.0;
+constexpr double kAgentMemoryS = 20.0;     // an agent that was heard of within this time counts
+constexpr double kCountPeriodS = 1.0;
 }  // namespace
 
 HeartbeatRelay::RelayResult HeartbeatRelay::relay(const Heartbeat& heartbeat, double timeout_s) {
@@ -71,17 +71,17 @@
   while (!stop.stop_requested()) {
     {
       std::unique_lock lock(mutex_);
-      queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnouncePeriod_s), [&] { return !waiting_.empty(); });
+      queue_filled_.wait_for(lock, stop, std::chrono::duration<double>(kAnnouncePeriodS), [&] { return !waiting_.empty(); });
     }
     if (stop.stop_requested()) break;
     const double began = steady_now();
     find_leader();
-    double rest = kBatchPeriod_s;
+    double rest = kBatchPeriodS;
     if (!lead_) {
-      rest = kNoLeaderPause_s;
+      rest = kNoLeaderPauseS;
     } else if (leader_support_ == LeaderSupport::unknown) {
       query_leader_support(*lead_);
-      rest = leader_support_ == LeaderSupport::unknown ? kFailurePause_s : 0;
+      rest = leader_support_ == LeaderSupport::unknown ? kFailurePauseS : 0;
     } else if (leader_support_ == LeaderSupport::yes) {
       send_batch(*lead_);
     }
@@ -103,13 +103,13 @@
     record_contact();
     redirect_count_ = 0;
   }
-  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgain_s) leader_support_ = LeaderSupport::unknown;
+  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgainS) leader_support_ = LeaderSupport::unknown;
 }
 
 // Older builds, and leaders whose operator has switched it off, accept no batches: agents are then redirected to the leader.
 void HeartbeatRelay::query_leader_support(const Lead& lead) {
   const double asked = steady_now();
-  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeout_s);
+  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
   const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(asked);
@@ -127,7 +127,7 @@
   HeartbeatBatch batch;
   const auto sent = collect_batch(batch, lead);
   const double asked = steady_now();
-  const auto frame = lead.pool->ask(pack(batch), kBatchTimeout_s);
+  const auto frame = lead.pool->ask(pack(batch), kBatchTimeoutS);
   const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
   const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_token == lead.takeover_token;
@@ -204,7 +204,7 @@
   std::lock_guard lock(mutex_);
   cut_off_ = !reaches_store;
   if (failing_since_ == 0) failing_since_ = since;
-  if (steady_now() - failing_since_ < kLinkPatience_s) return;
+  if (steady_now() - failing_since_ < kLinkPatienceS) return;
   leader_support_ = LeaderSupport::no;
   asked_at_ = steady_now();
   refuse_waiting();
@@ -232,10 +232,10 @@
 }
 
 std::uint32_t HeartbeatRelay::count_workers(double now) {
-  if (now - counted_at_ < kCountPeriod_s) return workers_;
+  if (now - counted_at_ < kCountPeriodS) return workers_;
   counted_at_ = now;
   std::erase_if(heard_at_, [&](const auto& heard) {
-    if (now - heard.second <= kAgentMemory_s) return false;
+    if (now - heard.second <= kAgentMemoryS) return false;
     heartbeats_.forget(heard.first);
     return true;
   });
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -21,13 +21,13 @@
 
 namespace {
 constexpr std::size_t kMaxReleases = 50;  // in one round
-constexpr double kQuiet_s = 20.0;         // no work is pending or runs, services aside, for so long
-constexpr double kIdleLimitQuiet_s = 20.0;
-constexpr double kIdleLimitBusy_s = 300.0;
+constexpr double kQuietS = 20.0;          // no work is pending or runs, services aside, for so long
+constexpr double kIdleLimitQuietS = 20.0;
+constexpr double kIdleLimitBusyS = 300.0;
 constexpr double kSilentHeartbeats = 2.0;   // heartbeat intervals
 constexpr double kDirectHeartbeats = 1.45;  // heartbeat intervals within which a node that reaches this leader has been heard
 constexpr std::size_t kDirectShare = 3;     // one node in so many must be heard directly, or this leader does not judge
-constexpr double kProbeTimeout_s = 1.0;
+constexpr double kProbeTimeoutS = 1.0;
 constexpr std::size_t kProbesBeforeHandOver = 5;
 constexpr double kMuteLeases = 3.0;  // leases for which a running instance may go unheard of
 
@@ -43,7 +43,7 @@
 
 void InstanceReleaser::release(HttpClient& cloud, const std::vector<std::string>& names, Reason reason) {
   if (names.empty()) return;
-  const auto response = cloud.post(kReleasePath, release_body(names), kCloudTimeout_s);
+  const auto response = cloud.post(kReleasePath, release_body(names), kCloudTimeoutS);
   if (!response.ok()) return;
   Lock lock(shared_.mutex);
   if (shared_.role != Role::leading) return;
@@ -70,8 +70,8 @@
   Look out;
   out.now = steady_now();
   // With no work about, an instance is released soon; else it is kept a while, for boots and image fetches take time.
-  out.is_quiet = out.now - std::max(term.last_active_at, term.taken_over_at) > kQuiet_s;
-  out.idle_limit_s = out.is_quiet ? kIdleLimitQuiet_s : kIdleLimitBusy_s;
+  out.is_quiet = out.now - std::max(term.last_active_at, term.taken_over_at) > kQuietS;
+  out.idle_limit_s = out.is_quiet ? kIdleLimitQuietS : kIdleLimitBusyS;
   out.is_settled = out.now - term.taken_over_at > kMuteLeases * lease_s;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
@@ -157,7 +157,7 @@
 
 void InstanceReleaser::probe_one(Probe& target) {
   HttpClient agent(target.address);
-  const auto response = agent.get(kWorkerStatusPath, kProbeTimeout_s);
+  const auto response = agent.get(kWorkerStatusPath, kProbeTimeoutS);
   if (!response.ok()) return;
   target.answered = true;
   try {
@@ -233,7 +233,7 @@
   std::erase_if(probes, [](const Probe& p) { return p.answered; });
   if (probes.empty()) return;
   // A partition may refuse connections at once: by the second look it must show in what is heard of the zone.
-  if (!pause_for(stop, std::max(0.0, began + kProbeTimeout_s - steady_now()))) return;
+  if (!pause_for(stop, std::max(0.0, began + kProbeTimeoutS - steady_now()))) return;
   std::vector<std::string> names;
   {
     // Looked at once more: a partition may have begun just before they were probed, or one was heard of through a peer.
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -16,18 +16,18 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLeaseMargin_s = 0.05;
-constexpr unsigned kWatch_ms = 10000;
-constexpr double kStorePause_s = 0.3;      // where the key-value store does not answer
-constexpr double kMalformedPause_s = 1.0;  // where its keys can't be read
-constexpr double kLookAgain_s = 0.3;
-constexpr double kLeasePause_s = 0.2;
-constexpr double kIsolationBackoff_s = 4.0;  // of one that was cut off, before it tries to lead again
-constexpr double kOthersFirst_s = 3.0;       // one that backs off leads all the same when nobody else has for so long
-constexpr double kMaxJitter_s = 0.05;
-constexpr double kLagMemory = 0.7;       // of the lateness before, at each renewal
-constexpr double kLastCommit_s = 0.4;    // what is queued may go into the ledger before the lease is given back
-constexpr double kBehindOthers_s = 0.3;  // one that cleared the key of its own earlier process lets the others go first
+constexpr double kLeaseMarginS = 0.05;
+constexpr unsigned kWatchMs = 10000;
+constexpr double kStorePauseS = 0.3;      // where the key-value store does not answer
+constexpr double kMalformedPauseS = 1.0;  // where its keys can't be read
+constexpr double kLookAgainS = 0.3;
+constexpr double kLeasePauseS = 0.2;
+constexpr double kIsolationBackoffS = 4.0;  // of one that was cut off, before it tries to lead again
+constexpr double kOthersFirstS = 3.0;       // one that backs off leads all the same when nobody else has for so long
+constexpr double kMaxJitterS = 0.05;
+constexpr double kLagMemory = 0.7;      // of the lateness before, at each renewal
+constexpr double kLastCommitS = 0.4;    // what is queued may go into the ledger before the lease is given back
+constexpr double kBehindOthersS = 0.3;  // one that cleared the key of its own earlier process lets the others go first
 constexpr double kRenewalsPerLease = 4.0;
 }  // namespace
 
@@ -55,13 +55,13 @@
     shared_.observe_leader(snapshot->leader_mod_revision, snapshot->leader->label);
   }
   if (snapshot->leader->label == shared_.config.settings.label && !clear_own_key(store, stop, *snapshot)) return true;
-  return store.watch(kLeadershipPrefix, revision, kWatch_ms) == StoreStatus::ok || pause_for(stop, kStorePause_s);
+  return store.watch(kLeadershipPrefix, revision, kWatchMs) == StoreStatus::ok || pause_for(stop, kStorePauseS);
 }
 
 std::optional<LeaderElection::Snapshot> LeaderElection::read_snapshot(StoreClient& store, std::stop_token stop, std::uint64_t& revision) {
   Rows rows;
   if (store.list(kLeadershipPrefix, rows) != StoreStatus::ok) {
-    pause_for(stop, kStorePause_s);
+    pause_for(stop, kStorePauseS);
     return std::nullopt;
   }
   revision = rows.revision;
@@ -69,7 +69,7 @@
     return rollout::parse_leadership_keys(rows.rows);
   } catch (const std::exception& e) {
     spdlog::error("key-value store: leader keys malformed: {}", e.what());
-    pause_for(stop, kMalformedPause_s);
+    pause_for(stop, kMalformedPauseS);
     return std::nullopt;
   }
 }
@@ -88,9 +88,9 @@
   if (vacant_since_ == 0) vacant_since_ = now;
   // One that handed over lets the others go first; not for long, since a leader that the agents reach badly is better than none.
   const double backoff = backoff_.remaining(now);
-  if (backoff > 0 && now - vacant_since_ < kOthersFirst_s) return pause_for(stop, std::min(backoff, kLookAgain_s));
+  if (backoff > 0 && now - vacant_since_ < kOthersFirstS) return pause_for(stop, std::min(backoff, kLookAgainS));
   // Controllers that saw the key go at the same moment try one after the other.
-  const double jitter = std::uniform_real_distribution<double>(0, kMaxJitter_s)(random_);
+  const double jitter = std::uniform_real_distribution<double>(0, kMaxJitterS)(random_);
   if (!pause_for(stop, jitter)) return false;
   if (take_leadership(store, stop, snapshot)) {
     hold_leadership(store, stop);
@@ -103,7 +103,7 @@
   const auto& config = shared_.config;
   const LeaderValue value{config.settings.label, config.incarnation};
   if (!rollout::acquire_leadership_step(snapshot, config.supported_versions, value, 0)) {
-    pause_for(stop, kLookAgain_s);
+    pause_for(stop, kLookAgainS);
     return false;
   }
   // While nobody leads, nothing in the ledger changes. Read first, an outage that begins just now leaves the agents with a leader
@@ -111,7 +111,7 @@
   // nodes expire.
   auto result = recovery_.read(store, stop, [] { return false; });
   if (std::holds_alternative<ReadAborted>(result)) {
-    pause_for(stop, kLookAgain_s);
+    pause_for(stop, kLookAgainS);
     return false;
   }
   std::optional<ReadLedger> ledger;
@@ -128,7 +128,7 @@
   AcquiredLease lease;
   lease.requested_at = steady_now();
   if (store.create_lease(config.options.leader_lease_ms, lease.session_lease) != StoreStatus::ok) {
-    pause_for(stop, kLeasePause_s);
+    pause_for(stop, kLeasePauseS);
     return std::nullopt;
   }
   const LeaderValue value{config.settings.label, config.incarnation};
@@ -163,7 +163,7 @@
 
 double LeaderElection::lease_valid_until(double requested_at) const {
   const double lease_s = shared_.config.options.leader_lease_ms / 1000.0;
-  return requested_at + lease_s * (1 - kClockDrift) - kLeaseMargin_s;
+  return requested_at + lease_s * (1 - kClockDrift) - kLeaseMarginS;
 }
 
 std::unique_ptr<Term> LeaderElection::make_term(const AcquiredLease& lease, const Snapshot& snapshot,
@@ -262,7 +262,7 @@
     shared_.partition_lease.grant(term.fencing_token, requested_at, oldest_cancellation_s);
   }
   if (is_isolated(shared_)) {
-    hand_over(lock, store, session_lease, "isolated from its peers and most workers", kIsolationBackoff_s);
+    hand_over(lock, store, session_lease, "isolated from its peers and most workers", kIsolationBackoffS);
     return false;
   }
   if (term.hand_over_reason) {
@@ -293,7 +293,7 @@
 void LeaderElection::hand_over(Lock& lock, StoreClient& store, std::uint64_t session_lease, const char* reason, double backoff_s) {
   const auto term = shared_.term_number;
   shared_.term->hand_over_reason = reason;  // from here on nothing is decided
-  commit_queue_.wait_for_progress(lock, kLastCommit_s, [&] { return !shared_.is_term(term) || commit_queue_.is_idle(); });
+  commit_queue_.wait_for_progress(lock, kLastCommitS, [&] { return !shared_.is_term(term) || commit_queue_.is_idle(); });
   if (shared_.is_term(term)) shared_.step_down(lock, reason);
   ++metrics_.counters.handed_over;
   backoff_.extend_until(steady_now() + backoff_s);
@@ -314,7 +314,7 @@
   const auto& config = shared_.config;
   if (snapshot.leader->incarnation == config.incarnation) return true;
   // What that process told the others may be on its way to users for a moment yet.
-  if (const double left = config.started_at + kAnswerLife_s + kLeaseMargin_s - steady_now(); left > 0) {
+  if (const double left = config.started_at + kAnswerLifeS + kLeaseMarginS - steady_now(); left > 0) {
     pause_for(stop, left);
     return false;
   }
@@ -323,12 +323,12 @@
   const auto status = store.commit(rollout::release_leadership_step(snapshot).body(), revision, failed);
   if (status != StoreStatus::ok) {
     // Another one's key by now, or no answer: it is looked at once more.
-    pause_for(stop, kLookAgain_s);
+    pause_for(stop, kLookAgainS);
     return false;
   }
   spdlog::info("leader: key of an earlier process of this controller removed, fencing token {}", snapshot.leader_mod_revision);
   // A process that ends as soon as it leads must not be the next one again and again.
-  backoff_.extend_until(std::max(backoff_.ends_at(), steady_now() + kBehindOthers_s));
+  backoff_.extend_until(std::max(backoff_.ends_at(), steady_now() + kBehindOthersS));
   return false;
 }
 
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -8,10 +8,10 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kPeersLost_s = 3.0;  // no peer has answered for so long
+constexpr double kPeersLostS = 3.0;  // no peer has answered for so long
 
 Reachability recent_reachability(const SharedState& shared, double now) {
-  return measure_reachability(*shared.term->cluster_state, now, kPeersLost_s + shared.config.settings.heartbeat_interval_s);
+  return measure_reachability(*shared.term->cluster_state, now, kPeersLostS + shared.config.settings.heartbeat_interval_s);
 }
 
 void extend(std::vector<double>& until_by_zone, ZoneIndex zone, double until) {
@@ -49,7 +49,7 @@
   const double now = steady_now();
   if (shared.peers.empty() || shared.role != Role::leading) return false;
   const Term& term = *shared.term;
-  if (now - term.taken_over_at < shared.config.settings.lease_s || !term.quorum.is_isolated(now, kPeersLost_s)) return false;
+  if (now - term.taken_over_at < shared.config.settings.lease_s || !term.quorum.is_isolated(now, kPeersLostS)) return false;
   const auto heard = recent_reachability(shared, now);
   return heard.known > 2 * heard.recent;
 }
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 constexpr double kRewriteShare = 0.2;  // of the writes: for entries of another format version, while nothing else is to be written
-constexpr double kRetryPause_s = 0.15;
-constexpr double kRecoveryPause_s = 0.2;
-constexpr double kRaisePause_s = 0.2;
-constexpr double kLeastWait_s = 0.001;
+constexpr double kRetryPauseS = 0.15;
+constexpr double kRecoveryPauseS = 0.2;
+constexpr double kRaisePauseS = 0.2;
+constexpr double kLeastWaitS = 0.001;
 
 // Processor cores that the tasks gave back, on nodes without accelerators.
 double released_cores(const ClusterState& cluster_state, const TasksCompletedRecord& completion) {
@@ -48,7 +48,7 @@
     const auto term = shared_.term_number;
     lock.unlock();
     if (!recovery_.recover(store, stop, term)) {
-      if (!pause_for(stop, kRecoveryPause_s)) return;
+      if (!pause_for(stop, kRecoveryPauseS)) return;
       continue;
     }
     lock.lock();
@@ -87,7 +87,7 @@
     commit_queue_.wait_for_work(lock, stop, has_work);
   }
   if (!stop.stop_requested() && !is_due())
-    commit_queue_.wait_for_work(lock, stop, std::max(commit_queue_.due_at() - steady_now(), kLeastWait_s), is_due);
+    commit_queue_.wait_for_work(lock, stop, std::max(commit_queue_.due_at() - steady_now(), kLeastWaitS), is_due);
   return !stop.stop_requested() && shared_.is_term(term);
 }
 
@@ -191,7 +191,7 @@
     if (!shared_.is_term(term)) return false;
     if (commit_queue_.record_failure(steady_now())) spdlog::info("ledger: not writable");
   }
-  if (!pause_for(stop, kRetryPause_s)) return false;
+  if (!pause_for(stop, kRetryPauseS)) return false;
   Lock lock(shared_.mutex);
   return shared_.is_term(term);
 }
@@ -310,7 +310,7 @@
   if (status == StoreStatus::ok) token = revision;
   bool deposed = status == StoreStatus::refused;
   if (status == StoreStatus::conflict) resolve_raise(store, key, old_token, token, deposed);
-  if (!deposed && !token) pause_for(stop, kRaisePause_s);
+  if (!deposed && !token) pause_for(stop, kRaisePauseS);
   lock.lock();
   if (!shared_.is_term(number)) return false;
   if (deposed) {
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -12,9 +12,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRereadPause_s = 1.0;
-constexpr double kRetryPause_s = 0.1;         // where the key-value store does not answer
-constexpr double kKeepUnreadableFor_s = 8.0;  // so long one that can't read keeps the lead, where nobody can
+constexpr double kRereadPauseS = 1.0;
+constexpr double kRetryPauseS = 0.1;         // where the key-value store does not answer
+constexpr double kKeepUnreadableForS = 8.0;  // so long one that can't read keeps the lead, where nobody can
 
 std::vector<Team> teams_in(const Settings& settings) {
   std::vector<Team> teams;
@@ -34,7 +34,7 @@
   for (bool first = true;; first = false) {
     EntryPage page;
     while (store.list_entries(kLedgerPrefix, from, page) != StoreStatus::ok)
-      if (stop.stop_requested() || !retry() || !pause_for(stop, kRetryPause_s)) return ReadAborted{};
+      if (stop.stop_requested() || !retry() || !pause_for(stop, kRetryPauseS)) return ReadAborted{};
     if (first) out.revision = page.revision;
     bool readable = true;
     for (auto& row : page.rows) {
@@ -66,7 +66,7 @@
       Lock lock(shared_.mutex);
       return shared_.is_term(term);
     }();
-    aborted = !is_current || !pause_for(stop, kRetryPause_s);
+    aborted = !is_current || !pause_for(stop, kRetryPauseS);
     if (aborted) return std::nullopt;
   }
   return changed ? std::nullopt : std::move(ledger);
@@ -84,7 +84,7 @@
     });
     if (const auto* unreadable = std::get_if<UnreadableLedger>(&result)) {
       handle_unreadable(unreadable->reason);
-      pause_for(stop, kRereadPause_s);
+      pause_for(stop, kRereadPauseS);
       return false;
     }
     if (!std::holds_alternative<ReadLedger>(result)) return false;
@@ -129,7 +129,7 @@
   if (!again) shared_.ledger_unreadable_since = now;
   // Nobody else could read it either: for the sake of the agents' leases one keeps the lead for a while, and then lets others
   // try.
-  if (again && now < shared_.term->taken_over_at + kKeepUnreadableFor_s) return;
+  if (again && now < shared_.term->taken_over_at + kKeepUnreadableForS) return;
   shared_.term->hand_over_reason = "ledger unreadable";
 }
 
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -11,19 +11,19 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kPeerHeartbeatPeriod_s = 0.5;
-constexpr double kPeerHeartbeatTimeout_s = 1.0;
+constexpr double kPeerHeartbeatPeriodS = 0.5;
+constexpr double kPeerHeartbeatTimeoutS = 1.0;
 constexpr double kMsPerSecond = 1000;
 }  // namespace
 
 void PeerMonitor::run(std::stop_token stop, std::size_t peer) {
   auto& link = shared_.peers[peer];
   bool reachable = true;
-  while (pause_for(stop, kPeerHeartbeatPeriod_s)) {
+  while (pause_for(stop, kPeerHeartbeatPeriodS)) {
     const auto sent = next_heartbeat(stop, link);
     if (!sent) return;
     const double sent_at = steady_now();
-    const auto answer = link.heartbeats->ask(pack(sent->heartbeat), kPeerHeartbeatTimeout_s);
+    const auto answer = link.heartbeats->ask(pack(sent->heartbeat), kPeerHeartbeatTimeoutS);
     const auto ack = answer ? unpack_peer_heartbeat_ack(*answer) : std::nullopt;
     if (reachable != ack.has_value()) {
       reachable = ack.has_value();
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -9,8 +9,8 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kAskTimeout_s = 1.0;
-constexpr double kRetryPause_s = 1.0;
+constexpr double kAskTimeoutS = 1.0;
+constexpr double kRetryPauseS = 1.0;
 }  // namespace
 
 RegistryView::RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas file, std::vector<FramePool*> pools)
@@ -34,7 +34,7 @@
       // Without an answer the record is looked at once more.
       if (step.kind == rollout::Step::Kind::none || store.commit(step.body(), revision, failed) == StoreStatus::ok) break;
     }
-    if (!pause_for(stop, kRetryPause_s)) return false;
+    if (!pause_for(stop, kRetryPauseS)) return false;
   }
   spdlog::info("build {}: supports format versions {} to {}, allows up to {} to be activated", supported_versions_.build,
                supported_versions_.least, supported_versions_.most, supported_versions_.wants);
@@ -43,7 +43,7 @@
 
 std::optional<HttpReply> RegistryView::ask(FramePool& peer, const char* target) {
   const double asked = steady_now();
-  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kAskTimeout_s);
+  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kAskTimeoutS);
   return answer ? unpack_reply(*answer, asked) : std::nullopt;
 }
 
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -11,14 +11,14 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kCommitWait_s = 2.0;      // a submission not in the ledger by then is given up on
-constexpr double kForwardTimeout_s = 1.8;  // users' polls wait 2 s
+constexpr double kCommitWaitS = 2.0;      // a submission not in the ledger by then is given up on
+constexpr double kForwardTimeoutS = 1.8;  // users' polls wait 2 s
 constexpr int kForwardTries = 2;
-constexpr double kOutageGrace_s = 0.5;      // commits failing for longer: submissions are refused at once
-constexpr std::size_t kMaxQueued = 3000;    // records waiting for the ledger before submissions are turned away
-constexpr double kSlowCommit_s = 0.1;       // worth a debug line
-constexpr double kLeaderFresh_s = 2.0;      // four heartbeats of the leader
-constexpr double kLeaderlessGrace_s = 6.0;  // for which a controller without a leader counts as healthy
+constexpr double kOutageGraceS = 0.5;      // commits failing for longer: submissions are refused at once
+constexpr std::size_t kMaxQueued = 3000;   // records waiting for the ledger before submissions are turned away
+constexpr double kSlowCommitS = 0.1;       // worth a debug line
+constexpr double kLeaderFreshS = 2.0;      // four heartbeats of the leader
+constexpr double kLeaderlessGraceS = 6.0;  // for which a controller without a leader counts as healthy
 }  // namespace
 
 RequestHandler::RequestHandler(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ControllerMetrics& metrics)
@@ -52,7 +52,7 @@
     // Outdated once another controller could lead: held up on its way, it would come after that one's answers, to a user who asks
     // several controllers at once. No longer than any way to the user takes: whoever leads next waits for that where this
     // lead ends before its lease does.
-    reply.valid_until = std::min(shared_.term->lease_valid_until, steady_now() + kAnswerLife_s);
+    reply.valid_until = std::min(shared_.term->lease_valid_until, steady_now() + kAnswerLifeS);
     shared_.answers_valid_until = std::max(shared_.answers_valid_until, reply.valid_until);
   }
   return reply;
@@ -62,8 +62,8 @@
   Lock lock(shared_.mutex);
   const double now = steady_now();
   // Leading, or hearing from the leader, or waiting a short while for a new one.
-  const bool able = shared_.role != Role::follower || now - shared_.known_leader.last_heartbeat_at < kLeaderFresh_s ||
-                    now - shared_.follower_since < kLeaderlessGrace_s;
+  const bool able = shared_.role != Role::follower || now - shared_.known_leader.last_heartbeat_at < kLeaderFreshS ||
+                    now - shared_.follower_since < kLeaderlessGraceS;
   if (able) return {200, "{}"};
   return unavailable_reply("no leader is reached");
 }
@@ -74,7 +74,7 @@
   // All that users ask may be asked again: what a leader left unanswered goes to the next one, once, if time remains.
   for (int tries = 0; tries < kForwardTries; ++tries) {
     // Cut off from the leader: its users go elsewhere, and are not held until a call times out.
-    if (began - shared_.known_leader.last_heartbeat_at > kLeaderFresh_s && began - shared_.follower_since > kLeaderFresh_s) break;
+    if (began - shared_.known_leader.last_heartbeat_at > kLeaderFreshS && began - shared_.follower_since > kLeaderFreshS) break;
     const auto lead = shared_.known_leader.number;
     const auto result = ask_leader(lock, call, began);
     if (!result.asked) break;
@@ -98,7 +98,7 @@
 RequestHandler::ForwardResult RequestHandler::ask_leader(Lock& lock, const HttpCall& call, double began) {
   FramePool* pool = shared_.leader_pool();
   const double asked_at = steady_now();
-  const double left = began + kForwardTimeout_s - asked_at;
+  const double left = began + kForwardTimeoutS - asked_at;
   if (!pool || left <= 0) return {};
   lock.unlock();
   const PeerCall forwarded{std::string(call.method), std::string(call.target), std::string(call.body)};
@@ -121,7 +121,7 @@
 }
 
 bool RequestHandler::is_ledger_failing() const {
-  return commit_queue_.failing_for(steady_now()) > kOutageGrace_s;
+  return commit_queue_.failing_for(steady_now()) > kOutageGraceS;
 }
 
 HttpReply RequestHandler::refuse(unsigned status, std::string_view reason) {
@@ -180,7 +180,7 @@
   std::erase_if(types, [&](const auto& name) { return !cluster_state.machine_type(cluster_state.find_machine_type(name)); });
   std::sort(types.begin(), types.end());
   types.erase(std::unique(types.begin(), types.end()), types.end());
-  if (commit_queue_.size() > kMaxQueued) return error_reply(429, "overloaded", kRetryAfter_s);
+  if (commit_queue_.size() > kMaxQueued) return error_reply(429, "overloaded", kRetryAfterS);
   if (is_ledger_failing()) return unavailable_reply();
   const double random_draw = std::uniform_real_distribution<double>(0, 1)(random_);
   const std::string uid = spec.uid;
@@ -197,11 +197,11 @@
 UserAnswer RequestHandler::await_acceptance(Lock& lock, const std::string& uid, std::uint64_t ticket) {
   const auto term = shared_.term_number;
   const double asked_at = steady_now();
-  if (!commit_queue_.wait_applied(lock, ticket, kCommitWait_s) || !shared_.is_term(term) || !shared_.may_decide())
+  if (!commit_queue_.wait_applied(lock, ticket, kCommitWaitS) || !shared_.is_term(term) || !shared_.may_decide())
     return unavailable_reply();
   const double took = steady_now() - asked_at;
   metrics_.accept_waits.add(took);
-  if (took > kSlowCommit_s) spdlog::debug("job {}: accepted after {:.0f} ms", uid, took * 1000);
+  if (took > kSlowCommitS) spdlog::debug("job {}: accepted after {:.0f} ms", uid, took * 1000);
   ++metrics_.counters.accepted;
   const ClusterState& cluster_state = *shared_.term->cluster_state;
   const JobIndex job = cluster_state.find(uid);
@@ -247,7 +247,7 @@
   std::vector<Record> records;
   records.emplace_back(JobCancelledRecord{uid});
   const auto ticket = commit_queue_.enqueue(std::move(records), CommitPriority::user_waiting);
-  if (!commit_queue_.wait_applied(lock, ticket, kCommitWait_s) || !shared_.may_decide()) return unavailable_reply();
+  if (!commit_queue_.wait_applied(lock, ticket, kCommitWaitS) || !shared_.may_decide()) return unavailable_reply();
   const Job& job = shared_.term->cluster_state->job(index);
   commands_.enqueue_for(job);
   return describe(job, 200, false);
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -11,10 +11,10 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kSettled_s = 1.0;     // a process that ends again sooner, over and over, costs no change for each start
-constexpr double kLookPeriod_s = 5.0;  // between looks at the registry
-constexpr double kStepPeriod_s = 1.0;  // the same while there is something to do
-constexpr double kRetryPause_s = 0.2;
+constexpr double kSettledS = 1.0;     // a process that ends again sooner, over and over, costs no change for each start
+constexpr double kLookPeriodS = 5.0;  // between looks at the registry
+constexpr double kStepPeriodS = 1.0;  // the same while there is something to do
+constexpr double kRetryPauseS = 0.2;
 
 const char* describe(const TeamQuotaRecord& record) {
   if (record.leaving) return "in no settings file any more, keeps its quotas for the jobs it has";
@@ -37,7 +37,7 @@
   for (auto& link : shared_.peers) pools.push_back(link.calls.get());
   RegistryView view(config.settings, config.supported_versions, config.team_quotas, std::move(pools));
   // Before anything else its own record: a switch is conditional on what it says.
-  if (!pause_for(stop, kSettled_s) || !view.register_self(store, stop)) return;
+  if (!pause_for(stop, kSettledS) || !view.register_self(store, stop)) return;
   while (!stop.stop_requested()) {
     {
       Lock lock(shared_.mutex);
@@ -49,7 +49,7 @@
       Lock lock(shared_.mutex);
       return !blocked_by_.empty();
     }();
-    if (!pause_for(stop, stepped || blocked ? kStepPeriod_s : kLookPeriod_s)) return;
+    if (!pause_for(stop, stepped || blocked ? kStepPeriodS : kLookPeriodS)) return;
   }
 }
 
@@ -151,7 +151,7 @@
   shared_.term->leader_key_in_doubt = false;
   if (status == StoreStatus::unavailable) {
     lock.unlock();
-    pause_for(stop, kRetryPause_s);
+    pause_for(stop, kRetryPauseS);
     lock.lock();
     if (shared_.is_term(term)) shared_.term->rollout_step.reset();  // planned anew
     return false;
@@ -174,7 +174,7 @@
         spdlog::error("key-value store: leader keys malformed: {}", e.what());
       }
     }
-    const bool goes_on = pause_for(stop, kRetryPause_s);
+    const bool goes_on = pause_for(stop, kRetryPauseS);
     Lock lock(shared_.mutex);
     if (!goes_on || !shared_.is_term(term)) return std::nullopt;
   }
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -13,7 +13,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRefusedPause_s = 20.0;  // after "no capacity"
+constexpr double kRefusedPauseS = 20.0;  // after "no capacity"
 constexpr unsigned kMaxMachinesPerRequest = 50;
 constexpr double kShareOfCalls = 0.5;      // of the calls that the cloud takes in a second
 constexpr std::size_t kUnheardShare = 50;  // one node in so many may be up and not heard of
@@ -35,7 +35,7 @@
   if (!sent) return false;
   const auto& offer = sent->request.offer;
   const auto body = rent_body(sent->name, sent->machine_type, offer.zone, offer.spot, sent->request.count);
-  const auto response = cloud.post(kRentPath, body, kCloudTimeout_s);
+  const auto response = cloud.post(kRentPath, body, kCloudTimeoutS);
   // Without an answer the same request is made again: under another name it would rent twice.
   if (response.delivery == Delivery::in_doubt || response.is(429)) return false;
   Lock lock(shared_.mutex);
@@ -89,7 +89,7 @@
 }
 
 void ScaleOutManager::refuse_offer_for_now(const NamedRequest& sent) {
-  shared_.term->refused_offers[sent.request.offer] = steady_now() + kRefusedPause_s;
+  shared_.term->refused_offers[sent.request.offer] = steady_now() + kRefusedPauseS;
 }
 
 void ScaleOutManager::apply_granted(const NamedRequest& sent, const std::string& body) {
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -14,9 +14,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kIdlePeriod_s = 1.0;  // a pass at least this often
-constexpr double kStartWait_s = 30.0;  // for a commit of starts, after which it is waited for once more
-constexpr double kRaiseTokenPeriod_s = 1.0;
+constexpr double kIdlePeriodS = 1.0;  // a pass at least this often
+constexpr double kStartWaitS = 30.0;  // for a commit of starts, after which it is waited for once more
+constexpr double kRaiseTokenPeriodS = 1.0;
 
 PassParameters pass_parameters(const ControllerConfig& config) {
   PassParameters out;
@@ -48,7 +48,7 @@
   const PassPacing pacing{shared_.config.options.pass_period_s, shared_.config.settings.cpu};
   Lock lock(shared_.mutex);
   while (!stop.stop_requested()) {
-    shared_.wait_for_pass_request(lock, stop, kIdlePeriod_s);
+    shared_.wait_for_pass_request(lock, stop, kIdlePeriodS);
     if (stop.stop_requested()) return;
     PassCost cost;
     if (shared_.may_decide()) cost = pass(lock);
@@ -108,7 +108,7 @@
 
 void SchedulingLoop::fence_uncertain_starts(double steady) {
   Term& term = *shared_.term;
-  if (steady - term.token_raised_at <= kRaiseTokenPeriod_s) return;
+  if (steady - term.token_raised_at <= kRaiseTokenPeriodS) return;
   const ClusterState& cluster_state = *term.cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
@@ -227,7 +227,7 @@
   for (const auto& slot : slots) shared_.term->starting_nodes.insert(slot.node);
   shared_.start_stalls.record_planned(steady);
   const auto ticket = commit_queue_.enqueue(std::move(records));
-  while (!commit_queue_.wait_applied(lock, ticket, kStartWait_s))
+  while (!commit_queue_.wait_applied(lock, ticket, kStartWaitS))
     if (!shared_.is_term(term)) return false;
   shared_.term->starting_nodes.clear();
   return true;
--- a/src/controller/service_monitor.cpp
+++ b/src/controller/service_monitor.cpp
@@ -10,9 +10,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLongWait_s = 60.0;       // without a start: reported
-constexpr double kPendingPeriod_s = 30.0;  // between looks at what is pending
-constexpr double kMaxGap_s = 10.0;         // a longer one was not observed by this leader
+constexpr double kLongWaitS = 60.0;       // without a start: reported
+constexpr double kPendingPeriodS = 30.0;  // between looks at what is pending
+constexpr double kMaxGapS = 10.0;         // a longer one was not observed by this leader
 }  // namespace
 
 void ServiceMonitor::observe() {
@@ -20,9 +20,9 @@
   const double now = steady_now();
   const double since = std::exchange(observed_at_, now);
   if (!shared_.may_decide()) return;
-  if (now - since < kMaxGap_s) metrics_.service_levels.add_replica_time(*shared_.term->cluster_state, now - since);
+  if (now - since < kMaxGapS) metrics_.service_levels.add_replica_time(*shared_.term->cluster_state, now - since);
   report_stalled_starts(now);
-  if (now - pending_reported_at_ < kPendingPeriod_s) return;
+  if (now - pending_reported_at_ < kPendingPeriodS) return;
   pending_reported_at_ = now;
   report_pending_work();
   correct_quota_accounts();
@@ -36,7 +36,7 @@
 
 void ServiceMonitor::report_pending_work() {
   for (const auto& pending : summarize_pending(*shared_.term->cluster_state, wall_now())) {
-    if (pending.unstarted_s <= kLongWait_s) continue;
+    if (pending.unstarted_s <= kLongWaitS) continue;
     spdlog::info("team {}, class {}: {} tasks pending, reason {}, oldest unstarted job {:.0f} s", pending.team, pending.job_class,
                  pending.tasks, name_of(pending.reason), pending.unstarted_s);
   }
--- a/src/controller/shared_state.hpp
+++ b/src/controller/shared_state.hpp
@@ -26,7 +26,7 @@
 using Lock = std::unique_lock<std::mutex>;
 
 // Seconds for which an answer that may become outdated can be on its way to its user, other controllers included.
-inline constexpr double kAnswerLife_s = 0.5;
+inline constexpr double kAnswerLifeS = 0.5;
 
 enum class Role { follower, recovering, leading };
 
--- a/src/controller/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // Answers come in milliseconds, now and then in a few hundred.
-constexpr double kTimeout_s = 1.5;
-constexpr double kListTimeout_s = 5.0;
+constexpr double kTimeoutS = 1.5;
+constexpr double kListTimeoutS = 5.0;
 
 template <class Parse>
 StoreStatus parsed(StoreStatus status, Parse parse) {
@@ -37,14 +37,14 @@
 }
 
 StoreStatus StoreClient::get(const std::string& key, Row& out) {
-  auto r = http_.get(store_path(key), kTimeout_s);
+  auto r = http_.get(store_path(key), kTimeoutS);
   return parsed(status_of(r), [&] { out = parse_row(r.body); });
 }
 
 StoreStatus StoreClient::list(const std::string& prefix, Rows& out) {
   out = {};
   for (std::string from;;) {
-    auto r = http_.get(list_path(prefix, from), kTimeout_s);
+    auto r = http_.get(list_path(prefix, from), kTimeoutS);
     Rows page;
     const auto status = parsed(status_of(r), [&] { page = parse_rows(r.body); });
     if (status != StoreStatus::ok) return status;
@@ -56,12 +56,12 @@
 }
 
 StoreStatus StoreClient::list_entries(const std::string& prefix, const std::string& from, EntryPage& out) {
-  auto r = http_.get(list_path(prefix, from), kListTimeout_s);
+  auto r = http_.get(list_path(prefix, from), kListTimeoutS);
   return parsed(status_of(r), [&] { out = parse_entries(r.body); });
 }
 
 StoreStatus StoreClient::commit(const std::string& body, std::uint64_t& revision, std::vector<std::string>& failed) {
-  auto r = http_.post(kTxnPath, body, kTimeout_s);
+  auto r = http_.post(kTxnPath, body, kTimeoutS);
   auto status = status_of(r);
   failed.clear();
   if (status == StoreStatus::conflict) {
@@ -76,20 +76,20 @@
 }
 
 StoreStatus StoreClient::create_lease(unsigned life_ms, std::uint64_t& out) {
-  auto r = http_.post(kSessionLeasesPath, session_lease_body(life_ms), kTimeout_s);
+  auto r = http_.post(kSessionLeasesPath, session_lease_body(life_ms), kTimeoutS);
   return parsed(status_of(r), [&] { out = parse_session_lease(r.body); });
 }
 
 StoreStatus StoreClient::renew_lease(std::uint64_t session_lease) {
-  return status_of(http_.post(session_lease_path(session_lease, true), "", kTimeout_s));
+  return status_of(http_.post(session_lease_path(session_lease, true), "", kTimeoutS));
 }
 
 StoreStatus StoreClient::revoke_lease(std::uint64_t session_lease) {
-  return status_of(http_.call("DELETE", session_lease_path(session_lease, false), "", kTimeout_s));
+  return status_of(http_.call("DELETE", session_lease_path(session_lease, false), "", kTimeoutS));
 }
 
 StoreStatus StoreClient::has_changed(const std::string& prefix, std::uint64_t from, bool& out) {
-  auto r = http_.get(follow_path(prefix, from, 0), kTimeout_s);
+  auto r = http_.get(follow_path(prefix, from, 0), kTimeoutS);
   out = true;  // 410: too much has changed since to tell
   if (r.is(410)) return StoreStatus::ok;
   return parsed(status_of(r), [&] { out = parse_changed(r.body); });
--- a/src/controller/user_answer.cpp
+++ b/src/controller/user_answer.cpp
@@ -9,7 +9,7 @@
 }
 
 HttpReply unavailable_reply(std::string_view reason) {
-  return error_reply(503, reason, kRetryAfter_s);
+  return error_reply(503, reason, kRetryAfterS);
 }
 
 }  // namespace thistlefront
--- a/src/controller/user_answer.hpp
+++ b/src/controller/user_answer.hpp
@@ -7,7 +7,7 @@
 
 namespace thistlefront {
 
-inline constexpr int kRetryAfter_s = 1;
+inline constexpr int kRetryAfterS = 1;
 inline constexpr const char* kUnavailable = "not available now";
 
 HttpReply error_reply(unsigned status, std::string_view reason, int retry_after_s = 0);
--- a/testbed/fault_run.cpp
+++ b/testbed/fault_run.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 constexpr double kLostShare = 0.3, kLateShare = 0.2, kRepeatedShare = 0.3;
-constexpr double kLongestDelay_s = 12;  // of a late transaction
-constexpr double kWellAfterHealing_s = 8;
+constexpr double kLongestDelayS = 12;  // of a late transaction
+constexpr double kWellAfterHealingS = 8;
 constexpr int kLastPollTries = 20;
 }  // namespace
 
@@ -112,7 +112,7 @@
   report.accepted = accepted.size();
   report.tasks_done = cluster.checker.tasks_done();
   report.longest_without_acceptance_s = cluster.checker.longest_without_acceptance(began_, healed_);
-  report.longest_without_acceptance_healed_s = cluster.checker.longest_without_acceptance(healed_, healed_ + kWellAfterHealing_s);
+  report.longest_without_acceptance_healed_s = cluster.checker.longest_without_acceptance(healed_, healed_ + kWellAfterHealingS);
   report.scenario_figures = scenario_figures;
   report.unfenced = cluster.state.unfenced();
   report.too_large = cluster.state.too_large();
@@ -181,7 +181,7 @@
       break;
     case Fault::answers_lost: toggle_share("answers are lost", endpoint.loses, kLostShare); break;
     case Fault::late_writes:
-      endpoint.late_most = kLongestDelay_s;
+      endpoint.late_most = kLongestDelayS;
       toggle_share("transactions are late", endpoint.late, kLateShare);
       break;
     case Fault::repeats: toggle_share("transactions are repeated", endpoint.repeats, kRepeatedShare); break;
--- a/testbed/load_test/hollow_worker.cpp
+++ b/testbed/load_test/hollow_worker.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 constexpr double kMinHeartbeatInterval = 0.5;  // seconds: at most two a second, also on change
-constexpr int kAnswerTimeout_s = 4;
+constexpr int kAnswerTimeoutS = 4;
 constexpr double kAfterFailure = 1;  // seconds
 constexpr double kRunSpread = 0.5;   // a task runs its job's time, give or take this share
 constexpr unsigned kHttp11 = 11;
@@ -236,7 +236,7 @@
   const auto answer_token = body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
   progress(steady_now());
   // Dropped: an answer with a lower token, one to an earlier incarnation, and one that came too late.
-  if (answer_token < fencing_token_ || sent_incarnation != agent_incarnation_ || steady_now() > sent_at + kAnswerTimeout_s || silent())
+  if (answer_token < fencing_token_ || sent_incarnation != agent_incarnation_ || steady_now() > sent_at + kAnswerTimeoutS || silent())
     return;
   changed_ |= answer_token > fencing_token_;
   fencing_token_ = answer_token;
@@ -262,7 +262,7 @@
 
 asio::awaitable<bool> HollowWorker::exchange(const Request& request, Response& response) {
   boost::system::error_code error;
-  stream_.expires_after(std::chrono::seconds(kAnswerTimeout_s));
+  stream_.expires_after(std::chrono::seconds(kAnswerTimeoutS));
   if (!stream_.socket().is_open()) {
     ++fleet_.counters.connects;
     co_await stream_.async_connect(endpoint_of(fleet_.options.controllers[controller_]), ignoring(error));
--- a/testbed/load_test/load_test_run.cpp
+++ b/testbed/load_test/load_test_run.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr double kTick = 0.1;           // seconds
-constexpr double kProgressPause_s = 5;  // between two lines of progress
-constexpr double kSilence_s = 10;
+constexpr double kTick = 0.1;          // seconds
+constexpr double kProgressPauseS = 5;  // between two lines of progress
+constexpr double kSilenceS = 10;
 constexpr double kSilentShare = 0.1;
 constexpr double kEnoughRunning = 0.95;  // of the tasks that are to run
 
@@ -81,7 +81,7 @@
     wait(1);
     cluster.start(leader);
   } else if (fault == kSilence) {
-    cluster.fleet().silence(kSilentShare, steady_now() + kSilence_s);
+    cluster.fleet().silence(kSilentShare, steady_now() + kSilenceS);
   } else if (fault == kReconnect) {
     cluster.fleet().reconnect_all();
   }
@@ -125,7 +125,7 @@
   const auto wanted = static_cast<std::int64_t>(kEnoughRunning * static_cast<double>(cluster_.tasks_wanted()));
   const double until = steady_now() + options_.ramp_s;
   for (double told = steady_now(); running() < wanted && steady_now() < until; wait(kTick)) {
-    if (steady_now() < told + kProgressPause_s) continue;
+    if (steady_now() < told + kProgressPauseS) continue;
     told = steady_now();
     say(std::to_string(running()) + " tasks run");
   }
--- a/testbed/network_relay.cpp
+++ b/testbed/network_relay.cpp
@@ -9,12 +9,12 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr int kTick_ms = 50;
-constexpr double kConnectTimeout_s = 1.0;
+constexpr int kTickMs = 50;
+constexpr double kConnectTimeoutS = 1.0;
 constexpr std::size_t kBufferBytes = 16384;
 
 void wait_tick() {
-  ::poll(nullptr, 0, kTick_ms);
+  ::poll(nullptr, 0, kTickMs);
 }
 
 // Sends all bytes; false when the other side is gone.
@@ -62,7 +62,7 @@
 
 void Relay::Connection::run(const Relay& relay) {
   while (relay.cut_ && !relay.ending_) wait_tick();
-  to = connect_to(relay.to_, kConnectTimeout_s);
+  to = connect_to(relay.to_, kConnectTimeoutS);
   copy(relay);
   from.shutdown();
   to.shutdown();
@@ -77,7 +77,7 @@
       wait_tick();
       continue;
     }
-    if (::poll(fds, 2, kTick_ms) < 0) return;
+    if (::poll(fds, 2, kTickMs) < 0) return;
     bool alive = true;
     if (fds[0].revents != 0) alive = pass_on(from.fd(), to.fd());
     if (fds[1].revents != 0) alive = pass_on(to.fd(), from.fd()) && alive;
--- a/testbed/user.cpp
+++ b/testbed/user.cpp
@@ -7,7 +7,7 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr double kPause_s = 0.15, kRetryPause_s = 1;
+constexpr double kPauseS = 0.15, kRetryPauseS = 1;
 constexpr int kSubmissionTries = 20;
 constexpr std::size_t kManyJobs = 40, kMostJobs = 60;  // from the first on it follows fewer, and at the second it lets the oldest go
 
@@ -20,7 +20,7 @@
 }  // namespace
 
 void User::run(const std::stop_token& stop) {
-  while (pause_for(stop, kPause_s)) {
+  while (pause_for(stop, kPauseS)) {
     const auto action = random_() % 10;
     if (jobs_.empty() || action < 3) {
       submit_job(stop);
@@ -59,7 +59,7 @@
   for (int tries = 0; tries < kSubmissionTries && !stop.stop_requested(); ++tries) {
     answer = cluster_.ask("POST", "/v1/jobs", body, address_random_);
     if (accepted(answer) || refused(answer)) break;
-    if (!pause_for(stop, kRetryPause_s)) return;
+    if (!pause_for(stop, kRetryPauseS)) return;
   }
   if (accepted(answer)) jobs_.push_back(job.uid);
   cluster_.note_answer(job.uid, answer);
--- a/testbed/worker.cpp
+++ b/testbed/worker.cpp
@@ -12,10 +12,10 @@
 using nlohmann::json;
 
 namespace {
-constexpr double kTick = 0.1;                    // seconds
-constexpr double kAnswerTimeout_s = 4;           // also how old an answer may be
-constexpr double kMinHeartbeatInterval_s = 0.5;  // on change
-constexpr double kRetryPause_s = 1;
+constexpr double kTick = 0.1;                   // seconds
+constexpr double kAnswerTimeoutS = 4;           // also how old an answer may be
+constexpr double kMinHeartbeatIntervalS = 0.5;  // on change
+constexpr double kRetryPauseS = 1;
 constexpr int kServerConnections = 20;
 // Longer than a controller waits for the answer to a command.
 constexpr std::chrono::milliseconds kLostCommandDelay{1600};
@@ -71,10 +71,10 @@
     const double now = steady_now();
     const auto heartbeat = next_heartbeat(now);
     if (heartbeat.body.empty()) continue;
-    auto answer = client->post("/v1/report", heartbeat.body, kAnswerTimeout_s);
+    auto answer = client->post("/v1/report", heartbeat.body, kAnswerTimeoutS);
     if (now < deaf_until_) {
       // The answer is lost: the worker waits for it as long as for any, and tries the next controller.
-      if (!pause_for(stop, kAnswerTimeout_s)) return;
+      if (!pause_for(stop, kAnswerTimeoutS)) return;
       answer = {};
     }
     if (answer.is(200)) {
@@ -94,7 +94,7 @@
   // What hangs does nothing, but for its lease that expires.
   const bool hangs = now < hangs_until_;
   if (!hangs || now > lease_until_) progress(now);
-  if (hangs || (now < next_heartbeat_at_ && (!changed_ || now < last_heartbeat_at_ + kMinHeartbeatInterval_s))) return {};
+  if (hangs || (now < next_heartbeat_at_ && (!changed_ || now < last_heartbeat_at_ + kMinHeartbeatIntervalS))) return {};
   changed_ = false;
   Heartbeat out{heartbeat_body(), agent_incarnation_};
   last_heartbeat_at_ = now;
@@ -113,7 +113,7 @@
   const auto body = json::parse(answer.body, nullptr, false);
   const auto fencing_token = body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
   // Dropped: an answer with a lower token, one to an earlier incarnation, and one that came while the worker hung.
-  if (fencing_token < fencing_token_ || agent_incarnation != agent_incarnation_ || steady_now() > sent_at + kAnswerTimeout_s || dead_)
+  if (fencing_token < fencing_token_ || agent_incarnation != agent_incarnation_ || steady_now() > sent_at + kAnswerTimeoutS || dead_)
     return;
   changed_ |= fencing_token > fencing_token_;
   fencing_token_ = fencing_token;
@@ -127,7 +127,7 @@
     progress(steady_now());
   }
   controller_ = (controller_ + 1) % controllers_.size();
-  next_heartbeat_at_ = now + kRetryPause_s;
+  next_heartbeat_at_ = now + kRetryPauseS;
   if (!answer.is(421)) return;
   const auto body = json::parse(answer.body, nullptr, false);
   const auto redirect_target = body.is_object() ? body.value("steward", std::string()) : "";
