--- a/src/transport/acceptor.cpp
+++ b/src/transport/acceptor.cpp
@@ -92,7 +92,7 @@
   try {
     routine_(connection, connection.stop_.get_token());
   } catch (const std::exception& e) {
-    spdlog::error("connection routine: {}", e.what());
+    spdlog::error("connection: unhandled error: {}", e.what());
   }
   // The descriptor is closed only when the accept loop removes the connection; until then the peer must not wait for us.
   connection.stream.socket().shutdown();
@@ -125,7 +125,7 @@
     try {
       std::thread([this, &connection] { run(connection); }).detach();
     } catch (const std::system_error& e) {
-      spdlog::error("no thread for a connection: {}", e.what());
+      spdlog::error("connection: no thread available: {}", e.what());
       connections_.pop_back();
       continue;
     }
--- a/src/transport/threads.cpp
+++ b/src/transport/threads.cpp
@@ -48,7 +48,7 @@
         unfinished->count_down();
       }).detach();
     } catch (const std::system_error& e) {
-      spdlog::error("no thread: {}", e.what());
+      spdlog::error("threads: could not be started: {}", e.what());
       function();
       unfinished->count_down();
     }
