--- a/src/main.cpp
+++ b/src/main.cpp
@@ -43,7 +43,7 @@
 }
 
 void add_coordination_options(CLI::App& app, Options& options) {
-  static const std::map<std::string, RelayMode> relay_modes{{"off", RelayMode::off}, {"on", RelayMode::on}, {"auto", RelayMode::automatic}};
+  static const std::map<std::string, RelayMode> kRelayModes{{"off", RelayMode::off}, {"on", RelayMode::on}, {"auto", RelayMode::automatic}};
   app.add_option("--hold-ms", options.leader_lease_ms, "time to live of the leader's lease, milliseconds")
       ->envname("THISTLEFRONT_HOLD_MS")
       ->check(CLI::Range(500u, 600000u))
@@ -66,7 +66,7 @@
   app.add_option("--intake", options.relay_mode,
                  "workers stay with any controller, which relays their heartbeats to the leader in batches: on, off or auto")
       ->envname("THISTLEFRONT_INTAKE")
-      ->transform(CLI::CheckedTransformer(relay_modes))
+      ->transform(CLI::CheckedTransformer(kRelayModes))
       ->default_str("auto");
 }
 
--- a/src/rollout/format_versions.cpp
+++ b/src/rollout/format_versions.cpp
@@ -12,9 +12,9 @@
 
 // A controller that isn't registered counts as one of a build without format versions, which has version 1 alone.
 const SupportedVersions& supported_versions_of(const ControllerRegistry& registry, const std::string& label) {
-  static const SupportedVersions unregistered;
+  static const SupportedVersions kUnregistered;
   const auto it = registry.find(label);
-  return it == registry.end() ? unregistered : it->second.supported_versions;
+  return it == registry.end() ? kUnregistered : it->second.supported_versions;
 }
 
 // A step that is applied only while this leader leads and the active version is the one in the snapshot.
--- a/src/scheduling/plan_input_builder.cpp
+++ b/src/scheduling/plan_input_builder.cpp
@@ -82,9 +82,9 @@
 }
 
 const std::vector<double>& targets_of(const StartTargets& start_targets, const Job& job) {
-  static const std::vector<double> none;
+  static const std::vector<double> kNone;
   const auto it = start_targets.find(job.spec.job_class);
-  return it == start_targets.end() ? none : it->second;
+  return it == start_targets.end() ? kNone : it->second;
 }
 
 // Raises the tier of the promoted units; the job's other units keep theirs. They still count for what is rented, except
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -11,9 +11,9 @@
 namespace http = boost::beast::http;
 
 namespace {
-constexpr std::size_t kMaxRequestBodyBytes = 64 * 1024;
-constexpr std::size_t kMaxRequestHeaderBytes = 8 * 1024;
-constexpr std::size_t kMaxResponseBodyBytes = 64 * 1024 * 1024;  // watches and pages of the ledger can be large
+constexpr std::size_t kMaxRequestBodyBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxRequestHeaderBytes = std::size_t{8} * 1024;
+constexpr std::size_t kMaxResponseBodyBytes = std::size_t{64} * 1024 * 1024;  // watches and pages of the ledger can be large
 constexpr std::size_t kReadBufferBytes = 2048;
 constexpr unsigned kHttp11 = 11;
 constexpr int kMaxAttempts = 2;  // the second one if a kept connection was stale
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -11,6 +11,8 @@
 #include <cmath>
 #include <cstring>
 #include <stdexcept>
+#include <string>
+#include <system_error>
 #include <utility>
 
 #include "transport/clock.hpp"
@@ -106,11 +108,11 @@
   sockaddr_in at{};
   if (!parse_address(address, at)) throw std::runtime_error("not an address: " + address);
   Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (!s.open()) throw std::runtime_error("socket: " + std::string(std::strerror(errno)));
+  if (!s.open()) throw std::runtime_error("socket: " + last_error().message());
   int on = 1;
   ::setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(s.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(s.fd(), kListenBacklog) != 0) {
-    throw std::runtime_error("cannot listen on " + address + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot listen on " + address + ": " + last_error().message());
   }
   return s;
 }
--- a/src/transport/threads.cpp
+++ b/src/transport/threads.cpp
@@ -13,13 +13,15 @@
 namespace {
 constexpr int kTrimThresholdBytes = 512 * 1024;
 constexpr int kMmapThresholdBytes = 256 * 1024;
-[[maybe_unused]] constexpr std::size_t kStackBytes = 256 * 1024;  // sanitizers need the default
+[[maybe_unused]] constexpr std::size_t kStackBytes = std::size_t{256} * 1024;  // sanitizers need the default
 }  // namespace
 
 void configure_process_memory() {
+  // NOLINTBEGIN(concurrency-mt-unsafe): called before any other thread is started
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
   mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  // NOLINTEND(concurrency-mt-unsafe)
   pthread_attr_t attr;
   if (pthread_attr_init(&attr) != 0) return;
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
