--- a/src/cluster_state/cluster_state.cpp
+++ b/src/cluster_state/cluster_state.cpp
@@ -43,7 +43,7 @@
   return thistlefront::dependency_rejection_reason(spec, *this);
 }
 
-std::optional<std::string> ClusterState::dependencies_without_older_format() const {
+std::optional<std::string> ClusterState::describe_blocked_jobs() const {
   const std::size_t blocked = dependency_graph_.counts().blocked;
   if (blocked > 0) return std::to_string(blocked) + " jobs that wait for others";
   return std::nullopt;
@@ -60,8 +60,8 @@
   return it->second;
 }
 
-void ClusterState::describe_node(NodeIndex node_index, const std::string& address, const std::string& machine_type, const std::string& zone,
-                                 bool spot) {
+void ClusterState::set_node_attributes(NodeIndex node_index, const std::string& address, const std::string& machine_type,
+                                       const std::string& zone, bool spot) {
   Node& node = nodes_[node_index.value];
   if (!address.empty()) node.address = address;
   node.machine_type = machine_types_.intern(machine_type);
--- a/src/cluster_state/cluster_state.hpp
+++ b/src/cluster_state/cluster_state.hpp
@@ -30,12 +30,12 @@
 
 namespace thistlefront {
 
-inline constexpr std::size_t kRecordBytes = 3600;  // where the limits of the key-value store are not known
+inline constexpr std::size_t kDefaultRecordBytes = 3600;  // where the limits of the key-value store are not known
 
 class ClusterState {
  public:
   // `teams`: those of the settings file. `record_bytes`: about how many bytes one record may take in the ledger.
-  explicit ClusterState(const std::vector<Team>& teams, std::size_t record_bytes = kRecordBytes);
+  explicit ClusterState(const std::vector<Team>& teams, std::size_t record_bytes = kDefaultRecordBytes);
   [[nodiscard]] std::size_t record_bytes() const { return record_bytes_; }
 
   // Applies the next record of the ledger. A record that no longer fits the state (say, a start of a cancelled job) changes
@@ -59,7 +59,7 @@
   [[nodiscard]] std::optional<std::string> dependency_rejection_reason(const JobSpec& spec) const;
   // Describes the blocked jobs, which format versions before 4 cannot store; nullopt: there are none. A job that is no
   // longer blocked loses in an older format only the time since when it is eligible.
-  [[nodiscard]] std::optional<std::string> dependencies_without_older_format() const;
+  [[nodiscard]] std::optional<std::string> describe_blocked_jobs() const;
   // Whether the job's machine types, zone and use of spot instances allow the node.
   [[nodiscard]] bool allows(const Job& job, const Node& node) const;
   // nullptr where the task is not placed.
@@ -76,7 +76,8 @@
   [[nodiscard]] const Node& node(NodeIndex node_index) const { return nodes_[node_index.value]; }
   [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
   // An empty address leaves the known one in place.
-  void describe_node(NodeIndex node_index, const std::string& address, const std::string& machine_type, const std::string& zone, bool spot);
+  void set_node_attributes(NodeIndex node_index, const std::string& address, const std::string& machine_type, const std::string& zone,
+                           bool spot);
   // The image (of `image_gb` GB) becomes the most recently used one in the node's cache, and older ones leave when it is full.
   void record_image_use(Node& node, ImageIndex image, double image_gb);
 
@@ -103,11 +104,11 @@
   [[nodiscard]] const QuotaAccounts& quota_accounts() const { return quota_accounts_; }
   [[nodiscard]] const std::vector<Team>& teams() const { return quota_accounts_.teams(); }
   // Usage of each team, counted from the placements: the accounts must show the same.
-  [[nodiscard]] std::vector<Resources> recount() const;
+  [[nodiscard]] std::vector<Resources> count_placed_usage() const;
   // Raises accounts that show less than is placed. Returns the names of the teams whose account differed.
   std::vector<std::string> correct_accounts();
   // Charges each team anew for the tasks that agents report and that are placed nowhere.
-  void recount_unplaced();
+  void recount_unplaced_usage();
 
   // The present state of a job as a record that replaces earlier ones about it. A record is kept short: it covers tasks from
   // `from` on until it holds `max_items` items, and moves `from` behind them. An ended job is one short record.
--- a/src/cluster_state/failure_attribution.cpp
+++ b/src/cluster_state/failure_attribution.cpp
@@ -76,7 +76,7 @@
 void FailureAttribution::suspect_job(JobIndex job, JobEvidence& evidence, double at) {
   evidence.suspect = true;
   evidence.not_before = at + kFirstRetryDelayS;
-  verdicts_.push_back({Verdict::Kind::suspected, job, {}, evidence.failed_on.size(), evidence.not_before});
+  decisions_.push_back({Decision::Type::suspected, job, {}, evidence.failed_on.size(), evidence.not_before});
   for (const auto& [node, failed_at] : evidence.failed_on) clear_node(job, node);
 }
 
@@ -94,7 +94,7 @@
   // The node works: it takes as many failed jobs as at first to cordon it again.
   evidence.cordoned_until = 0;
   evidence.failed_jobs.clear();
-  verdicts_.push_back({Verdict::Kind::uncordoned, job, node, evidence.times_cordoned, 0});
+  decisions_.push_back({Decision::Type::uncordoned, job, node, evidence.times_cordoned, 0});
 }
 
 void FailureAttribution::credit_job(JobIndex job, NodeIndex node) {
@@ -106,7 +106,7 @@
   evidence.suspect = false;
   evidence.failed_retries = 0;
   evidence.not_before = 0;
-  verdicts_.push_back({Verdict::Kind::cleared, job, {}, evidence.failed_on.size(), 0});
+  decisions_.push_back({Decision::Type::cleared, job, {}, evidence.failed_on.size(), 0});
   // The job is sound, so its failures were the fault of the other nodes.
   for (const auto& [failed_node, failed_at] : evidence.failed_on)
     if (failed_node != node) blame_node(job, failed_node, failed_at);
@@ -127,7 +127,7 @@
   evidence.cordoned_until = at + doubled(kFirstCordonS, evidence.times_cordoned);
   // The failed jobs keep counting: once the node is used again, its next failure cordons it.
   ++evidence.times_cordoned;
-  verdicts_.push_back({Verdict::Kind::cordoned, job, node, evidence.times_cordoned, evidence.cordoned_until});
+  decisions_.push_back({Decision::Type::cordoned, job, node, evidence.times_cordoned, evidence.cordoned_until});
 }
 
 // The job's failures on the node were the fault of the job.
@@ -139,7 +139,7 @@
   if (evidence.cordoned_until == 0 || evidence.failed_jobs.size() >= kJobsToCordon) return;
   evidence.cordoned_until = 0;
   if (evidence.times_cordoned > 0) --evidence.times_cordoned;
-  verdicts_.push_back({Verdict::Kind::uncordoned, job, node, evidence.times_cordoned, 0});
+  decisions_.push_back({Decision::Type::uncordoned, job, node, evidence.times_cordoned, 0});
 }
 
 bool FailureAttribution::is_suspect(JobIndex job) const {
@@ -147,7 +147,7 @@
   return it != jobs_.end() && it->second.suspect;
 }
 
-double FailureAttribution::next_try_at(JobIndex job) const {
+double FailureAttribution::next_retry_at(JobIndex job) const {
   const auto it = jobs_.find(job);
   return it == jobs_.end() ? 0 : it->second.not_before;
 }
--- a/src/cluster_state/failure_attribution.hpp
+++ b/src/cluster_state/failure_attribution.hpp
@@ -27,7 +27,7 @@
   // A suspect job fails wherever it runs: it is retried with one task, after growing delays, until one succeeds.
   [[nodiscard]] bool is_suspect(JobIndex job) const;
   // Earliest time of a suspect job's next retry; 0: at once.
-  [[nodiscard]] double next_try_at(JobIndex job) const;
+  [[nodiscard]] double next_retry_at(JobIndex job) const;
   // Nodes on which the job failed recently; older failures no longer keep it off a node.
   [[nodiscard]] std::vector<NodeIndex> avoided_nodes(JobIndex job, double wall) const;
 
@@ -38,15 +38,15 @@
   [[nodiscard]] bool should_replace(NodeIndex node, double wall) const;
 
   // A decision, for the operator's log.
-  struct Verdict {
-    enum class Kind { suspected, cleared, cordoned, uncordoned } kind;
+  struct Decision {
+    enum class Type { suspected, cleared, cordoned, uncordoned } type;
     JobIndex job;       // the job, or the last one that failed on the node
     NodeIndex node;     // not valid for verdicts on a job
     std::size_t count;  // nodes on which the job failed, or times that the node was cordoned
     double until;       // of the delay; 0: there is none
   };
   // The verdicts since the last call.
-  std::vector<Verdict> take_verdicts() { return std::exchange(verdicts_, {}); }
+  std::vector<Decision> take_decisions() { return std::exchange(decisions_, {}); }
 
  private:
   struct JobEvidence {
@@ -73,7 +73,7 @@
 
   std::unordered_map<JobIndex, JobEvidence> jobs_;
   std::unordered_map<NodeIndex, NodeEvidence> nodes_;
-  std::vector<Verdict> verdicts_;
+  std::vector<Decision> decisions_;
 };
 
 }  // namespace thistlefront
--- a/src/cluster_state/job_lifecycle.cpp
+++ b/src/cluster_state/job_lifecycle.cpp
@@ -30,11 +30,11 @@
   job.tasks.assign(spec.task_count, TaskState::pending);
   job.pending = spec.task_count;
   job.random_draw = record.random_draw;
-  job.accepted_at = record.at;
-  job.eligible_since = record.at;
+  job.accepted_at = record.accepted_at;
+  job.eligible_since = record.accepted_at;
   job.urgency = own_urgency(job);
 
-  latest_accepted_ = std::max(latest_accepted_, record.at);
+  latest_accepted_ = std::max(latest_accepted_, record.accepted_at);
   size_ranking_.record(job.job_class, size_of(spec));
   accelerator_demands_.record(job.machine_types, spec.demand, spec.allows_spot);
   if (spec.depends_on.empty()) {
--- a/src/cluster_state/job_size_ranking.hpp
+++ b/src/cluster_state/job_size_ranking.hpp
@@ -31,6 +31,6 @@
 };
 
 // Seconds within which the users of one of the largest jobs want it to start.
-inline constexpr double kLargestStartTarget = 240.0;
+inline constexpr double kLargestJobStartTargetS = 240.0;
 
 }  // namespace thistlefront
--- a/src/cluster_state/job_snapshot.cpp
+++ b/src/cluster_state/job_snapshot.cpp
@@ -35,7 +35,7 @@
   PlacedTasks& placed_like(const Placement& placement, const std::string& node) {
     const auto it = std::find_if(record_.placed.begin(), record_.placed.end(), [&](const PlacedTasks& placed) {
       return placed.node == node && placed.agent_incarnation == placement.agent_incarnation && placed.attempt == placement.attempt &&
-             placed.at == placement.decided_at;
+             placed.decided_at == placement.decided_at;
     });
     if (it != record_.placed.end()) return *it;
     item_count_ += kItemsPerPlacement;
@@ -60,10 +60,10 @@
   const Job& job = jobs_[job_index.value];
   if (job.ended() && job.placed.empty()) return ended_job_record(job_index);
   JobSnapshotRecord record;
-  record.from = from;
-  record.accept = {job.spec, job.random_draw, job.accepted_at};
+  record.first_task = from;
+  record.accepted = {job.spec, job.random_draw, job.accepted_at};
   record.suspect = failure_attribution_.is_suspect(job_index);
-  if (job.eligible_since != job.accepted_at) record.ready_at = job.eligible_since;
+  if (job.eligible_since != job.accepted_at) record.eligible_since = job.eligible_since;
   record.attempts = job.attempts;
 
   SnapshotBuilder builder(record);
@@ -78,8 +78,8 @@
     }
     if (is_placed) ++next_placed;
   }
-  record.more = from < job.tasks.size();
-  if (!record.more) record.status = job.status;
+  record.has_more = from < job.tasks.size();
+  if (!record.has_more) record.status = job.status;
   return record;
 }
 
--- a/src/cluster_state/job_state.hpp
+++ b/src/cluster_state/job_state.hpp
@@ -23,11 +23,11 @@
   double decided_at = 0;  // wall seconds of the decision to start the task
   // Learned from heartbeats, not in the ledger:
   TaskPhase phase = TaskPhase::pulling_image;
-  bool reported = false;      // some heartbeat showed the task
-  bool end_pending = false;   // the record of its end is on its way into the ledger
-  bool stopping = false;      // the task is to be stopped
-  double grace_period_s = 0;  // sent with the kill command
-  double running_since = 0;   // wall seconds when the task was first seen running
+  bool reported = false;         // some heartbeat showed the task
+  bool removal_pending = false;  // the record of its end is on its way into the ledger
+  bool stopping = false;         // the task is to be stopped
+  double grace_period_s = 0;     // sent with the kill command
+  double running_since = 0;      // wall seconds when the task was first seen running
 };
 
 inline constexpr std::uint32_t kNotLive = UINT32_MAX;
--- a/src/cluster_state/node_state.hpp
+++ b/src/cluster_state/node_state.hpp
@@ -25,7 +25,7 @@
   double last_message_at = 0;
   double last_heartbeat_at = 0;           // of messages that prove that it is alive (worker_control/reconciliation)
   double last_direct_contact_at = 0;      // received by this controller itself, not through another one
-  double last_answered_at = 0;            // of the latest heartbeat that this leader answered
+  double last_answered_heartbeat_at = 0;  // of the latest heartbeat that this leader answered
   double incarnation_since = 0;           // when its present incarnation was first heard of
   double fenced_at = 0;                   // when its present incarnation was first known to have seen this leader's token
   double unresponsive_since = 0;          // answers have not reached it since then; 0: they do (worker_control/one_way_partition)
@@ -36,13 +36,13 @@
 
 // What is known of commands on their way to a node.
 struct CommandState {
-  bool failing = false;  // the latest direct command got no answer
+  bool last_command_failed = false;  // the latest direct command got no answer
   // Serial of the latest heartbeat whose answer told the agent to run something; 0: none in this incarnation.
   std::uint64_t last_run_serial = 0;
   // Fencing tokens of direct run commands that were sent and not answered: until the agent is seen under a higher token,
   // it may still execute them.
   std::uint64_t in_flight_token = 0;
-  std::uint64_t uncertain_token = 0;
+  std::uint64_t indeterminate_token = 0;
 };
 
 // What the cloud's instance list says of a node.
@@ -69,15 +69,15 @@
   Resources used;                                            // by placed tasks
   std::vector<std::pair<ImageIndex, double>> cached_images;  // with their sizes in GB; most recently used last
 
-  bool lease_expired = false;  // not used until its agent reports again
-  bool terminated = false;     // released, or taken back by the cloud: it does not return
-  bool releasing = false;      // its release was requested: nothing more is placed on it
-  double full_until = 0;       // it refused a start for lack of resources
-  double idle_since = 0;       // 0: not idle
+  bool lease_expired = false;      // not used until its agent reports again
+  bool terminated = false;         // released, or taken back by the cloud: it does not return
+  bool release_requested = false;  // its release was requested: nothing more is placed on it
+  double full_until = 0;           // it refused a start for lack of resources
+  double idle_since = 0;           // 0: not idle
 
   // Whether the agent, having seen the fencing token `token`, can no longer execute any start that was sent to it earlier.
-  [[nodiscard]] bool has_no_uncertain_start(std::uint64_t token) const {
-    return commands.in_flight_token == 0 && (commands.uncertain_token == 0 || token > commands.uncertain_token) &&
+  [[nodiscard]] bool has_no_indeterminate_start(std::uint64_t token) const {
+    return commands.in_flight_token == 0 && (commands.indeterminate_token == 0 || token > commands.indeterminate_token) &&
            (commands.last_run_serial == 0 || agent.heartbeat_serial > commands.last_run_serial);
   }
 };
--- a/src/cluster_state/quota_accounts.cpp
+++ b/src/cluster_state/quota_accounts.cpp
@@ -57,7 +57,7 @@
 bool QuotaAccounts::accepts_jobs(TeamIndex index) const {
   const Team& team = teams_[index.value];
   if (team.lacks_quota) return false;
-  return !agreed_ || (team.record && !team.record->leaving);
+  return !agreed_ || (team.record && !team.record->in_no_settings);
 }
 
 void QuotaAccounts::raise_usage(TeamIndex team, const Resources& used) {
@@ -81,7 +81,7 @@
 
 std::optional<std::string> QuotaAccounts::changing_team() const {
   for (const Team& team : teams_)
-    if (team.record && (team.record->proposed || team.record->leaving)) return team.name;
+    if (team.record && (team.record->proposed || team.record->in_no_settings)) return team.name;
   return std::nullopt;
 }
 
--- a/src/cluster_state/quota_accounts.hpp
+++ b/src/cluster_state/quota_accounts.hpp
@@ -35,7 +35,7 @@
   // The record replaces every earlier quota of the team.
   void apply_record(const TeamQuotaRecord& record);
   // Whether the ledger holds the quota of some team.
-  [[nodiscard]] bool agreed() const { return agreed_; }
+  [[nodiscard]] bool has_agreed_quotas() const { return agreed_; }
   // Whether submissions of the team are accepted: it has a quota, and some controller's settings still name it.
   [[nodiscard]] bool accepts_jobs(TeamIndex index) const;
 
--- a/src/cluster_state/quota_agreement.cpp
+++ b/src/cluster_state/quota_agreement.cpp
@@ -48,9 +48,9 @@
   record.proposed.reset();
   if (quota) {
     record.agreed = quota;
-    record.leaving = false;
+    record.in_no_settings = false;
   } else {
-    record.leaving = record.agreed.has_value();
+    record.in_no_settings = record.agreed.has_value();
   }
   return record;
 }
@@ -99,7 +99,7 @@
     const TeamQuotaRecord* recorded = ledger_record(quota_accounts, name);
     if (recorded) {
       before = *recorded;
-    } else if (!quota_accounts.agreed()) {
+    } else if (!quota_accounts.has_agreed_quotas()) {
       // The ledger holds no quotas yet: so far the leader's own file was in force.
       if (const auto it = own.find(name); it != own.end()) before.agreed = it->second;
     }
--- a/src/cluster_state/record_application.cpp
+++ b/src/cluster_state/record_application.cpp
@@ -30,7 +30,7 @@
     placement.node = find_or_add_node(assignment.node);
     placement.agent_incarnation = assignment.agent_incarnation;
     placement.attempt = record.attempt;
-    placement.decided_at = record.at;
+    placement.decided_at = record.decided_at;
     place_all(job_index, assignment.tasks, placement);
   }
 }
@@ -38,7 +38,7 @@
 void ClusterState::apply_record(const TasksCompletedRecord& record) {
   const JobIndex job_index = find(record.uid);
   if (!job_index.valid() || jobs_[job_index.value].tasks.empty()) return;
-  mark_done(job_index, record.tasks, record.at);
+  mark_done(job_index, record.tasks, record.completed_at);
   release_if_finished(job_index);
 }
 
@@ -47,7 +47,7 @@
   if (!job_index.valid()) return;
   const Job& job = jobs_[job_index.value];
   for (const TaskRange& range : record.tasks) {
-    for (std::uint32_t task = range.first; task < range.last; ++task) {
+    for (std::uint32_t task = range.first; task < range.end; ++task) {
       const auto it = job.placed.find(task);
       // A late removal of an earlier attempt says nothing about the present one.
       if (it == job.placed.end() || it->second.attempt != record.attempt) continue;
@@ -83,20 +83,20 @@
 // In a ledger read from its beginning this repeats what is known; where older entries were removed, the job begins with it.
 // A job with many task ranges comes in several records, of which only the last one carries its status.
 void ClusterState::apply_record(const JobSnapshotRecord& record) {
-  JobIndex job_index = find(record.accept.job.uid);
+  JobIndex job_index = find(record.accepted.job.uid);
   if (!job_index.valid()) {
     // A later part of an outdated snapshot, whose earlier parts were removed: the whole job stands further on in the ledger.
-    if (record.from > 0) return;
-    job_index = add_job(record.accept);
+    if (record.first_task > 0) return;
+    job_index = add_job(record.accepted);
     jobs_[job_index.value].partially_replayed = true;
   }
   Job& job = jobs_[job_index.value];
-  if (!record.more) job.partially_replayed = false;
+  if (!record.has_more) job.partially_replayed = false;
   if (record.suspect) failure_attribution_.restore_suspicion(job_index);
   job.attempts = std::max(job.attempts, record.attempts);
-  if (record.ready_at > 0) {
-    if (job.blocked) unblock(job_index, record.ready_at);
-    job.eligible_since = record.ready_at;
+  if (record.eligible_since > 0) {
+    if (job.blocked) unblock(job_index, record.eligible_since);
+    job.eligible_since = record.eligible_since;
   }
   if (!record.done.empty()) mark_done(job_index, record.done, 0);
   for (const auto& placed : record.placed) {
@@ -104,10 +104,10 @@
     placement.node = find_or_add_node(placed.node);
     placement.agent_incarnation = placed.agent_incarnation;
     placement.attempt = placed.attempt;
-    placement.decided_at = placed.at;
+    placement.decided_at = placed.decided_at;
     place_all(job_index, placed.tasks, placement);
   }
-  if (record.status == JobStatus::cancelled) apply_record(JobCancelledRecord{record.accept.job.uid});
+  if (record.status == JobStatus::cancelled) apply_record(JobCancelledRecord{record.accepted.job.uid});
   if (job.status == JobStatus::cancelled) {
     for (auto& [task, placement] : job.placed) placement.stopping = true;
   }
--- a/src/cluster_state/service_level_counters.cpp
+++ b/src/cluster_state/service_level_counters.cpp
@@ -32,8 +32,8 @@
     Counts& counts = counts_of(job->spec);
     ++counts.started;
     if (cluster_state.is_large(*job)) {
-      ++counts.largest;
-      counts.largest_in_time += std::get<TasksStartedRecord>(record).at - job->eligible_since <= kLargestStartTarget;
+      ++counts.largest_started;
+      counts.largest_started_in_time += std::get<TasksStartedRecord>(record).decided_at - job->eligible_since <= kLargestJobStartTargetS;
     }
   }
   if (const Job* job = find_job<JobCancelledRecord>(record, cluster_state); job && is_unstarted(*job))
@@ -51,8 +51,8 @@
   Counts& counts = counts_[ending_->key];
   ++counts.done;
   if (!ending_->deadline_at) return;
-  ++counts.due;
-  counts.in_time += wall <= *ending_->deadline_at;
+  ++counts.done_with_deadline;
+  counts.done_in_time += wall <= *ending_->deadline_at;
 }
 
 void ServiceLevelCounters::add_replica_time(const ClusterState& cluster_state, double seconds) {
@@ -60,8 +60,8 @@
     const Job& job = cluster_state.job(job_index);
     if (job.ended() || job.spec.job_type != JobType::service) continue;
     Counts& counts = counts_of(job.spec);
-    counts.replica_s += seconds * static_cast<double>(job.tasks.size());
-    counts.replica_up_s += seconds * job.running();
+    counts.replica_requested_s += seconds * static_cast<double>(job.tasks.size());
+    counts.replica_running_s += seconds * job.running();
   }
 }
 
--- a/src/cluster_state/service_level_counters.hpp
+++ b/src/cluster_state/service_level_counters.hpp
@@ -17,16 +17,16 @@
 class ServiceLevelCounters {
  public:
   struct Counts {
-    std::uint64_t accepted = 0;  // jobs, as all counts up to `largest_in_time`
+    std::uint64_t accepted = 0;  // jobs, as all counts up to `largest_started_in_time`
     std::uint64_t started = 0;   // their first task, or their gang
     std::uint64_t done = 0;
-    std::uint64_t due = 0;                  // of those done: with a deadline
-    std::uint64_t in_time = 0;              // of those due: done by the deadline
-    std::uint64_t withdrawn_unstarted = 0;  // cancelled by their users before anything ran
-    std::uint64_t largest = 0;              // of those started: among the largest of their class
-    std::uint64_t largest_in_time = 0;      // of the largest: started within kLargestStartTarget
-    double replica_s = 0;                   // of services: replica seconds asked for
-    double replica_up_s = 0;                // of services: replica seconds running
+    std::uint64_t done_with_deadline = 0;       // of those done: with a deadline
+    std::uint64_t done_in_time = 0;             // of those with a deadline: done by the deadline
+    std::uint64_t withdrawn_unstarted = 0;      // cancelled by their users before anything ran
+    std::uint64_t largest_started = 0;          // of those started: among the largest of their class
+    std::uint64_t largest_started_in_time = 0;  // of `largest_started`: started within kLargestJobStartTargetS
+    double replica_requested_s = 0;             // of services: replica seconds asked for
+    double replica_running_s = 0;               // of services: replica seconds running
     friend bool operator==(const Counts&, const Counts&) = default;
   };
   // Job classes that `classes` does not name are counted together, as "other".
--- a/src/cluster_state/task_placement.cpp
+++ b/src/cluster_state/task_placement.cpp
@@ -42,7 +42,7 @@
 
 void ClusterState::place_all(JobIndex job_index, const TaskRanges& tasks, const Placement& placement) {
   for (const TaskRange& range : tasks)
-    for (std::uint32_t task = range.first; task < range.last; ++task) place({job_index, task}, placement);
+    for (std::uint32_t task = range.first; task < range.end; ++task) place({job_index, task}, placement);
 }
 
 void ClusterState::unplace(TaskRef task) {
@@ -66,7 +66,7 @@
 void ClusterState::mark_done(JobIndex job_index, const TaskRanges& tasks, double done_at) {
   Job& job = jobs_[job_index.value];
   for (const TaskRange& range : tasks) {
-    for (std::uint32_t task = range.first; task < range.last && task < job.tasks.size(); ++task) {
+    for (std::uint32_t task = range.first; task < range.end && task < job.tasks.size(); ++task) {
       if (const auto it = job.placed.find(task); it != job.placed.end()) {
         failure_attribution_.record_success(job_index, it->second.node);
         unplace({job_index, task});
--- a/src/cluster_state/usage_accounting.cpp
+++ b/src/cluster_state/usage_accounting.cpp
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-std::vector<Resources> ClusterState::recount() const {
+std::vector<Resources> ClusterState::count_placed_usage() const {
   std::vector<Resources> usage_by_team(quota_accounts_.teams().size());
   for (const Job& job : jobs_)
     for (std::size_t i = 0; i < job.placed.size(); ++i) usage_by_team[job.team.value] += job.spec.demand;
@@ -27,7 +27,7 @@
 
 std::vector<std::string> ClusterState::correct_accounts() {
   std::vector<std::string> differing_teams;
-  const std::vector<Resources> counted = recount();
+  const std::vector<Resources> counted = count_placed_usage();
   for (std::uint32_t i = 0; i < counted.size(); ++i) {
     const TeamIndex team_index{i};
     const Team& team = quota_accounts_.team(team_index);
@@ -38,7 +38,7 @@
   return differing_teams;
 }
 
-void ClusterState::recount_unplaced() {
+void ClusterState::recount_unplaced_usage() {
   quota_accounts_.clear_unplaced();
   for (std::uint32_t i = 0; i < nodes_.size(); ++i)
     if (may_have_unplaced_tasks(nodes_[i])) charge_unplaced(NodeIndex{i});
@@ -52,7 +52,7 @@
   // here, they would hide as many unplaced ones.
   const auto placed_and_seen = std::count_if(node.placed.begin(), node.placed.end(), [&](const PlacedTask& task) {
     const Placement& placement = *task.placement;
-    return placement.reported && !placement.end_pending && placement.agent_incarnation == node.agent.incarnation &&
+    return placement.reported && !placement.removal_pending && placement.agent_incarnation == node.agent.incarnation &&
            placement.phase != TaskPhase::exited;
   });
   return reported > placed_and_seen;
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -136,7 +136,7 @@
     node.instance.age_s = instance.age_s;
     if (is_running && node.instance.running_since == 0) node.instance.running_since = now;
     if (node.agent.has_reported) continue;
-    cluster_state.describe_node(index, instance.address, instance.machine_type, instance.zone, instance.spot);
+    cluster_state.set_node_attributes(index, instance.address, instance.machine_type, instance.zone, instance.spot);
     // A node new to this leader may hold tasks: its agent learns of the fencing token at once.
     if (is_new && is_running) commands_.enqueue(index, true);
   }
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -164,11 +164,11 @@
   node.commands.in_flight_token = 0;
   if (request.has_start && unanswered) {
     // It may be executed much later. Until the agent has seen a higher token, nothing is concluded there.
-    node.commands.uncertain_token = std::max(node.commands.uncertain_token, request.fencing_token);
+    node.commands.indeterminate_token = std::max(node.commands.indeterminate_token, request.fencing_token);
     shared_.request_pass();
     spdlog::debug("node {}: start command unanswered", node.name);
   }
-  node.commands.failing = !understood;
+  node.commands.last_command_failed = !understood;
   if (understood) {
     term.commands_failing_since = 0;
     queue_.complete(request.node);
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -162,7 +162,7 @@
 // An agent that stays with a peer has not tried to reach this controller: what is known is whether commands reach it.
 void HeartbeatHandler::record_direct_contact(Node& node, Route route, bool stale, double now) const {
   const double failing_since = shared_.term->commands_failing_since;
-  const bool commands_arrive = !node.commands.failing && (failing_since == 0 || now - failing_since < kCommandsLostS);
+  const bool commands_arrive = !node.commands.last_command_failed && (failing_since == 0 || now - failing_since < kCommandsLostS);
   const bool reachable = route == Route::direct || (route == Route::relayed && commands_arrive);
   if (reachable && !stale) node.agent.last_direct_contact_at = now;
 }
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -90,7 +90,7 @@
   const auto names = [&](Reason reason) -> std::vector<std::string>& { return out[static_cast<std::size_t>(reason)]; };
   for (const NodeIndex index : unresponsive_nodes_to_replace(cluster_state, seen.now, shared_.config.settings.lease_s)) {
     if (term.starting_nodes.contains(index) || names(Reason::unresponsive).size() >= kMaxReleases) continue;
-    cluster_state.node(index).releasing = true;
+    cluster_state.node(index).release_requested = true;
     names(Reason::unresponsive).push_back(cluster_state.node(index).name);
   }
   const auto chosen = [&] {
@@ -133,14 +133,14 @@
   }
   // Tasks failed there once more after it was uncordoned: another node in its place serves better.
   if (is_unused(index) && cluster_state.failure_attribution().should_replace(index, wall_now())) {
-    node.releasing = true;
+    node.release_requested = true;
     reason = Reason::faulty;
     return true;
   }
   const bool is_idle = is_unused(index) && node.idle_since > 0;
   const bool is_needed = !look.is_quiet && !term.unserved.empty();
-  if (!node.releasing && (!is_idle || is_needed || look.now - node.idle_since <= look.idle_limit_s)) return false;
-  node.releasing = true;
+  if (!node.release_requested && (!is_idle || is_needed || look.now - node.idle_since <= look.idle_limit_s)) return false;
+  node.release_requested = true;
   reason = Reason::idle;
   return true;
 }
@@ -168,7 +168,7 @@
     ClusterState& cluster_state = *shared_.term->cluster_state;
     Node& node = cluster_state.node(cluster_state.find_or_add_node(target.name));
     node.agent.last_direct_contact_at = steady_now();
-    node.commands.failing = false;
+    node.commands.last_command_failed = false;
     shared_.term->commands_failing_since = 0;
   } catch (const ProtocolError& e) {
     spdlog::error("node {}: malformed status: {}", target.name, e.what());
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -25,7 +25,7 @@
   const Job& job = cluster_state.job(index);
   double cores = 0;
   for (const auto& range : completion.tasks) {
-    for (auto it = job.placed.lower_bound(range.first); it != job.placed.end() && it->first < range.last; ++it) {
+    for (auto it = job.placed.lower_bound(range.first); it != job.placed.end() && it->first < range.end; ++it) {
       const MachineType* type = cluster_state.machine_type(cluster_state.node(it->second.node).machine_type);
       if (type && type->capacity.accelerators <= 0) cores += job.spec.demand.cores;
     }
@@ -258,16 +258,16 @@
 }
 
 void LedgerCommitter::record_completion(const TasksCompletedRecord& completion) {
-  for (const auto& range : completion.tasks) metrics_.counters.finished += range.last - range.first;
+  for (const auto& range : completion.tasks) metrics_.counters.finished += range.end - range.first;
   shared_.release_rate.add(released_cores(*shared_.term->cluster_state, completion), steady_now());
 }
 
 void LedgerCommitter::log_verdicts() {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  using Kind = FailureAttribution::Verdict::Kind;
-  for (const auto& verdict : cluster_state.failure_attribution().take_verdicts()) {
+  using Kind = FailureAttribution::Decision::Type;
+  for (const auto& verdict : cluster_state.failure_attribution().take_decisions()) {
     const std::string& uid = cluster_state.job(verdict.job).uid;
-    switch (verdict.kind) {
+    switch (verdict.type) {
       case Kind::suspected:
         ++metrics_.counters.suspected;
         spdlog::info("job {}: suspected, failed on {} nodes and succeeded on none, retried with one task", uid, verdict.count);
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -105,11 +105,11 @@
   term.cluster_state = std::move(ledger.cluster_state);
   ClusterState& cluster_state = *term.cluster_state;
   for (const auto& [name, answered_at] : term.early_answers)
-    cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_answered_at = answered_at;
+    cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_answered_heartbeat_at = answered_at;
   term.early_answers.clear();
   shared_.partition_lease.revoke();
   commit_queue_.clear();
-  cluster_state.failure_attribution().take_verdicts();  // these were logged by the leader that reached them
+  cluster_state.failure_attribution().take_decisions();  // these were logged by the leader that reached them
   shared_.role = Role::leading;
   if (const auto counts = cluster_state.dependency_graph().counts(); counts.unresolved_names > 0)
     spdlog::error("ledger: {} jobs that others depend on are missing, their dependents do not start", counts.unresolved_names);
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -164,14 +164,14 @@
     add("served_jobs_total", "accepted", counts.accepted);
     add("served_jobs_total", "started", counts.started);
     add("served_jobs_total", "done", counts.done);
-    add("served_jobs_total", "due", counts.due);
-    add("served_jobs_total", "in_time", counts.in_time);
-    add("served_jobs_total", "largest_started", counts.largest);
-    add("served_jobs_total", "largest_started_within_240s", counts.largest_in_time);
+    add("served_jobs_total", "due", counts.done_with_deadline);
+    add("served_jobs_total", "in_time", counts.done_in_time);
+    add("served_jobs_total", "largest_started", counts.largest_started);
+    add("served_jobs_total", "largest_started_within_240s", counts.largest_started_in_time);
     add("served_jobs_total", "withdrawn_unstarted", counts.withdrawn_unstarted);
-    if (counts.replica_s == 0) continue;
-    add("served_replica_seconds_total", "asked", counts.replica_s);
-    add("served_replica_seconds_total", "up", counts.replica_up_s);
+    if (counts.replica_requested_s == 0) continue;
+    add("served_replica_seconds_total", "asked", counts.replica_requested_s);
+    add("served_replica_seconds_total", "up", counts.replica_running_s);
   }
 }
 
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -115,7 +115,7 @@
   const TeamIndex team = accounts.find(spec.owner);
   const bool recorded = team.valid() && accounts.team(team).record;
   // In this controller's settings, and not in the ledger yet.
-  if (accounts.agreed() && !recorded) return shared_.config.team_quotas.contains(spec.owner);
+  if (accounts.has_agreed_quotas() && !recorded) return shared_.config.team_quotas.contains(spec.owner);
   if (!recorded || !accounts.team(team).record->proposed) return false;
   return cluster_state.rejection_reason(spec).has_value();
 }
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -17,7 +17,7 @@
 constexpr double kRetryPauseS = 0.2;
 
 const char* describe(const TeamQuotaRecord& record) {
-  if (record.leaving) return "in no settings file any more, keeps its quotas for the jobs it has";
+  if (record.in_no_settings) return "in no settings file any more, keeps its quotas for the jobs it has";
   if (record.proposed) return "quotas differ between controllers, the lower limit and the higher guarantee apply until they agree";
   return "quotas in force, the same on all controllers";
 }
@@ -95,7 +95,7 @@
   const auto version = active.format_version;
   if (const auto team = term.cluster_state->quota_accounts().changing_team(); team && has_team_quotas(version))
     leading.no_older_format = "the terms of team " + *team;
-  if (const auto reason = term.cluster_state->dependencies_without_older_format(); reason && has_dependencies(version))
+  if (const auto reason = term.cluster_state->describe_blocked_jobs(); reason && has_dependencies(version))
     leading.no_older_format = *reason;
   if (const auto generation = term.ledger_writer.generation(); generation != 0)
     leading.no_older_format = "generation " + std::to_string(generation);
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -106,7 +106,7 @@
     node.instance.requested_at = now;
     // It may be up, and have reported, before this answer came.
     if (node.agent.has_reported || node.instance.listed) continue;
-    cluster_state.describe_node(index, "", sent.machine_type, offer.zone, offer.spot);
+    cluster_state.set_node_attributes(index, "", sent.machine_type, offer.zone, offer.spot);
     node.instance.listed = true;
     node.instance.status = Instance::Status::booting;
   }
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -112,7 +112,7 @@
   const ClusterState& cluster_state = *term.cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
-    if (node.lease_expired || node.commands.uncertain_token < term.fencing_token) continue;
+    if (node.lease_expired || node.commands.indeterminate_token < term.fencing_token) continue;
     term.raise_token_requested = true;
     commit_queue_.wake_committer();
     return;
@@ -220,7 +220,7 @@
   for (const auto& [job, start] : starts.records) {
     for (auto& record : split_by_size(start, shared_.term->cluster_state->record_bytes())) {
       for (const auto& assignment : record.assignments)
-        for (const auto& range : assignment.tasks) metrics_.counters.started += range.last - range.first;
+        for (const auto& range : assignment.tasks) metrics_.counters.started += range.end - range.first;
       records.emplace_back(std::move(record));
     }
   }
--- a/src/ledger/entry_packer.cpp
+++ b/src/ledger/entry_packer.cpp
@@ -22,12 +22,12 @@
 
 std::size_t max_record_bytes(std::size_t value_bytes) {
   const auto room = value_bytes > 2 * kCheckedEntryBytes ? value_bytes - kCheckedEntryBytes : kCheckedEntryBytes;
-  return std::min(kRecordBytes, static_cast<std::size_t>(static_cast<double>(room) * kMaxRecordShare));
+  return std::min(kDefaultRecordBytes, static_cast<std::size_t>(static_cast<double>(room) * kMaxRecordShare));
 }
 
 bool fits_in_entry(const JobAcceptedRecord& accept, std::size_t value_bytes) {
   JobSnapshotRecord snapshot;
-  snapshot.accept = accept;
+  snapshot.accepted = accept;
   return widest_size(snapshot) + kTaskRangesBytes + kCheckedEntryBytes <= value_bytes;
 }
 
--- a/src/ledger/record_queue.cpp
+++ b/src/ledger/record_queue.cpp
@@ -12,7 +12,7 @@
 // The job that a record is about; null if it isn't about a single job.
 struct JobUidOf {
   const std::string* operator()(const JobAcceptedRecord& r) const { return &r.job.uid; }
-  const std::string* operator()(const JobSnapshotRecord& r) const { return &r.accept.job.uid; }
+  const std::string* operator()(const JobSnapshotRecord& r) const { return &r.accepted.job.uid; }
   const std::string* operator()(const TasksStartedRecord& r) const { return &r.uid; }
   const std::string* operator()(const TasksCompletedRecord& r) const { return &r.uid; }
   const std::string* operator()(const TasksRemovedRecord& r) const { return &r.uid; }
@@ -29,8 +29,8 @@
   std::sort(all.begin(), all.end(), [](const TaskRange& a, const TaskRange& b) { return a.first < b.first; });
   TaskRanges merged;
   for (const auto& range : all) {
-    if (!merged.empty() && merged.back().last >= range.first) {
-      merged.back().last = std::max(merged.back().last, range.last);
+    if (!merged.empty() && merged.back().end >= range.first) {
+      merged.back().end = std::max(merged.back().end, range.end);
     } else {
       merged.push_back(range);
     }
@@ -57,7 +57,7 @@
   auto* earlier = std::get_if<TasksCompletedRecord>(newest);
   if (!earlier || earlier->tasks.size() + completed->tasks.size() > kMaxMergedRanges) return false;
   earlier->tasks = merged_ranges(earlier->tasks, completed->tasks);
-  earlier->at = std::max(earlier->at, completed->at);
+  earlier->completed_at = std::max(earlier->completed_at, completed->completed_at);
   return true;
 }
 
--- a/src/model/ledger_records.hpp
+++ b/src/model/ledger_records.hpp
@@ -19,7 +19,7 @@
 struct JobAcceptedRecord {
   JobSpec job;
   double random_draw = 0;  ///< drawn once on acceptance, the random part of the job's place in the order
-  double at = 0;
+  double accepted_at = 0;
 };
 /// Tasks of a job were assigned to nodes, all as the same attempt.
 struct TasksStartedRecord {
@@ -31,14 +31,14 @@
   };
   std::string uid;
   std::uint64_t attempt = 0;
-  double at = 0;
+  double decided_at = 0;
   std::vector<NodeAssignment> assignments;
 };
 /// Tasks of a job are done.
 struct TasksCompletedRecord {
   std::string uid;
   TaskRanges tasks;
-  double at = 0;  ///< from format version 4 on, and only where some job depends on this one; 0: not told
+  double completed_at = 0;  ///< from format version 4 on, and only where some job depends on this one; 0: not told
 };
 /// Tasks of an attempt are no longer on a node and are not done.
 struct TasksRemovedRecord {
@@ -61,19 +61,19 @@
   struct PlacedTasks {
     std::string node;
     std::uint64_t agent_incarnation = 0, attempt = 0;
-    double at = 0;
+    double decided_at = 0;
     TaskRanges tasks;
   };
-  JobAcceptedRecord accept;
+  JobAcceptedRecord accepted;
   JobStatus status = JobStatus::queued;
   std::uint64_t attempts = 0;
   TaskRanges done;
   std::vector<PlacedTasks> placed;
-  /// A job with many ranges takes several records; each covers the tasks from `from` on.
-  std::uint32_t from = 0;
-  bool more = false;     ///< further records of this job follow
-  bool suspect = false;  ///< it failed wherever it ran
-  double ready_at = 0;   ///< when the last of the jobs that it depends on was done; 0: it depends on none, or still waits
+  /// A job with many ranges takes several records; each covers the tasks from `first_task` on.
+  std::uint32_t first_task = 0;
+  bool has_more = false;      ///< further records of this job follow
+  bool suspect = false;       ///< it failed wherever it ran
+  double eligible_since = 0;  ///< when the last of the jobs that it depends on was done; 0: it depends on none, or still waits
 };
 /// Jobs that ended: only their names and how they ended are still needed.
 struct JobsEndedRecord {
@@ -94,7 +94,7 @@
   std::string name;
   std::optional<TeamQuota> agreed;    ///< in force
   std::optional<TeamQuota> proposed;  ///< in the settings of some controllers: narrows the one in force
-  bool leaving = false;               ///< no longer in any settings: its jobs keep the quota, and no new ones are accepted
+  bool in_no_settings = false;        ///< no longer in any settings: its jobs keep the quota, and no new ones are accepted
   friend bool operator==(const TeamQuotaRecord&, const TeamQuotaRecord&) = default;
 };
 /// Any record.
--- a/src/model/task.hpp
+++ b/src/model/task.hpp
@@ -37,17 +37,17 @@
   bool checkpointed = false;  ///< its progress was saved, and a later attempt resumes from there
 };
 
-/// Half-open range of task numbers: `last` is not in it.
+/// Half-open range of task numbers: `end` is not in it.
 struct TaskRange {
-  std::uint32_t first = 0, last = 0;
+  std::uint32_t first = 0, end = 0;
   friend bool operator==(const TaskRange&, const TaskRange&) = default;
 };
 /// Task numbers as ranges, in ascending order.
 using TaskRanges = std::vector<TaskRange>;
 /// Adds a task whose number is above all of those in `ranges`.
 inline void append_task(TaskRanges& ranges, std::uint32_t task) {
-  if (!ranges.empty() && ranges.back().last == task) {
-    ++ranges.back().last;
+  if (!ranges.empty() && ranges.back().end == task) {
+    ++ranges.back().end;
   } else {
     ranges.push_back({task, task + 1});
   }
--- a/src/protocol/ledger_record_json.cpp
+++ b/src/protocol/ledger_record_json.cpp
@@ -25,13 +25,13 @@
   json numbers = json::array();
   for (const auto& range : ranges) {
     numbers.push_back(range.first);
-    numbers.push_back(range.last);
+    numbers.push_back(range.end);
   }
   return numbers;
 }
 
 json accept_json(const JobAcceptedRecord& record) {
-  return {job_spec_json(record.job), record.random_draw, record.at};
+  return {job_spec_json(record.job), record.random_draw, record.accepted_at};
 }
 
 // Null where there is none. Memory has no quota.
@@ -48,11 +48,11 @@
     json assignments = json::array();
     for (const auto& assignment : record.assignments)
       assignments.push_back({assignment.node, assignment.agent_incarnation, ranges_json(assignment.tasks)});
-    return {"start", record.uid, record.attempt, record.at, std::move(assignments)};
+    return {"start", record.uid, record.attempt, record.decided_at, std::move(assignments)};
   }
   json operator()(const TasksCompletedRecord& record) const {
     json items{"done", record.uid, ranges_json(record.tasks)};
-    if (record.at > 0 && has_dependencies(format_version)) items.push_back({{"at", record.at}});
+    if (record.completed_at > 0 && has_dependencies(format_version)) items.push_back({{"at", record.completed_at}});
     return items;
   }
   json operator()(const TasksRemovedRecord& record) const {
@@ -69,21 +69,21 @@
   json operator()(const JobSnapshotRecord& record) const {
     json placed = json::array();
     for (const auto& tasks : record.placed)
-      placed.push_back({tasks.node, tasks.agent_incarnation, tasks.attempt, tasks.at, ranges_json(tasks.tasks)});
+      placed.push_back({tasks.node, tasks.agent_incarnation, tasks.attempt, tasks.decided_at, ranges_json(tasks.tasks)});
     json items{"job",
-               accept_json(record.accept),
+               accept_json(record.accepted),
                enum_name(record.status, kJobStatusNames),
                record.attempts,
                ranges_json(record.done),
                std::move(placed),
-               record.from,
-               record.more,
+               record.first_task,
+               record.has_more,
                record.suspect};
-    if (record.ready_at > 0 && has_dependencies(format_version)) items.push_back({{"ready", record.ready_at}});
+    if (record.eligible_since > 0 && has_dependencies(format_version)) items.push_back({{"ready", record.eligible_since}});
     return items;
   }
   json operator()(const TeamQuotaRecord& record) const {
-    return {"team", record.name, quota_json(record.agreed), quota_json(record.proposed), record.leaving};
+    return {"team", record.name, quota_json(record.agreed), quota_json(record.proposed), record.in_no_settings};
   }
   json operator()(const JobsEndedRecord& record) const {
     json items{"ended", enum_name(record.status, kJobStatusNames), record.uids};
@@ -158,7 +158,7 @@
 
 Record parse_tasks_completed(const RecordItems& items) {
   TasksCompletedRecord record{items.at(1).get<std::string>(), parse_ranges(items.at(2)), 0};
-  if (const json* at = items.extra("at")) record.at = at->get<double>();
+  if (const json* at = items.extra("at")) record.completed_at = at->get<double>();
   return record;
 }
 
@@ -177,10 +177,10 @@
   return record;
 }
 
-// Early builds wrote fewer items: `from` and `more` came together, `suspect` after them.
+// Early builds wrote fewer items: `first_task` and `has_more` came together, `suspect` after them.
 Record parse_job_snapshot(const RecordItems& items) {
   JobSnapshotRecord record;
-  record.accept = parse_accept(items.at(1));
+  record.accepted = parse_accept(items.at(1));
   record.status = as_enum(items.at(2), "status", kJobStatusNames);
   record.attempts = items.at(3).get<std::uint64_t>();
   record.done = parse_ranges(items.at(4));
@@ -189,11 +189,11 @@
                              placed.at(3).get<double>(), parse_ranges(placed.at(4))});
   }
   if (items.size > 7) {
-    record.from = items.at(6).get<std::uint32_t>();
-    record.more = items.at(7).get<bool>();
+    record.first_task = items.at(6).get<std::uint32_t>();
+    record.has_more = items.at(7).get<bool>();
   }
   if (items.size > 8) record.suspect = items.at(8).get<bool>();
-  if (const json* ready_at = items.extra("ready")) record.ready_at = ready_at->get<double>();
+  if (const json* ready_at = items.extra("ready")) record.eligible_since = ready_at->get<double>();
   return record;
 }
 
--- a/src/scheduling/plan_input_builder.cpp
+++ b/src/scheduling/plan_input_builder.cpp
@@ -49,7 +49,7 @@
 bool may_be_planned(const ClusterState& cluster_state, JobIndex index, double wall) {
   const Job& job = cluster_state.job(index);
   const auto& failures = cluster_state.failure_attribution();
-  if (!waits_for_slots(job) || failures.next_try_at(index) > wall) return false;
+  if (!waits_for_slots(job) || failures.next_retry_at(index) > wall) return false;
   if (failures.is_suspect(index) && !job.placed.empty()) return false;
   // After a failover a node's zone is unknown until it is listed or reports: the zones of the job's other tasks must be
   // known before one more is placed.
@@ -126,7 +126,7 @@
   if (std::none_of(live.begin(), live.end(), [&](JobIndex j) { return waits_for_slots(cluster_state.job(j)); })) return input;
   input.nodes = make_plan_nodes(cluster_state, context, parameters_.heartbeat_interval_s);
   accelerator_reservation_.apply(input, cluster_state, parameters_.start_targets, context);
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   for (std::uint32_t team = 0; team < cluster_state.teams().size(); ++team)
     input.teams.push_back({cluster_state.quota_accounts().headroom(TeamIndex{team}, kUnlimited)});
   for (JobIndex j : live) {
--- a/src/scheduling/plan_node_builder.cpp
+++ b/src/scheduling/plan_node_builder.cpp
@@ -24,7 +24,7 @@
   const Node& node = cluster_state.node(index);
   if (!cluster_state.machine_type(node.machine_type) || !node.agent.has_reported || node.lease_expired || node.terminated) return false;
   if (cluster_state.failure_attribution().is_cordoned(index, context.wall)) return false;
-  if (node.releasing || node.agent.interruption_at || node.full_until > context.steady) return false;
+  if (node.release_requested || node.agent.interruption_at || node.full_until > context.steady) return false;
   // A heartbeat may be a late copy of one to an earlier leader: nothing is placed on a node before it has shown that it
   // knows this leader. Machines that this leader requested itself sent no earlier heartbeats, nor did any in a first term.
   const bool knows_leader = node.agent.highest_token >= context.takeover_token;
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -28,7 +28,8 @@
   // A node that runs tasks has booted, whatever an outdated list says, though this leader has not heard of it yet. (A new
   // leader once took such nodes for dead and released them; new_machines_test.)
   if (!node.placed.empty()) return BootProgress::none;
-  if (!node.instance.listed || node.terminated || node.agent.has_reported || node.releasing || !machine_type) return BootProgress::none;
+  if (!node.instance.listed || node.terminated || node.agent.has_reported || node.release_requested || !machine_type)
+    return BootProgress::none;
   if (node.instance.status == Instance::Status::failed) return BootProgress::none;
   // Listed as running it is up: its first heartbeat is on the way, or the machine is cut off.
   const double usual_s = kUsualBootFactor * machine_type->boot_s + kFirstHeartbeatSeconds;
--- a/src/scheduling/victim_search.cpp
+++ b/src/scheduling/victim_search.cpp
@@ -108,7 +108,7 @@
   std::set<JobIndex> gangs;
   for (const auto& placed : cluster_state_.node(node).placed) {
     const Placement& placement = *placed.placement;
-    if (stopped_.contains(placed) || !may_preempt(claimant, placed.job) || placement.stopping || placement.end_pending) continue;
+    if (stopped_.contains(placed) || !may_preempt(claimant, placed.job) || placement.stopping || placement.removal_pending) continue;
     const Job& victim = cluster_state_.job(placed.job);
     if (victim.spec.job_type != JobType::gang) {
       groups.push_back({placed.job, {placed}, victim.spec.demand, lost_work(victim, placement)});
--- a/src/worker_control/command_selection.cpp
+++ b/src/worker_control/command_selection.cpp
@@ -37,7 +37,7 @@
                                      std::vector<Command>& commands) {
   const Node& node = cluster_state.node(node_index);
   // While a start may still be on its way, the agent must remember the attempts that have exited, or it would run one again.
-  const bool may_acknowledge = node.has_no_uncertain_start(node.agent.highest_token) && node.agent.highest_token >= fencing_token;
+  const bool may_acknowledge = node.has_no_indeterminate_start(node.agent.highest_token) && node.agent.highest_token >= fencing_token;
   for (const ReportedTask& reported : node.agent.tasks) {
     if (commands.size() >= kMaxCommands) return;
     const bool exited = reported.phase == TaskPhase::exited;
@@ -60,7 +60,7 @@
   for (const auto& placed : node.placed) {
     if (commands.size() >= kMaxCommands) return;
     const Placement& placement = *placed.placement;
-    if (placement.end_pending || placement.agent_incarnation != node.agent.incarnation) continue;
+    if (placement.removal_pending || placement.agent_incarnation != node.agent.incarnation) continue;
     if (find_reported_task(node.agent, placed, placement.attempt)) continue;
     const TaskId id{cluster_state.job(placed.job).uid, placed.task};
     if (placement.stopping) {
--- a/src/worker_control/draining.cpp
+++ b/src/worker_control/draining.cpp
@@ -23,11 +23,11 @@
 
 // Whether the task writes a checkpoint that nobody asked it for under this leader.
 bool has_inherited_stop(const Placement& placement) {
-  return placement.reported && placement.phase == TaskPhase::checkpointing && !placement.stopping && !placement.end_pending;
+  return placement.reported && placement.phase == TaskPhase::checkpointing && !placement.stopping && !placement.removal_pending;
 }
 
 void stop_if_placed(Placement& placement, double grace_period_s, std::set<NodeIndex>& touched) {
-  if (placement.stopping || placement.end_pending) return;
+  if (placement.stopping || placement.removal_pending) return;
   mark_for_stop(placement, grace_period_s);
   touched.insert(placement.node);
 }
--- a/src/worker_control/heartbeat_application.cpp
+++ b/src/worker_control/heartbeat_application.cpp
@@ -49,7 +49,7 @@
 
   HeartbeatOutcome run() {
     if (!node_.agent.has_reported || node_.lease_expired) changed_ = true;
-    cluster_state_.describe_node(node_index_, heartbeat_.address, heartbeat_.machine_type, heartbeat_.zone, heartbeat_.spot);
+    cluster_state_.set_node_attributes(node_index_, heartbeat_.address, heartbeat_.machine_type, heartbeat_.zone, heartbeat_.spot);
     const bool repeated = heartbeat_.agent_incarnation == node_.agent.incarnation && repeats_last_message(heartbeat_, node_);
     remove_tasks_of_earlier_incarnations();
     update_agent();
@@ -67,7 +67,7 @@
 
  private:
   void remove(TaskRef ref, Placement& placement, double failed_at = 0) {
-    placement.end_pending = true;
+    placement.removal_pending = true;
     changed_ = true;
     ends_.add_removed(cluster_state_, ref, placement.attempt, failed_at);
   }
@@ -78,7 +78,7 @@
   void remove_tasks_of_earlier_incarnations() {
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
-      if (placement.agent_incarnation < heartbeat_.agent_incarnation && !placement.end_pending) remove(placed, placement);
+      if (placement.agent_incarnation < heartbeat_.agent_incarnation && !placement.removal_pending) remove(placed, placement);
     }
   }
 
@@ -92,7 +92,7 @@
       agent.incarnation_since = now_.steady;
       agent.heartbeat_serial = 0;
       node_.commands.last_run_serial = 0;
-      node_.commands.uncertain_token = 0;
+      node_.commands.indeterminate_token = 0;
     }
     // The lease of a new incarnation runs from its beginning without any answer of a leader. It is counted from the first
     // message of that incarnation, or a task started in it could be given up while it still runs.
@@ -115,8 +115,8 @@
   }
 
   void update_uncertain_starts() {
-    std::uint64_t& uncertain_token = node_.commands.uncertain_token;
-    if (heartbeat_.fencing_token > uncertain_token) uncertain_token = 0;
+    std::uint64_t& indeterminate_token = node_.commands.indeterminate_token;
+    if (heartbeat_.fencing_token > indeterminate_token) indeterminate_token = 0;
   }
 
   void replace_reported_tasks() {
@@ -144,7 +144,7 @@
       if (phase_changed && placement->running_since == 0) placement->running_since = now_.wall;
       credit_healthy_replica(reported.ref, *placement);
     }
-    if (reported.phase == TaskPhase::exited && !placement->end_pending) apply_exit(reported.ref, *placement, exit_reason);
+    if (reported.phase == TaskPhase::exited && !placement->removal_pending) apply_exit(reported.ref, *placement, exit_reason);
   }
 
   void credit_healthy_replica(TaskRef ref, const Placement& placement) {
@@ -155,7 +155,7 @@
 
   void apply_exit(TaskRef ref, Placement& placement, ExitReason exit_reason) {
     if (exit_reason == ExitReason::completed) {
-      placement.end_pending = true;
+      placement.removal_pending = true;
       changed_ = true;
       ends_.add_completed(cluster_state_, ref, now_.wall);
       return;
@@ -169,11 +169,11 @@
   // A task that is to be stopped and that the agent does not report has ended only when no start of it can still be on its way.
   void remove_stopped_tasks_that_are_absent() {
     const bool absence_is_proof =
-        is_heartbeat_ && heartbeat_.fencing_token >= takeover_token_ && node_.has_no_uncertain_start(heartbeat_.fencing_token);
+        is_heartbeat_ && heartbeat_.fencing_token >= takeover_token_ && node_.has_no_indeterminate_start(heartbeat_.fencing_token);
     if (!absence_is_proof) return;
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
-      if (!placement.stopping || placement.end_pending || placement.agent_incarnation != heartbeat_.agent_incarnation) continue;
+      if (!placement.stopping || placement.removal_pending || placement.agent_incarnation != heartbeat_.agent_incarnation) continue;
       if (!find_reported_task(node_.agent, placed, placement.attempt)) remove(placed, placement);
     }
   }
--- a/src/worker_control/lease_expiry.cpp
+++ b/src/worker_control/lease_expiry.cpp
@@ -24,13 +24,13 @@
 
 void record_lease_renewal(Node& node, bool stale, double steady) {
   const double renewed_at = stale ? std::min(node.agent.last_message_at, steady) : steady;
-  node.agent.last_answered_at = std::max(node.agent.last_answered_at, renewed_at);
+  node.agent.last_answered_heartbeat_at = std::max(node.agent.last_answered_heartbeat_at, renewed_at);
 }
 
 bool is_lease_expired(const Node& node, const FencingState& fencing_state, double lease_s, double steady) {
   // An earlier leader's answers count until the agent was known to have seen this leader's token. Without that, the lease of an
   // agent whose first contact was a direct command would count from the beginning of time, as this leader never renewed it.
-  double renewed_at = std::max(node.agent.last_answered_at, node.agent.fenced_at);
+  double renewed_at = std::max(node.agent.last_answered_heartbeat_at, node.agent.fenced_at);
   // A peer that a partition separates from this leader may renew the leases of its own zone for a while.
   renewed_at = std::max(renewed_at, latest_renewal_by_peers(node, fencing_state.renewed_until_by_zone));
   if (node.agent.highest_token < fencing_state.fencing_token) {
@@ -46,8 +46,8 @@
   TaskEndRecords ends;
   for (const auto& placed : cluster_state.node(node_index).placed) {
     Placement& placement = *placed.placement;
-    if (placement.end_pending) continue;
-    placement.end_pending = true;
+    if (placement.removal_pending) continue;
+    placement.removal_pending = true;
     ends.add_removed(cluster_state, placed, placement.attempt);
   }
   return ends.records(cluster_state);
--- a/src/worker_control/lease_renewal_policy.cpp
+++ b/src/worker_control/lease_renewal_policy.cpp
@@ -30,7 +30,7 @@
 bool has_late_start_of_cancelled_job(const ClusterState& cluster_state, const Node& node, double now, double span_s) {
   const CommandState& commands = node.commands;
   const bool starts_are_fenced =
-      commands.in_flight_token == 0 && (commands.uncertain_token == 0 || node.agent.highest_token > commands.uncertain_token);
+      commands.in_flight_token == 0 && (commands.indeterminate_token == 0 || node.agent.highest_token > commands.indeterminate_token);
   if (starts_are_fenced) return false;
   return std::any_of(node.placed.begin(), node.placed.end(), [&](const PlacedTask& placed) {
     const Job& job = cluster_state.job(placed.job);
--- a/src/worker_control/one_way_partition.cpp
+++ b/src/worker_control/one_way_partition.cpp
@@ -28,7 +28,7 @@
   AgentState& agent = node.agent;
   if (std::pair(heartbeat.agent_incarnation, heartbeat.serial) <= std::pair(agent.incarnation, agent.serial)) return;
   const bool new_incarnation = agent.incarnation > 0 && heartbeat.agent_incarnation > agent.incarnation;
-  const bool answered_within_lease = agent.last_answered_at > 0 && now - agent.last_answered_at < lease_s;
+  const bool answered_within_lease = agent.last_answered_heartbeat_at > 0 && now - agent.last_answered_heartbeat_at < lease_s;
   if (new_incarnation && is_heartbeat && answered_within_lease) {
     if (agent.unresponsive_since == 0) agent.unresponsive_since = now;
     agent.unresponsive_token = heartbeat.fencing_token;
@@ -47,7 +47,7 @@
   const double start_reported_within_s = kUnreportedStartHeartbeats * heartbeat_interval_s + kUnreportedStartSlackS;
   return std::any_of(node.placed.begin(), node.placed.end(), [&](const PlacedTask& placed) {
     const Placement& placement = *placed.placement;
-    const bool awaits_start = !placement.reported && !placement.end_pending && placement.agent_incarnation == node.agent.incarnation;
+    const bool awaits_start = !placement.reported && !placement.removal_pending && placement.agent_incarnation == node.agent.incarnation;
     return awaits_start && wall - placement.decided_at > start_reported_within_s;
   });
 }
--- a/src/worker_control/task_records.cpp
+++ b/src/worker_control/task_records.cpp
@@ -31,7 +31,7 @@
     for (const auto& range : assignment.tasks) {
       const std::size_t added_bytes = kRangeBytes + (node_listed ? 0 : node_bytes);
       if (out.empty() || bytes + added_bytes > record_bytes) {
-        out.push_back({started.uid, started.attempt, started.at, {}});
+        out.push_back({started.uid, started.attempt, started.decided_at, {}});
         bytes = kHeadBytes;
         node_listed = false;
       }
@@ -51,7 +51,7 @@
   TasksCompletedRecord& record = completed_[ref.job];
   record.uid = cluster_state.job(ref.job).uid;
   // Only jobs that wait for this one need the time; older format versions have no field for it.
-  if (cluster_state.dependency_graph().has_dependents(ref.job)) record.at = completed_at;
+  if (cluster_state.dependency_graph().has_dependents(ref.job)) record.completed_at = completed_at;
   append_task(record.tasks, ref.task);
 }
 
--- a/src/worker_control/task_records.hpp
+++ b/src/worker_control/task_records.hpp
@@ -15,7 +15,7 @@
 
 // The same starts in records of about `record_bytes` at most. The key-value store refuses a larger entry; every leader in turn
 // would plan the same starts again and step down.
-std::vector<TasksStartedRecord> split_by_size(const TasksStartedRecord& started, std::size_t record_bytes = kRecordBytes);
+std::vector<TasksStartedRecord> split_by_size(const TasksStartedRecord& started, std::size_t record_bytes = kDefaultRecordBytes);
 
 // Collects ends of tasks and joins those of the same job and attempt into one record.
 class TaskEndRecords {
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -17,7 +17,7 @@
 }
 
 ClusterState fresh() {
-  return book_of_red(10);
+  return cluster_state_with_core_limit(10);
 }
 
 std::vector<Record> sample_records() {
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -280,7 +280,7 @@
   put(TasksCompletedRecord{"j-1", {{3, 4}, {7, 8}}, 21});
   ASSERT_EQ(queue.size(), 2u);
   EXPECT_EQ(std::get<TasksCompletedRecord>(queue[0].record).tasks, (TaskRanges{{3, 5}, {7, 8}}));
-  EXPECT_EQ(std::get<TasksCompletedRecord>(queue[0].record).at, 21);
+  EXPECT_EQ(std::get<TasksCompletedRecord>(queue[0].record).completed_at, 21);
   put(JobCancelledRecord{"j-1"});
   put(TasksCompletedRecord{"j-1", {{9, 10}}});
   EXPECT_EQ(queue.size(), 4u) << "a job that was cancelled before it was done stays cancelled";
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -56,13 +56,13 @@
   failure_attribution.record_failure(job_a, node_1, 100, false);
   for (int i = 0; i < 50; ++i) failure_attribution.record_failure(job_a, node_2, 100, false);
   ASSERT_TRUE(failure_attribution.is_suspect(job_a));
-  double delay = failure_attribution.next_try_at(job_a) - 100, at = failure_attribution.next_try_at(job_a);
+  double delay = failure_attribution.next_retry_at(job_a) - 100, at = failure_attribution.next_retry_at(job_a);
   EXPECT_LT(delay, 5);
   for (int i = 0; i < 8; ++i) {
     failure_attribution.record_failure(job_a, node_3, at, false);
-    EXPECT_GE(failure_attribution.next_try_at(job_a) - at, delay);
-    delay = failure_attribution.next_try_at(job_a) - at;
-    at = failure_attribution.next_try_at(job_a);
+    EXPECT_GE(failure_attribution.next_retry_at(job_a) - at, delay);
+    delay = failure_attribution.next_retry_at(job_a) - at;
+    at = failure_attribution.next_retry_at(job_a);
   }
   EXPECT_LE(delay, 60);
   EXPECT_GE(delay, 30);
@@ -86,7 +86,7 @@
   failure_attribution.record_success(job_a, node_3);
   failure_attribution.record_success(job_b, node_3);
   EXPECT_FALSE(failure_attribution.is_suspect(job_a));
-  EXPECT_DOUBLE_EQ(failure_attribution.next_try_at(job_a), 0);
+  EXPECT_DOUBLE_EQ(failure_attribution.next_retry_at(job_a), 0);
   EXPECT_TRUE(failure_attribution.is_cordoned(node_1, 101));
   EXPECT_TRUE(failure_attribution.is_cordoned(node_2, 101));
   EXPECT_FALSE(failure_attribution.is_cordoned(node_3, 101));
@@ -112,7 +112,8 @@
   const std::vector<Record> records{JobAcceptedRecord{submission("j-1", 4, 1), 0.5, 1},
                                     TasksStartedRecord{"j-1", 1, 4, {{"m-1", 1, {{0, 2}}}, {"m-2", 1, {{2, 4}}}}},
                                     TasksRemovedRecord{"j-1", 1, {{0, 2}}, 5.5}, TasksRemovedRecord{"j-1", 1, {{2, 4}}, 5.5}};
-  ClusterState first = book_of_red(10), second = book_of_red(10), third = book_of_red(10);
+  ClusterState first = cluster_state_with_core_limit(10), second = cluster_state_with_core_limit(10),
+               third = cluster_state_with_core_limit(10);
   for (const auto& record : records) first.apply(record);
   ASSERT_TRUE(first.failure_attribution().is_suspect(first.find("j-1")));
   for (const auto& record : parse_entry(stored_entry(records)).records) second.apply(record);
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -59,7 +59,7 @@
 // Heard from directly, only through other controllers, not recently; nodes that are terminated, expired or were never heard from are
 // not counted.
 TEST(Reachability, CountsNodesByHowTheyAreHeardFrom) {
-  ClusterState cluster_state = book_of_red(10);
+  ClusterState cluster_state = cluster_state_with_core_limit(10);
   const auto add_node = [&](const std::string& name, double heartbeat_at, double direct_at) -> Node& {
     Node& node = cluster_state.node(cluster_state.find_or_add_node(name));
     node.agent.has_reported = true;
@@ -82,13 +82,13 @@
 
 // A partition lease is shortened by the age of the oldest cancellation that is not carried out in its zone.
 TEST(Reachability, FindsTheOldestPendingCancellationOfAZone) {
-  ClusterState cluster_state = book_of_red(10);
+  ClusterState cluster_state = cluster_state_with_core_limit(10);
   for (const auto* uid : {"j-1", "j-2", "j-3"}) {
     cluster_state.apply(JobAcceptedRecord{submission(uid, 1, 1), 0.5, 1});
     cluster_state.apply(TasksStartedRecord{uid, 1, 2, {{uid == std::string("j-3") ? "m-2" : "m-1", 1, {{0, 1}}}}});
   }
-  cluster_state.describe_node(cluster_state.find_node("m-1"), "a", "big", "x", false);
-  cluster_state.describe_node(cluster_state.find_node("m-2"), "a", "big", "y", false);
+  cluster_state.set_node_attributes(cluster_state.find_node("m-1"), "a", "big", "x", false);
+  cluster_state.set_node_attributes(cluster_state.find_node("m-2"), "a", "big", "y", false);
   EXPECT_EQ(oldest_pending_cancellation_s(cluster_state, "x", 100, 20), 0);
   const auto cancel = [&](const std::string& uid, double at) {
     cluster_state.apply(JobCancelledRecord{uid});
--- a/tests/in_memory_ledger.hpp
+++ b/tests/in_memory_ledger.hpp
@@ -15,7 +15,7 @@
 
 namespace thistlefront {
 
-inline ClusterState fresh(std::size_t record_bytes = kRecordBytes) {
+inline ClusterState fresh(std::size_t record_bytes = kDefaultRecordBytes) {
   return ClusterState({Team{"red", {}, {1e6, 0, 0}, {}}}, record_bytes);
 }
 
--- a/tests/job_builders.hpp
+++ b/tests/job_builders.hpp
@@ -20,7 +20,7 @@
 }
 
 // A cluster state with one team, red, with this limit of cores.
-inline ClusterState book_of_red(double core_limit) {
+inline ClusterState cluster_state_with_core_limit(double core_limit) {
   return ClusterState({Team{"red", {}, {core_limit, 0, 0}, {}}});
 }
 
--- a/tests/old_heartbeats_test.cpp
+++ b/tests/old_heartbeats_test.cpp
@@ -56,7 +56,7 @@
 };
 
 ClusterState fresh() {
-  ClusterState cluster_state = book_of_red(8);
+  ClusterState cluster_state = cluster_state_with_core_limit(8);
   cluster_state.apply(big_machine_type());
   cluster_state.apply(JobAcceptedRecord{submission("j-1", kTasks, 1), 0.5, 1});
   return cluster_state;
@@ -82,11 +82,11 @@
   for (auto& r : apply_heartbeat(cluster_state, heartbeat, {1, 1}, is_heartbeat, takeover_token).records) {
     if (const auto* done = std::get_if<TasksCompletedRecord>(&r))
       for (const auto& range : done->tasks)
-        for (auto t = range.first; t < range.last; ++t)
+        for (auto t = range.first; t < range.end; ++t)
           if (!w.finished.contains(t)) w.wrong = "not_done";
     if (const auto* off = std::get_if<TasksRemovedRecord>(&r))
       for (const auto& range : off->tasks)
-        for (auto t = range.first; t < range.last; ++t)
+        for (auto t = range.first; t < range.end; ++t)
           if (const auto it = w.tasks.find({t, off->attempt}); it != w.tasks.end() && !it->second) w.wrong = "given up while it runs";
     cluster_state.apply(r);
     w.ledger.push_back(std::move(r));
--- a/tests/plan_input_builder_test.cpp
+++ b/tests/plan_input_builder_test.cpp
@@ -26,7 +26,7 @@
   }
   void add_node(const std::string& name, const std::string& machine_type) {
     const NodeIndex index = cluster_state.find_or_add_node(name);
-    cluster_state.describe_node(index, "", machine_type, "x", false);
+    cluster_state.set_node_attributes(index, "", machine_type, "x", false);
     Node& node = cluster_state.node(index);
     node.agent.incarnation = 3;
     node.agent.has_reported = true;
@@ -43,7 +43,7 @@
     record.job.task_count = tasks;
     record.job.demand = demand;
     record.job.estimated_run_s = 20;
-    record.at = accepted_at;
+    record.accepted_at = accepted_at;
     cluster_state.apply(record);
     return cluster_state.find(uid);
   }
@@ -74,7 +74,7 @@
   EXPECT_EQ(planned_nodes(), (Names{"m-1", "m-2", "m-3"}));
   node("m-1").agent.last_heartbeat_at = kSteady - 2.6;  // over one and a half intervals and a second
   EXPECT_EQ(planned_nodes(), (Names{"m-2", "m-3"}));
-  node("m-2").releasing = true;
+  node("m-2").release_requested = true;
   EXPECT_EQ(planned_nodes(), (Names{"m-3"}));
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -19,7 +19,7 @@
     f.name = "big";
     f.capacity = {4, 0, 32};
     cluster_state.apply(MachineTypesRecord{{f}});
-    cluster_state.describe_node(cluster_state.find_or_add_node("m-1"), "", "big", "x", false);
+    cluster_state.set_node_attributes(cluster_state.find_or_add_node("m-1"), "", "big", "x", false);
   }
   JobIndex add(const std::string& uid, const std::string& team, JobType job_type, Priority priority, std::uint32_t tasks,
                std::uint32_t placed) {
@@ -112,7 +112,7 @@
 // Once, replicas started on nodes that had room but not their image, and served only when it was fetched. A little batch work is
 // stopped where the image is; much is not.
 TEST_F(Preemption, AReplicaGetsRoomWhereItsImageIsCachedWhenLittleWorkIsLost) {
-  cluster_state.describe_node(cluster_state.find_or_add_node("m-2"), "", "big", "y", false);
+  cluster_state.set_node_attributes(cluster_state.find_or_add_node("m-2"), "", "big", "y", false);
   const auto batch = add("j-1", "red", JobType::array, Priority::standard, 4, 4);
   const auto mine = add("j-2", "blue", JobType::service, Priority::production, 1, 0);
   for (const double ran : {1.0, 500.0}) {
--- a/tests/quota_accounts_test.cpp
+++ b/tests/quota_accounts_test.cpp
@@ -151,7 +151,7 @@
 
 // Once, such a team had no account, and the planner let any number of its tasks start.
 TEST(QuotaAccounts, JobsOfATeamWithoutQuotaDoNotStart) {
-  ClusterState cluster_state = book_of_red(4);
+  ClusterState cluster_state = cluster_state_with_core_limit(4);
   auto blue = submission("j-1", 3, 1);
   blue.owner = "blue";
   cluster_state.apply(JobAcceptedRecord{blue, 0.5, 1});
@@ -178,7 +178,7 @@
     placed().phase = TaskPhase::running;
   }
   Placement& placed() { return *cluster_state.placement({job, 0}); }
-  ClusterState cluster_state = book_of_red(4);
+  ClusterState cluster_state = cluster_state_with_core_limit(4);
   JobIndex job;
   NodeIndex node;
   TeamIndex red;
@@ -188,14 +188,14 @@
   OneRunningTask scenario;
   auto& [cluster_state, job, node, red] = scenario;
   cluster_state.node(node).agent.tasks = {{{job, 0}, 1, TaskPhase::running, ""}};
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 3);
   // A task without a placement: usage is never underestimated.
   cluster_state.node(node).agent.tasks.push_back({{job, 1}, 1, TaskPhase::running, ""});
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2);
   cluster_state.node(node).agent.tasks.back().phase = TaskPhase::exited;
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 3);
 }
 
@@ -205,17 +205,17 @@
   auto& [cluster_state, job, node, red] = scenario;
   cluster_state.node(node).agent.incarnation = 2;
   cluster_state.node(node).agent.tasks = {{{job, 1}, 1, TaskPhase::running, ""}};
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2) << "the end of the earlier one is not in the ledger yet";
   cluster_state.node(node).agent.incarnation = 1;
-  scenario.placed().end_pending = true;
-  cluster_state.recount_unplaced();
+  scenario.placed().removal_pending = true;
+  cluster_state.recount_unplaced_usage();
   EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2) << "nor is this one";
 }
 
 // The order of a team's jobs is the ledger's, whatever the clock of the controller that accepted them.
 TEST(QuotaAccounts, AcceptanceTimesFollowTheOrderOfTheLedger) {
-  ClusterState cluster_state = book_of_red(4);
+  ClusterState cluster_state = cluster_state_with_core_limit(4);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 1, 1), 0.5, 100.02});
   EXPECT_GT(cluster_state.next_acceptance_time(100.0, 0.025), 100.02) << "a clock that is slow within the bound on skew";
   EXPECT_EQ(cluster_state.next_acceptance_time(100.5, 0.025), 100.5);
@@ -249,7 +249,7 @@
 
 // The larger amount is kept, and the team is returned.
 TEST(QuotaAccounts, AccountBelowThePlacedUsageIsCorrected) {
-  ClusterState cluster_state = book_of_red(10);
+  ClusterState cluster_state = cluster_state_with_core_limit(10);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 3, 1), 0.5, 1});
   cluster_state.apply(TasksStartedRecord{"j-1", 1, 2, {{"m-1", 1, {{0, 3}}}}});
   EXPECT_TRUE(cluster_state.correct_accounts().empty());
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -79,7 +79,7 @@
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
-  node().commands.uncertain_token = kToken;
+  node().commands.indeterminate_token = kToken;
   make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}));
   // A late start would run it again if the agent had forgotten this attempt.
   EXPECT_TRUE(commands().empty());
@@ -96,7 +96,7 @@
   EXPECT_EQ(commands()[0].type, CommandType::kill);
   EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command says nothing about answers to heartbeats";
   EXPECT_TRUE(heartbeat({}, true, kToken - 1).records.empty()) << "an earlier leader's start may be on its way";
-  node().commands.uncertain_token = kToken;
+  node().commands.indeterminate_token = kToken;
   EXPECT_TRUE(heartbeat({}).records.empty()) << "a start of this leader is uncertain";
   const auto outcome = heartbeat({}, true, kToken + 1);
   ASSERT_EQ(outcome.records.size(), 1u);
@@ -206,7 +206,7 @@
 // Found by the randomised test: an agent's new incarnation lives for a whole lease without any answer.
 TEST_F(Reconciliation, ANewIncarnationHasAWholeLeaseFromItsFirstMessage) {
   heartbeat({});
-  node().agent.last_answered_at = 100;
+  node().agent.last_answered_heartbeat_at = 100;
   steady = 109;
   heartbeat({}, false, kToken, 2);
   const FencingState fencing_state{kToken, 50, 50};
@@ -243,11 +243,11 @@
     record_lease_renewal(node(), outcome.stale, steady);
   }
   EXPECT_EQ(node().agent.last_heartbeat_at, heard_at);
-  EXPECT_EQ(node().agent.last_answered_at, heard_at);
+  EXPECT_EQ(node().agent.last_answered_heartbeat_at, heard_at);
   EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, heard_at + 11)) << "it expires as early as without the copies";
 
   constexpr std::uint64_t kLater = kToken + 5;
-  ClusterState next = book_of_red(10);
+  ClusterState next = cluster_state_with_core_limit(10);
   Node* there = nullptr;
   for (std::uint64_t serial = 1; serial < 9; ++serial, steady += 2) {
     Heartbeat copy = first;
@@ -358,12 +358,12 @@
   job("j-1").cancelled_at = 100;
   const auto late = [&](double now) { return has_late_start_of_cancelled_job(cluster_state, node(), now, kSpan); };
   EXPECT_FALSE(late(200)) << "no command is on its way";
-  node().commands.uncertain_token = kToken;
+  node().commands.indeterminate_token = kToken;
   EXPECT_FALSE(late(119));
   EXPECT_TRUE(late(121));
   heartbeat({}, true, kToken + 1);
   EXPECT_FALSE(late(121)) << "fenced by a higher token";
-  node().commands.uncertain_token = kToken + 1;
+  node().commands.indeterminate_token = kToken + 1;
   job("j-1").cancelled_at = 0;
   EXPECT_FALSE(late(121)) << "an earlier leader's start is fenced by any answer of this one";
 }
--- a/tests/repeated_heartbeats_test.cpp
+++ b/tests/repeated_heartbeats_test.cpp
@@ -48,7 +48,7 @@
     out += "\n" + uid + " " + std::to_string(static_cast<int>(cluster_state.job(j).status));
     for (const auto& [task, p] : cluster_state.job(j).placed)
       out += " " + std::to_string(task) + "." + std::to_string(p.attempt) + "=" + std::to_string(static_cast<int>(p.phase)) +
-             (p.reported ? "s" : "") + (p.end_pending ? "c" : "") + (p.stopping ? "x" : "") + std::to_string(p.running_since);
+             (p.reported ? "s" : "") + (p.removal_pending ? "c" : "") + (p.stopping ? "x" : "") + std::to_string(p.running_since);
   }
   for (const auto& command : pending_commands(cluster_state, node_index, kToken))
     out += "\n" + std::to_string(static_cast<int>(command.type)) + command.id.uid + "/" + std::to_string(command.id.task);
--- a/tests/safety_agents.cpp
+++ b/tests/safety_agents.cpp
@@ -193,7 +193,7 @@
     *answered = true;
     Node& node = leader_->cluster_state.node(leader_->cluster_state.find_node(name));
     node.commands.in_flight_token = 0;
-    if (starts) node.commands.uncertain_token = std::max(node.commands.uncertain_token, fencing_token);
+    if (starts) node.commands.indeterminate_token = std::max(node.commands.indeterminate_token, fencing_token);
   });
   const double receives_nothing_until = std::max(agent.receives_nothing_until, agent.zone == "y" ? partitioned_until_ : 0);
   if (now_ < receives_nothing_until && uniform(0, 1) < 0.5) return;  // or held, and delivered late
--- a/tests/safety_leader.cpp
+++ b/tests/safety_leader.cpp
@@ -28,8 +28,8 @@
     if (pending.front().durable) pending.front().durable();
     pending.pop_front();
   }
-  for (const auto& verdict : cluster_state.failure_attribution().take_verdicts())
-    simulation.suspected += verdict.kind == FailureAttribution::Verdict::Kind::suspected;
+  for (const auto& verdict : cluster_state.failure_attribution().take_decisions())
+    simulation.suspected += verdict.type == FailureAttribution::Decision::Type::suspected;
 }
 
 void Simulation::Leader::end() {
@@ -64,14 +64,14 @@
 
 void Simulation::Leader::start() {
   if (starting > 0) return;
-  cluster_state.recount_unplaced();
+  cluster_state.recount_unplaced_usage();
   std::vector<double> rooms;
   for (std::uint32_t t = 0; t < cluster_state.teams().size(); ++t)
     rooms.push_back(cluster_state.quota_accounts().headroom(TeamIndex{t}, 1e9).cores);
   std::map<std::uint32_t, double> taken;
   for (JobIndex j : std::vector<JobIndex>(cluster_state.live())) {
     const Job& job = cluster_state.job(j);
-    if (job.ended() || job.pending == 0 || cluster_state.failure_attribution().next_try_at(j) > simulation.now_) continue;
+    if (job.ended() || job.pending == 0 || cluster_state.failure_attribution().next_retry_at(j) > simulation.now_) continue;
     const bool suspect = cluster_state.failure_attribution().is_suspect(j);
     if ((suspect || job.spec.job_type == JobType::gang) && !job.placed.empty()) continue;
     const TasksStartedRecord started = place(job, suspect, rooms[job.team.value], taken);
@@ -139,7 +139,7 @@
   bool doubt = false;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     Node& node = cluster_state.node(NodeIndex{i});
-    doubt = doubt || (!node.lease_expired && node.commands.uncertain_token >= fencing_token);
+    doubt = doubt || (!node.lease_expired && node.commands.indeterminate_token >= fencing_token);
     if (node.lease_expired || !is_lease_expired(node, fencing_state, kLease, simulation.now_)) continue;
     node.lease_expired = true;
     for (auto& r : evict_all_tasks(cluster_state, NodeIndex{i})) records.push_back(std::move(r));
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -14,7 +14,7 @@
 
 class ScaleOut : public testing::Test {
  protected:
-  ScaleOut() : cluster_state(book_of_red(1e6)) {
+  ScaleOut() : cluster_state(cluster_state_with_core_limit(1e6)) {
     MachineType small{"small", {4, 0, 16}, 50, 1, 0.2, 0.1, 30, {"x", "y"}};
     MachineType large{"large", {32, 0, 64}, 50, 1, 1.3, 0.6, 30, {"x"}};
     MachineType accelerated{"dear", {64, 8, 384}, 50, 1, 15, 6, 50, {"x", "y"}};
@@ -25,7 +25,7 @@
   }
   Node& machine(const std::string& name, const std::string& machine_type, const std::string& zone, bool spot, double age_s) {
     const NodeIndex h = cluster_state.find_or_add_node(name);
-    cluster_state.describe_node(h, "", machine_type, zone, spot);
+    cluster_state.set_node_attributes(h, "", machine_type, zone, spot);
     Node& node = cluster_state.node(h);
     node.instance.listed = true;
     node.instance.status = Instance::Status::booting;
--- a/tests/service_level_counters_test.cpp
+++ b/tests/service_level_counters_test.cpp
@@ -20,7 +20,7 @@
 }
 
 struct Leader {
-  ClusterState cluster_state = book_of_red(100);
+  ClusterState cluster_state = cluster_state_with_core_limit(100);
   ServiceLevelCounters counters{{"c", "web"}};
   void write(const Record& record, double wall) {
     counters.before_apply(record, cluster_state);
@@ -64,7 +64,7 @@
   EXPECT_EQ(first_counts.accepted + second_counts.accepted, 2u);
   EXPECT_EQ(first_counts.started + second_counts.started, 2u);
   EXPECT_EQ(first_counts.done + second_counts.done, 1u);
-  EXPECT_EQ(second_counts.in_time, 1u);
+  EXPECT_EQ(second_counts.done_in_time, 1u);
 }
 
 TEST(ServiceLevelCounters, ReplicaTimeCountsOnlyRunningReplicas) {
@@ -79,8 +79,8 @@
   first.reported = true;
   leader.counters.add_replica_time(leader.cluster_state, 2);
   const auto& counts = leader.counters.counts().at({"red", "web"});
-  EXPECT_DOUBLE_EQ(counts.replica_s, 8);
-  EXPECT_DOUBLE_EQ(counts.replica_up_s, 2);
+  EXPECT_DOUBLE_EQ(counts.replica_requested_s, 8);
+  EXPECT_DOUBLE_EQ(counts.replica_running_s, 2);
 }
 
 // By the recent submissions of the class: a large gang among small ones is large, and none is where all are alike.
@@ -99,7 +99,7 @@
   EXPECT_FALSE(ranking.is_among_largest(gangs, 8)) << "the small ones are no longer recent";
   EXPECT_TRUE(ranking.is_among_largest(gangs, 16));
 
-  ClusterState cluster_state = book_of_red(100);
+  ClusterState cluster_state = cluster_state_with_core_limit(100);
   ServiceLevelCounters counters({"c"});
   for (int i = 0; i < 20; ++i)
     cluster_state.apply(JobAcceptedRecord{submission("j-" + std::to_string(i), i % 10 == 9 ? 8 : 1, 1), 0.5, 10});
@@ -113,8 +113,8 @@
   start_job("j-3", 400);
   const auto& counts = counters.counts().begin()->second;
   EXPECT_EQ(counts.started, 3u);
-  EXPECT_EQ(counts.largest, 2u);
-  EXPECT_EQ(counts.largest_in_time, 1u) << "the other started later than four minutes";
+  EXPECT_EQ(counts.largest_started, 2u);
+  EXPECT_EQ(counts.largest_started_in_time, 1u) << "the other started later than four minutes";
 }
 
 }  // namespace
--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -152,7 +152,7 @@
     link = link_of(entry.previous_link, n, entry.check);
   }
   const auto why = [](const std::map<std::uint64_t, std::string>& entries) {
-    ClusterState cluster_state = book_of_red(10);
+    ClusterState cluster_state = cluster_state_with_core_limit(10);
     LedgerReader reader(cluster_state, 1, 2);
     for (const auto& [n, value] : entries) {
       const auto page = parse_entries(R"({"rows":[{"path":")" + entry_key(n) + R"(","value":)" + value + "}]}");
--- a/tests/task_records_test.cpp
+++ b/tests/task_records_test.cpp
@@ -27,11 +27,11 @@
     EXPECT_LT(encoded_size(part), 4000u);
     EXPECT_EQ(part.attempt, 3u);
     for (const auto& assignment : part.assignments)
-      for (const auto& range : assignment.tasks) found += range.last - range.first;
+      for (const auto& range : assignment.tasks) found += range.end - range.first;
   }
   EXPECT_EQ(found, tasks);
 
-  ClusterState cluster_state = book_of_red(1e6);
+  ClusterState cluster_state = cluster_state_with_core_limit(1e6);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 4000, 0.01), 0.5, 1});
   TasksStartedRecord all{"j-1", 1, 1, {{"m-1", 1, {}}}};
   for (std::uint32_t t = 0; t < 4000; t += 2) append_task(all.assignments[0].tasks, t);
@@ -40,7 +40,7 @@
   std::size_t removed = 0;
   for (const auto& end : evict_all_tasks(cluster_state, cluster_state.find_node("m-1"))) {
     EXPECT_LT(encoded_size(end), 4000u);
-    for (const auto& range : std::get<TasksRemovedRecord>(end).tasks) removed += range.last - range.first;
+    for (const auto& range : std::get<TasksRemovedRecord>(end).tasks) removed += range.end - range.first;
   }
   EXPECT_EQ(removed, 2000u);
 }
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -109,7 +109,7 @@
 TaskRange range(std::uint32_t first, std::uint32_t last) {
   TaskRange out;
   out.first = first;
-  out.last = last;
+  out.end = last;
   return out;
 }
 
@@ -881,7 +881,7 @@
   JobAcceptedRecord r;
   r.job = job;
   r.random_draw = 0.25;
-  r.at = 12.5;
+  r.accepted_at = 12.5;
   return r;
 }
 
@@ -897,7 +897,7 @@
   TasksStartedRecord r;
   r.uid = "j-1";
   r.attempt = 5;
-  r.at = 13;
+  r.decided_at = 13;
   r.assignments = {first, second};
   return r;
 }
@@ -906,7 +906,7 @@
   TasksCompletedRecord r;
   r.uid = "j-1";
   r.tasks = {range(0, 1), range(3, 9)};
-  r.at = at;
+  r.completed_at = at;
   return r;
 }
 
@@ -945,7 +945,7 @@
 
 JobSnapshotRecord snapshot_record(JobStatus status) {
   JobSnapshotRecord r;
-  r.accept = accept_record(least_job());
+  r.accepted = accept_record(least_job());
   r.status = status;
   r.attempts = 2;
   return r;
@@ -953,7 +953,7 @@
 
 JobSnapshotRecord split_job_record() {
   auto r = snapshot_record(JobStatus::queued);
-  r.more = true;
+  r.has_more = true;
   return r;
 }
 JobSnapshotRecord suspect_job_record() {
@@ -967,15 +967,15 @@
   placed.node = "m-1";
   placed.agent_incarnation = 3;
   placed.attempt = 2;
-  placed.at = 13.5;
+  placed.decided_at = 13.5;
   placed.tasks = {range(1, 3)};
   auto r = snapshot_record(JobStatus::running);
   r.done = {range(0, 1)};
   r.placed = {placed};
-  r.from = 100;
-  r.more = true;
+  r.first_task = 100;
+  r.has_more = true;
   r.suspect = true;
-  r.ready_at = ready_at;
+  r.eligible_since = ready_at;
   return r;
 }
 
@@ -1013,7 +1013,7 @@
 TeamQuotaRecord leaving_team_record() {
   TeamQuotaRecord r;
   r.name = "blue";
-  r.leaving = true;
+  r.in_no_settings = true;
   return r;
 }
 
@@ -1241,7 +1241,7 @@
 TEST(WireFormatLedger, AcceptRecordsAreReadFieldByField) {
   const auto r = read_back<JobAcceptedRecord>(accept_record(described_job()));
   EXPECT_EQ(r.random_draw, 0.25);
-  EXPECT_EQ(r.at, 12.5);
+  EXPECT_EQ(r.accepted_at, 12.5);
   EXPECT_EQ(r.job.uid, "j-000412");
   EXPECT_EQ(r.job.job_class, "train");
   EXPECT_EQ(r.job.owner, "vision");
@@ -1267,7 +1267,7 @@
   const auto r = read_text<TasksStartedRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
   EXPECT_EQ(r.uid, "j-1");
   EXPECT_EQ(r.attempt, 5u);
-  EXPECT_EQ(r.at, 13);
+  EXPECT_EQ(r.decided_at, 13);
   ASSERT_EQ(r.assignments.size(), 2u);
   EXPECT_EQ(r.assignments[0].node, "m-1");
   EXPECT_EQ(r.assignments[0].agent_incarnation, 3u);
@@ -1279,8 +1279,8 @@
   const auto r = read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
   EXPECT_EQ(r.uid, "j-1");
   EXPECT_EQ(r.tasks, (TaskRanges{range(0, 1), range(3, 9)}));
-  EXPECT_EQ(r.at, 14.5);
-  EXPECT_EQ(read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1]])").at, 0);
+  EXPECT_EQ(r.completed_at, 14.5);
+  EXPECT_EQ(read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1]])").completed_at, 0);
 }
 
 TEST(WireFormatLedger, OffRecordsAreReadFieldByField) {
@@ -1312,9 +1312,9 @@
 
 TEST(WireFormatLedger, JobRecordsAreReadFieldByField) {
   const auto r = read_back<JobSnapshotRecord>(running_job_record(14.5));
-  EXPECT_EQ(r.accept.job.uid, "j-1");
-  EXPECT_EQ(r.accept.random_draw, 0.25);
-  EXPECT_EQ(r.accept.at, 12.5);
+  EXPECT_EQ(r.accepted.job.uid, "j-1");
+  EXPECT_EQ(r.accepted.random_draw, 0.25);
+  EXPECT_EQ(r.accepted.accepted_at, 12.5);
   EXPECT_EQ(r.status, JobStatus::running);
   EXPECT_EQ(r.attempts, 2u);
   EXPECT_EQ(r.done, (TaskRanges{range(0, 1)}));
@@ -1322,18 +1322,18 @@
   EXPECT_EQ(r.placed[0].node, "m-1");
   EXPECT_EQ(r.placed[0].agent_incarnation, 3u);
   EXPECT_EQ(r.placed[0].attempt, 2u);
-  EXPECT_EQ(r.placed[0].at, 13.5);
+  EXPECT_EQ(r.placed[0].decided_at, 13.5);
   EXPECT_EQ(r.placed[0].tasks, (TaskRanges{range(1, 3)}));
-  EXPECT_EQ(r.from, 100u);
-  EXPECT_TRUE(r.more);
+  EXPECT_EQ(r.first_task, 100u);
+  EXPECT_TRUE(r.has_more);
   EXPECT_TRUE(r.suspect);
-  EXPECT_EQ(r.ready_at, 14.5);
+  EXPECT_EQ(r.eligible_since, 14.5);
 }
 
 TEST(WireFormatLedger, FlagsOfJobRecordsAreReadByThemselves) {
-  EXPECT_TRUE(read_back<JobSnapshotRecord>(split_job_record()).more);
+  EXPECT_TRUE(read_back<JobSnapshotRecord>(split_job_record()).has_more);
   EXPECT_FALSE(read_back<JobSnapshotRecord>(split_job_record()).suspect);
-  EXPECT_FALSE(read_back<JobSnapshotRecord>(suspect_job_record()).more);
+  EXPECT_FALSE(read_back<JobSnapshotRecord>(suspect_job_record()).has_more);
   EXPECT_TRUE(read_back<JobSnapshotRecord>(suspect_job_record()).suspect);
 }
 
@@ -1353,7 +1353,7 @@
   EXPECT_EQ(r.name, "red");
   EXPECT_EQ(r.agreed, quota(8, 1, 16, 4));
   EXPECT_EQ(r.proposed, quota(8, 1, 12, 4.5));
-  EXPECT_TRUE(r.leaving);
+  EXPECT_TRUE(r.in_no_settings);
   EXPECT_EQ(read_text<TeamQuotaRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
 }
 
