--- a/src/model/clock_drift.hpp
+++ b/src/model/clock_drift.hpp
@@ -1,9 +1,9 @@
-// The bound on the divergence of clocks that lease arithmetic relies on.
+// Bound on clock drift, used to compute when leases have expired.
 #pragma once
 
 namespace thistlefront {
 
-/// The largest share by which the steady clocks of two machines are assumed to diverge; real ones stay well below it.
+/// Maximum assumed drift between the steady clocks of two machines, as a fraction; actual drift is well below it.
 inline constexpr double kClockDrift = 0.001;
 
 }  // namespace thistlefront
--- a/src/model/heartbeat.hpp
+++ b/src/model/heartbeat.hpp
@@ -1,4 +1,4 @@
-// A heartbeat: what the agent of a node reports about the node and its tasks.
+// Heartbeats: the state of a node and its tasks as reported by the node's agent.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,17 +9,17 @@
 
 namespace thistlefront {
 
-/// A heartbeat as its parser gives it out: well formed, and not yet compared with the cluster state.
+/// A parsed heartbeat: well formed, but not yet checked against the cluster state.
 struct Heartbeat {
   std::string node, address, machine_type, zone;
   bool spot = false;
-  std::uint64_t agent_incarnation = 0;      ///< grows whenever the node's lease has expired
-  std::uint64_t serial = 0;                 ///< grows with each heartbeat of an incarnation
-  std::uint64_t fencing_token = 0;          ///< the highest one that the agent has seen
-  std::optional<double> interruption_in_s;  ///< of a spot instance with an interruption notice: time until it goes
+  std::uint64_t agent_incarnation = 0;      ///< increases each time the node's lease expires
+  std::uint64_t serial = 0;                 ///< increases with each heartbeat of an incarnation
+  std::uint64_t fencing_token = 0;          ///< highest one that the agent has seen
+  std::optional<double> interruption_in_s;  ///< set if the spot instance has an interruption notice: time left
   std::vector<TaskReport> tasks;
-  /// Not on the wire: the serial of an earlier heartbeat of the same incarnation that is equal in everything but its serial.
-  /// Absent where the reader knows of none.
+  /// Not on the wire: serial of an earlier heartbeat of the same incarnation that differs from this one in its serial alone.
+  /// Not set if the reader knows of no such heartbeat.
   std::optional<std::uint64_t> repeated_serial = {};
 };
 
--- a/src/model/identifiers.hpp
+++ b/src/model/identifiers.hpp
@@ -1,4 +1,4 @@
-// Dense indices for jobs, nodes and the rest, and the maps from names to them.
+// Dense indices for jobs, nodes and other named entities, and maps from names to indices.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace thistlefront {
 
-/// A dense index; the tag keeps jobs, nodes and the rest apart. It is made by an Interner, and UINT32_MAX is none.
+/// A dense index; the tag makes indices of jobs, nodes etc. distinct types. UINT32_MAX is the invalid index.
 template <class Tag>
 struct Index {
   std::uint32_t value = UINT32_MAX;
@@ -25,20 +25,20 @@
 using ImageIndex = Index<struct ImageTag>;
 using JobClassIndex = Index<struct ClassTag>;
 
-/// Hash of names that lets a map find a std::string_view without a copy of it.
+/// Transparent hash: maps can look up a std::string_view without copying it.
 struct NameHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view name) const noexcept { return std::hash<std::string_view>{}(name); }
 };
-/// A map by name; lookups copy no name.
+/// A map keyed by name; lookups do not copy the name.
 template <class Value>
 using NameMap = std::unordered_map<std::string, Value, NameHash, std::equal_to<>>;
 
-/// Gives names dense indices, in the order in which they are first seen. Indices stay valid for its lifetime.
+/// Assigns dense indices to names, in order of first use. Indices stay valid for the lifetime of the interner.
 template <class Idx>
 class Interner {
  public:
-  /// The index of a name, which is added if it is new.
+  /// Returns the index of a name; adds the name if it is new.
   Idx intern(std::string_view name) {
     auto it = index_.find(name);
     if (it != index_.end()) return it->second;
@@ -47,14 +47,14 @@
     index_.emplace(names_.back(), idx);
     return idx;
   }
-  /// The index of a name; invalid if it was never added.
+  /// Returns the index of a name, or an invalid index if the name was never added.
   [[nodiscard]] Idx find(std::string_view name) const {
     auto it = index_.find(name);
     return it == index_.end() ? Idx{} : it->second;
   }
-  /// The name of a valid index.
+  /// Returns the name of a valid index.
   [[nodiscard]] const std::string& name(Idx idx) const { return names_[idx.value]; }
-  /// How many names there are; indices run from 0 to one below it.
+  /// Number of names; valid indices are below it.
   [[nodiscard]] std::size_t size() const { return names_.size(); }
 
  private:
@@ -64,7 +64,7 @@
 
 }  // namespace thistlefront
 
-/// Indices as keys of unordered containers.
+/// Lets indices be keys of unordered containers.
 template <class Tag>
 struct std::hash<thistlefront::Index<Tag>> {
   std::size_t operator()(thistlefront::Index<Tag> i) const noexcept { return i.value; }
--- a/src/model/invariant.hpp
+++ b/src/model/invariant.hpp
@@ -1,5 +1,5 @@
-// Checks of invariants where state changes. They are on in builds with tests (THISTLEFRONT_TESTS); the deployed program does not
-// end for a broken one.
+// Checks of invariants where state changes. Enabled only in builds with tests (THISTLEFRONT_TESTS), so that a violated invariant
+// does not abort the deployed program.
 #pragma once
 
 #ifdef THISTLEFRONT_CHECK_INVARIANTS
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -1,4 +1,4 @@
-// Machine types that the cloud offers, and its instances of them.
+// Machine types and instances of the cloud.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace thistlefront {
 
-/// A type of machine that the cloud rents out. Prices are in the cloud's unit.
+/// A machine type that the cloud offers. Prices are in the cloud's unit.
 struct MachineType {
   std::string name;
   Resources capacity;
   double image_cache_gb = 0, image_fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
-  std::vector<std::string> zones;  ///< in which it is offered
+  std::vector<std::string> zones;  ///< where it is offered
 };
 
-/// A machine that the cloud lists as rented.
+/// A rented instance as listed by the cloud.
 struct Instance {
   std::string name, address, machine_type, zone;
   bool spot = false;
   enum class Status : std::uint8_t { booting, running, failed } status = Status::booting;
-  double age_s = 0;  ///< since it was rented
+  double age_s = 0;  ///< time since it was rented
 };
 
 }  // namespace thistlefront
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -1,9 +1,9 @@
-// Amounts of processor cores, accelerators and memory.
+// Amounts of CPU cores, accelerators and memory.
 #pragma once
 
 namespace thistlefront {
 
-/// Amounts of each kind of resource; arithmetic is by kind.
+/// Amounts of each kind of resource; arithmetic is per kind.
 struct Resources {
   double cores = 0, accelerators = 0, ram_gb = 0;
   Resources& operator+=(const Resources& o) {
@@ -17,10 +17,10 @@
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
   friend Resources operator*(const Resources& a, double k) { return {a.cores * k, a.accelerators * k, a.ram_gb * k}; }
-  /// Whether this much can be taken out of `room`. The slack absorbs the rounding of sums of decimals.
-  [[nodiscard]] bool fits(const Resources& room) const {
+  /// Whether this amount fits into `available`. The slack absorbs rounding errors in sums of decimals.
+  [[nodiscard]] bool fits(const Resources& available) const {
     constexpr double kSlack = 1e-6;
-    return cores <= room.cores + kSlack && accelerators <= room.accelerators + kSlack && ram_gb <= room.ram_gb + kSlack;
+    return cores <= available.cores + kSlack && accelerators <= available.accelerators + kSlack && ram_gb <= available.ram_gb + kSlack;
   }
   friend bool operator==(const Resources&, const Resources&) = default;
 };
--- a/src/model/task.hpp
+++ b/src/model/task.hpp
@@ -1,4 +1,4 @@
-// Tasks of a job: their names, their states on a node, and ranges of them.
+// Tasks of a job: identifiers, state on a node, and ranges of task numbers.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,45 +6,45 @@
 
 namespace thistlefront {
 
-/// What a task on a node is doing, as its agent reports it.
+/// Phase of a task on a node, as reported by the agent.
 enum class TaskPhase : std::uint8_t { pulling_image, waiting_for_gang, running, checkpointing, exited };
 /// Why a task exited.
 enum class ExitReason : std::uint8_t {
   none,                    ///< it has not exited
-  completed,               ///< it is done
+  completed,               ///< it ran to its end
   stopped,                 ///< it was killed by a command
-  gang_member_lost,        ///< another task of its gang went away
-  gang_incomplete,         ///< the rest of its gang did not start in time
+  gang_member_lost,        ///< another task of its gang is gone
+  gang_incomplete,         ///< the other tasks of its gang did not start in time
   failed,                  ///< the task itself failed
-  insufficient_resources,  ///< the node had no room for it
-  duplicate_attempt,       ///< the node still ran another attempt of it
-  unknown_task,            ///< the agent does not know the task that a command named
-  node_lost                ///< never reported: its node is gone
+  insufficient_resources,  ///< the node had too few free resources
+  duplicate_attempt,       ///< the node was still running another attempt of it
+  unknown_task,            ///< a command named a task that the agent does not know
+  node_lost                ///< never sent by agents: its node is gone
 };
 
-/// A task of a job, by its number from 0 on.
+/// Identifies a task by the UID of its job and its number, starting at 0.
 struct TaskId {
   std::string uid;
   std::uint32_t task = 0;
 };
 
-/// The state of one attempt of a task, as its agent reports it.
+/// State of one attempt of a task, as reported by the agent.
 struct TaskReport {
   TaskId id;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::pulling_image;
   ExitReason exit_reason = ExitReason::none;
-  bool checkpointed = false;  ///< its progress was saved, and a later attempt resumes from there
+  bool checkpointed = false;  ///< its progress was saved; a later attempt resumes from it
 };
 
-/// Half-open range of task numbers: `end` is not in it.
+/// Half-open range of task numbers, [first, end).
 struct TaskRange {
   std::uint32_t first = 0, end = 0;
   friend bool operator==(const TaskRange&, const TaskRange&) = default;
 };
 /// Task numbers as ranges, in ascending order.
 using TaskRanges = std::vector<TaskRange>;
-/// Adds a task whose number is above all of those in `ranges`.
+/// Adds a task whose number is higher than all numbers in `ranges`.
 inline void append_task(TaskRanges& ranges, std::uint32_t task) {
   if (!ranges.empty() && ranges.back().end == task) {
     ++ranges.back().end;
