--- a/src/cluster_state/accelerator_demands.hpp
+++ b/src/cluster_state/accelerator_demands.hpp
@@ -1,5 +1,5 @@
-// The largest task with accelerators that any accepted job asked for, by machine type: the planner keeps
-// services off the part of a machine that such tasks need. `ClusterState` records each accepted job; nothing is forgotten.
+// Largest demand of accepted tasks with accelerators, by machine type. The planner keeps services off the part of a node that such
+// tasks need. `ClusterState` records each accepted job; records are never removed.
 #pragma once
 #include <map>
 #include <utility>
@@ -12,13 +12,13 @@
 
 class AcceleratorDemands {
  public:
-  // A job was accepted whose tasks need `demand` each. `machine_types`: those it may use; empty: any.
+  // Records an accepted job whose tasks each need `demand`. `machine_types`: those that it may use; empty: any.
   void record(const std::vector<MachineTypeIndex>& machine_types, const Resources& demand, bool allows_spot);
-  // Largest amount of each resource that a recorded task may need on this machine type; zero when there is none.
+  // Largest demand per resource of all recorded tasks that may run on this machine type; zero if there are none.
   [[nodiscard]] Resources largest(MachineTypeIndex machine_type, bool spot) const;
 
  private:
-  // By machine type (not valid: jobs that may use any), and whether the instance is a spot one.
+  // By machine type (not valid: jobs that may use any) and whether the node is a spot instance.
   std::map<std::pair<MachineTypeIndex, bool>, Resources> largest_;
 };
 
--- a/src/cluster_state/cluster_state.cpp
+++ b/src/cluster_state/cluster_state.cpp
@@ -1,4 +1,4 @@
-// Lookups and nodes of the cluster state.
+// Lookups in the cluster state, and its nodes.
 #include "cluster_state/cluster_state.hpp"
 
 #include <algorithm>
@@ -28,11 +28,11 @@
   return allowed.empty() || std::find(allowed.begin(), allowed.end(), node.machine_type) != allowed.end();
 }
 
-double ClusterState::next_acceptance_time(double wall, double skew_s) const {
+double ClusterState::next_acceptance_time(double wall_s, double skew_s) const {
   constexpr double kSpacingS = 1e-6;
   constexpr double kSlackS = 1;
-  const double after_latest = latest_accepted_ + kSpacingS;
-  return after_latest > wall && after_latest < wall + 2 * skew_s + kSlackS ? after_latest : wall;
+  const double after_latest = latest_accepted_at_ + kSpacingS;
+  return after_latest > wall_s && after_latest < wall_s + 2 * skew_s + kSlackS ? after_latest : wall_s;
 }
 
 std::optional<std::string> ClusterState::rejection_reason(const JobSpec& spec) const {
--- a/src/cluster_state/cluster_state.hpp
+++ b/src/cluster_state/cluster_state.hpp
@@ -1,10 +1,10 @@
-// The replicated state machine: jobs, tasks, nodes and team accounts, as the ledger's records give them. Applying the same
-// records in the same order gives the same state on every controller; nothing but a record changes what is durable.
-// The leader applies each record once it is committed, a follower as it reads the ledger. What heartbeats and the cloud's
-// lists tell of nodes and placements is kept beside it and is not durable. No I/O and no clock: times are passed in.
+// The replicated state machine: jobs, tasks, nodes and team accounts, derived from the ledger's records. Applying the same
+// records in the same order gives the same state on every controller; only records change durable state. The leader applies
+// each record once it is committed, a follower when it reads the ledger. State of nodes and placements that comes from
+// heartbeats and the cloud's instance lists is kept here as well, but is not durable. No I/O and no clock: times are passed in.
 //
-// The member functions stand in one file per concern: job_lifecycle.cpp, job_dependencies.cpp, task_placement.cpp,
-// record_application.cpp, job_snapshot.cpp, usage_accounting.cpp; lookups and nodes in cluster_state.cpp.
+// The member functions are split by concern into job_lifecycle.cpp, job_dependencies.cpp, task_placement.cpp,
+// record_application.cpp, job_snapshot.cpp and usage_accounting.cpp; cluster_state.cpp has lookups and nodes.
 #pragma once
 #include <deque>
 #include <optional>
@@ -30,59 +30,59 @@
 
 namespace thistlefront {
 
-inline constexpr std::size_t kDefaultRecordBytes = 3600;  // where the limits of the key-value store are not known
+inline constexpr std::size_t kDefaultRecordBytes = 3600;  // used if the limits of the key-value store are not known
 
 class ClusterState {
  public:
-  // `teams`: those of the settings file. `record_bytes`: about how many bytes one record may take in the ledger.
+  // `teams`: from the settings file. `record_bytes`: approximate maximum size of one record in the ledger.
   explicit ClusterState(const std::vector<Team>& teams, std::size_t record_bytes = kDefaultRecordBytes);
   [[nodiscard]] std::size_t record_bytes() const { return record_bytes_; }
 
-  // Applies the next record of the ledger. A record that no longer fits the state (say, a start of a cancelled job) changes
-  // nothing.
+  // Applies the next record of the ledger. A record that no longer fits the state (such as a start of a cancelled job) has no
+  // effect.
   void apply(const Record& record);
 
-  // Jobs. Indices stay valid for as long as the cluster state exists.
+  // Jobs. Indices stay valid for the lifetime of the cluster state.
   [[nodiscard]] JobIndex find(std::string_view uid) const;
   [[nodiscard]] Job& job(JobIndex job_index) { return jobs_[job_index.value]; }
   [[nodiscard]] const Job& job(JobIndex job_index) const { return jobs_[job_index.value]; }
   [[nodiscard]] std::size_t job_count() const { return jobs_.size(); }
-  // Jobs that have not ended or still have tasks on nodes, without those that depend on others that are not done. Only
-  // these are planned, scaled out for and counted as pending. In no particular order.
+  // Jobs that have not ended or still have tasks on nodes, except blocked ones. Only these are planned, scaled out for and
+  // counted as pending. In no particular order.
   [[nodiscard]] const std::vector<JobIndex>& live() const { return live_; }
   [[nodiscard]] const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-  // Whether the job is one of the largest recent ones of its class.
+  // Whether the job is among the largest recent jobs of its class.
   [[nodiscard]] bool is_large(const Job& job) const { return size_ranking_.is_among_largest(job.job_class, size_of(job.spec)); }
-  // Why a submission can never run; nullopt: it can. Call it only while the machine types are known (submission_check.hpp).
+  // Why a submission can never run; nullopt if it can. The machine types must be known (submission_check.hpp).
   [[nodiscard]] std::optional<std::string> rejection_reason(const JobSpec& spec) const;
-  // Why a submission may not depend on the jobs that it names; nullopt: it may. The whole ledger must have been read.
+  // Why the dependencies of a submission are invalid; nullopt if they are valid. The whole ledger must have been read.
   [[nodiscard]] std::optional<std::string> dependency_rejection_reason(const JobSpec& spec) const;
-  // Describes the blocked jobs, which format versions before 4 cannot store; nullopt: there are none. A job that is no
-  // longer blocked loses in an older format only the time since when it is eligible.
+  // Describes the blocked jobs, which format versions before 4 cannot store; nullopt if there are none. For an unblocked job,
+  // older formats lose only the time from which it was eligible.
   [[nodiscard]] std::optional<std::string> describe_blocked_jobs() const;
   // Whether the job's machine types, zone and use of spot instances allow the node.
   [[nodiscard]] bool allows(const Job& job, const Node& node) const;
-  // nullptr where the task is not placed.
+  // nullptr if the task is not placed.
   Placement* placement(TaskRef ref);
-  // When a job that is accepted now (`wall`: wall seconds) counts as accepted: after all earlier ones, so that a team's jobs
-  // have the order of the ledger for every leader, whatever its clock shows. `skew_s`: how far clocks may differ; a last
-  // acceptance further ahead than that allows is ignored.
-  [[nodiscard]] double next_acceptance_time(double wall, double skew_s) const;
+  // Acceptance time of a job that is accepted at `wall_s` (wall-clock seconds): later than that of all earlier jobs, so that a
+  // team's jobs have the order of the ledger under every leader, despite clock skew. `skew_s`: maximum clock skew; a latest
+  // acceptance time further ahead than clock skew explains is ignored.
+  [[nodiscard]] double next_acceptance_time(double wall_s, double skew_s) const;
 
-  // Nodes. Indices stay valid for as long as the cluster state exists.
+  // Nodes. Indices stay valid for the lifetime of the cluster state.
   NodeIndex find_or_add_node(const std::string& name);
   [[nodiscard]] NodeIndex find_node(const std::string& name) const;
   [[nodiscard]] Node& node(NodeIndex node_index) { return nodes_[node_index.value]; }
   [[nodiscard]] const Node& node(NodeIndex node_index) const { return nodes_[node_index.value]; }
   [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
-  // An empty address leaves the known one in place.
+  // An empty `address` keeps the known one.
   void set_node_attributes(NodeIndex node_index, const std::string& address, const std::string& machine_type, const std::string& zone,
                            bool spot);
-  // The image (of `image_gb` GB) becomes the most recently used one in the node's cache, and older ones leave when it is full.
+  // Marks the image (of `image_gb` GB) as the most recently used one in the node's cache; older ones are evicted if it is full.
   void record_image_use(Node& node, ImageIndex image, double image_gb);
 
-  // Machine types and zones
-  // nullptr while it is not known.
+  // Machine types and zones.
+  // nullptr while the cloud does not offer the machine type.
   [[nodiscard]] const MachineType* machine_type(MachineTypeIndex index) const { return machine_types_.offered(index); }
   [[nodiscard]] const std::vector<MachineType>& machine_types() const { return machine_types_.offered(); }
   [[nodiscard]] MachineTypeIndex find_machine_type(std::string_view name) const { return machine_types_.find(name); }
@@ -90,32 +90,32 @@
   [[nodiscard]] ZoneIndex intern_zone(std::string_view name) { return zones_.intern(name); }
   [[nodiscard]] const std::string& zone_name(ZoneIndex zone) const { return zones_.name(zone); }
   [[nodiscard]] std::size_t zone_count() const { return zones_.size(); }
-  // The largest task with accelerators accepted so far that may run on this machine type; zero when there is none.
+  // Largest demand per resource of accepted tasks with accelerators that may run on this machine type; zero if there are none.
   [[nodiscard]] Resources largest_accelerator_demand(MachineTypeIndex machine_type, bool spot) const {
     return accelerator_demands_.largest(machine_type, spot);
   }
 
-  // Which jobs and nodes are at fault for failures
+  // Attribution of task failures to jobs or nodes.
   [[nodiscard]] FailureAttribution& failure_attribution() { return failure_attribution_; }
   [[nodiscard]] const FailureAttribution& failure_attribution() const { return failure_attribution_; }
 
-  // Team accounts
+  // Team accounts.
   [[nodiscard]] QuotaAccounts& quota_accounts() { return quota_accounts_; }
   [[nodiscard]] const QuotaAccounts& quota_accounts() const { return quota_accounts_; }
   [[nodiscard]] const std::vector<Team>& teams() const { return quota_accounts_.teams(); }
-  // Usage of each team, counted from the placements: the accounts must show the same.
+  // Usage of each team, counted from the placements; the accounts must be equal to it.
   [[nodiscard]] std::vector<Resources> count_placed_usage() const;
-  // Raises accounts that show less than is placed. Returns the names of the teams whose account differed.
+  // Raises accounts that are below the usage of placed tasks. Returns the names of all teams whose account differed from it.
   std::vector<std::string> correct_accounts();
-  // Charges each team anew for the tasks that agents report and that are placed nowhere.
+  // Recomputes each team's usage by tasks that agents report but that are not placed.
   void recount_unplaced_usage();
 
-  // The present state of a job as a record that replaces earlier ones about it. A record is kept short: it covers tasks from
-  // `from` on until it holds `max_items` items, and moves `from` behind them. An ended job is one short record.
-  [[nodiscard]] Record snapshot_record(JobIndex job_index, std::uint32_t& from, std::size_t max_items) const;
-  // Whether the records made so far, which moved `from`, cover the whole job.
-  [[nodiscard]] bool is_snapshot_complete(JobIndex job_index, std::uint32_t from) const {
-    return from >= jobs_[job_index.value].tasks.size();
+  // Returns the current state of a job as a record that replaces earlier ones about it. To limit its size, the record covers the
+  // tasks from `next_task` on until it has `max_items` items, and advances `next_task` past them. An ended job is one short record.
+  [[nodiscard]] Record snapshot_record(JobIndex job_index, std::uint32_t& next_task, std::size_t max_items) const;
+  // Whether the snapshot records returned so far, which advanced `next_task`, cover the whole job.
+  [[nodiscard]] bool is_snapshot_complete(JobIndex job_index, std::uint32_t next_task) const {
+    return next_task >= jobs_[job_index.value].tasks.size();
   }
 
  private:
@@ -125,28 +125,28 @@
   JobIndex add_ended_job(const std::string& uid, JobStatus status, bool service, double done_at);
   void activate(JobIndex job_index);
   void deactivate(JobIndex job_index);
-  // Frees what is no longer needed of a job that has ended and has no task on a node; does nothing for any other job.
+  // Frees the data of a job that has ended and has no task on a node; does nothing for other jobs.
   void release_if_finished(JobIndex job_index);
 
   // job_dependencies.cpp
   static Urgency own_urgency(const Job& job);
   [[nodiscard]] DependencyGraph::DependencyStatus dependency_status(JobIndex job_index) const;
   void register_dependencies(JobIndex job_index);
-  // A job that others may have named before it was read is now known.
+  // The job has been read from the ledger: resolves the dependencies of jobs that were read before it.
   void resolve_dependency(JobIndex job_index, double done_at = 0);
-  // The job has ended, at `ended_at` (wall seconds; 0: not known): its dependents become eligible or are cancelled.
+  // The job ended at `ended_at` (wall-clock seconds; 0: not known): updates or cancels its dependents.
   void update_dependents(JobIndex job_index, double ended_at);
-  // A snapshot record says since when (wall seconds) the job is eligible.
+  // A snapshot record shows that the job is eligible, since this time (wall-clock seconds).
   void unblock(JobIndex job_index, double eligible_since);
-  // Runs `update(changes)`, which calls the dependency graph, and applies the changes that it collects.
+  // Calls `update(changes)`, which updates the dependency graph, and applies the collected changes to the jobs.
   template <class Update>
   void update_dependency_graph(const Update& update) {
-    DependencyGraph::Changes changes;
+    DependencyGraph::JobChanges changes;
     update(changes);
     apply_dependency_changes(changes);
   }
-  void apply_dependency_changes(const DependencyGraph::Changes& changes);
-  // Whether some job that this one depends on has not been read from the ledger in full.
+  void apply_dependency_changes(const DependencyGraph::JobChanges& changes);
+  // Whether some dependency of the job has not been read completely from the ledger.
   [[nodiscard]] bool is_replay_incomplete(JobIndex job_index) const;
 
   // task_placement.cpp
@@ -166,7 +166,7 @@
   void apply_record(const JobSnapshotRecord& record);
   void apply_record(const JobsEndedRecord& record);
   void apply_record(const TeamQuotaRecord& record);
-  void apply_end(const JobsEndedRecord& record, std::uint32_t position);
+  void apply_job_end(const JobsEndedRecord& record, std::uint32_t position);
 
   // job_snapshot.cpp
   [[nodiscard]] JobsEndedRecord ended_job_record(JobIndex job_index) const;
@@ -177,12 +177,12 @@
 
   std::size_t record_bytes_;
   QuotaAccounts quota_accounts_;
-  double latest_accepted_ = 0;  // wall seconds
+  double latest_accepted_at_ = 0;  // wall-clock seconds
   MachineTypeCatalogue machine_types_;
   Interner<ZoneIndex> zones_;
   Interner<ImageIndex> images_;
   Interner<JobClassIndex> classes_;
-  std::deque<Job> jobs_;  // never moved: nodes point to placements
+  std::deque<Job> jobs_;  // a deque does not move its elements: nodes hold pointers to placements
   NameMap<JobIndex> jobs_by_uid_;
   std::vector<JobIndex> live_;
   std::vector<Node> nodes_;
--- a/src/cluster_state/dependency_graph.cpp
+++ b/src/cluster_state/dependency_graph.cpp
@@ -26,7 +26,7 @@
 }
 
 void DependencyGraph::add(JobIndex job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
-                          const std::vector<DependencyStatus>& statuses, Changes& changes) {
+                          const std::vector<DependencyStatus>& statuses, JobChanges& changes) {
   assert(names.size() == statuses.size() && !vertices_.contains(job));
   Vertex& vertex = vertices_[job];
   vertex.own = own;
@@ -37,7 +37,7 @@
   bool cancelled = false;
   for (std::size_t i = 0; i < names.size(); ++i) {
     switch (statuses[i].state) {
-      case DependencyStatus::State::done: break;  // before this job was accepted
+      case DependencyStatus::State::done: break;  // done before this job was accepted
       case DependencyStatus::State::cancelled: cancelled = true; break;
       case DependencyStatus::State::pending: add_edge(job, statuses[i].job, changes); break;
       case DependencyStatus::State::unresolved:
@@ -53,13 +53,13 @@
   }
 }
 
-void DependencyGraph::add_edge(JobIndex job, JobIndex dependency, Changes& changes) {
+void DependencyGraph::add_edge(JobIndex job, JobIndex dependency, JobChanges& changes) {
   vertices_[job].dependencies.push_back(dependency);
   vertices_[dependency].dependents.push_back(job);
   propagate_urgency({dependency}, changes);
 }
 
-void DependencyGraph::resolve_name(const std::string& name, const DependencyStatus& status, Changes& changes) {
+void DependencyGraph::resolve_name(const std::string& name, const DependencyStatus& status, JobChanges& changes) {
   const auto it = unresolved_.find(name);
   if (it == unresolved_.end()) return;
   const auto jobs = std::move(it->second);
@@ -67,7 +67,7 @@
   for (const JobIndex job : jobs) resolve_dependency(job, status, changes);
 }
 
-void DependencyGraph::resolve_dependency(JobIndex job, const DependencyStatus& status, Changes& changes) {
+void DependencyGraph::resolve_dependency(JobIndex job, const DependencyStatus& status, JobChanges& changes) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || it->second.ended || it->second.unresolved == 0) return;
   --it->second.unresolved;
@@ -76,12 +76,12 @@
     case DependencyStatus::State::pending: add_edge(job, status.job, changes); break;
     case DependencyStatus::State::unresolved:
     case DependencyStatus::State::done:
-      if (status.at > 0) {
+      if (status.done_at > 0) {
         Vertex& dependency = vertices_[status.job];
         dependency.ended = true;
-        dependency.done_at = status.at;
+        dependency.done_at = status.done_at;
         dependency.dependents.push_back(job);
-        record_completed_dependency(job, status.job, status.at);
+        record_completed_dependency(job, status.job, status.done_at);
       }
       update_eligibility(job, changes);
       break;
@@ -94,23 +94,23 @@
   vertex.eligible_since = std::max(vertex.eligible_since, done_at);
 }
 
-void DependencyGraph::mark_done(JobIndex job, double at, Changes& changes) {
+void DependencyGraph::mark_done(JobIndex job, double done_at, JobChanges& changes) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || it->second.ended) return;
   it->second.ended = true;
-  it->second.done_at = at;
-  // It was started before the names that it depends on were read: it was eligible.
+  it->second.done_at = done_at;
+  // Its start was replayed before all its dependencies were read, so it had been eligible.
   if (it->second.blocked) mark_unblocked(it->second);
   const auto dependents = it->second.dependents;
   for (const JobIndex dependent : dependents) {
     if (std::erase(vertices_.at(dependent).dependencies, job) == 0) continue;
-    record_completed_dependency(dependent, job, at);
+    record_completed_dependency(dependent, job, done_at);
     update_eligibility(dependent, changes);
   }
   detach(job, changes);
 }
 
-void DependencyGraph::update_eligibility(JobIndex job, Changes& changes) {
+void DependencyGraph::update_eligibility(JobIndex job, JobChanges& changes) {
   Vertex& vertex = vertices_.at(job);
   if (!vertex.blocked || vertex.ended || vertex.unresolved > 0 || !vertex.dependencies.empty()) return;
   mark_unblocked(vertex);
@@ -125,18 +125,18 @@
   --blocked_;
 }
 
-void DependencyGraph::mark_cancelled(JobIndex job, Changes& changes) {
+void DependencyGraph::mark_cancelled(JobIndex job, JobChanges& changes) {
   if (const Vertex* vertex = find(job); vertex && !vertex->ended) cancel_dependents(job, changes);
 }
 
-void DependencyGraph::cancel_with_dependents(JobIndex job, Changes& changes) {
+void DependencyGraph::cancel_with_dependents(JobIndex job, JobChanges& changes) {
   changes.cancelled.push_back(job);
   ++cancelled_;
   cancel_dependents(job, changes);
 }
 
-void DependencyGraph::cancel_dependents(JobIndex job, Changes& changes) {
-  // No recursion: a chain may be as long as there are jobs.
+void DependencyGraph::cancel_dependents(JobIndex job, JobChanges& changes) {
+  // Iterative, because a chain of dependencies may contain all jobs.
   std::vector<JobIndex> remaining{job};
   while (!remaining.empty()) {
     const JobIndex cancelled = remaining.back();
@@ -149,7 +149,7 @@
       Vertex& dependent = vertices_.at(dependent_job);
       std::erase(dependent.dependencies, cancelled);
       if (dependent.ended) continue;
-      dependent.ended = true;  // once only, also when several paths lead to it
+      dependent.ended = true;  // so that it is cancelled only once if several paths lead to it
       changes.cancelled.push_back(dependent_job);
       ++cancelled_;
       remaining.push_back(dependent_job);
@@ -158,7 +158,7 @@
   }
 }
 
-void DependencyGraph::mark_eligible(JobIndex job, Changes& changes) {
+void DependencyGraph::mark_eligible(JobIndex job, JobChanges& changes) {
   const auto it = vertices_.find(job);
   if (it == vertices_.end() || !it->second.blocked) return;
   Vertex& vertex = it->second;
@@ -172,20 +172,20 @@
   erase_if_unused(job);
 }
 
-void DependencyGraph::detach(JobIndex job, Changes& changes) {
+void DependencyGraph::detach(JobIndex job, JobChanges& changes) {
   Vertex& vertex = vertices_.at(job);
   const auto dependencies = std::exchange(vertex.dependencies, {});
-  auto all = std::exchange(vertex.completed_dependencies, {});
-  all.insert(all.begin(), dependencies.begin(), dependencies.end());
-  for (const JobIndex dependency : all)
+  auto all_dependencies = std::exchange(vertex.completed_dependencies, {});
+  all_dependencies.insert(all_dependencies.begin(), dependencies.begin(), dependencies.end());
+  for (const JobIndex dependency : all_dependencies)
     if (const auto it = vertices_.find(dependency); it != vertices_.end()) std::erase(it->second.dependents, job);
   propagate_urgency(dependencies, changes);
-  for (const JobIndex dependency : all) erase_if_unused(dependency);
+  for (const JobIndex dependency : all_dependencies) erase_if_unused(dependency);
   erase_if_unused(job);
 }
 
-// Recomputes the required urgency of these jobs and, where it changes, of what they depend on.
-void DependencyGraph::propagate_urgency(std::vector<JobIndex> jobs, Changes& changes) {
+// Recomputes the required urgency of these jobs and, where it changes, that of their dependencies.
+void DependencyGraph::propagate_urgency(std::vector<JobIndex> jobs, JobChanges& changes) {
   while (!jobs.empty()) {
     const JobIndex job = jobs.back();
     jobs.pop_back();
@@ -200,7 +200,7 @@
   }
 }
 
-// The job must be done early enough for each dependent to run before its own deadline.
+// The job must be done early enough for each dependent to be done by its deadline.
 Urgency DependencyGraph::urgency_required_by_dependents(const Vertex& vertex) const {
   Urgency required;
   for (const JobIndex dependent_job : vertex.dependents) {
--- a/src/cluster_state/job_dependencies.cpp
+++ b/src/cluster_state/job_dependencies.cpp
@@ -1,5 +1,4 @@
-// How jobs that depend on others become eligible, more urgent or cancelled. The dependency graph decides; what it decides is
-// applied to the jobs here.
+// Applies the decisions of the dependency graph to jobs: they become eligible, more or less urgent, or cancelled.
 #include <algorithm>
 
 #include "cluster_state/cluster_state.hpp"
@@ -38,21 +37,21 @@
   std::vector<DependencyGraph::DependencyStatus> statuses;
   statuses.reserve(job.spec.depends_on.size());
   for (const auto& name : job.spec.depends_on) statuses.push_back(dependency_status(find(name)));
-  update_dependency_graph([&](DependencyGraph::Changes& changes) {
+  update_dependency_graph([&](DependencyGraph::JobChanges& changes) {
     dependency_graph_.add(job_index, job.urgency, job.spec.estimated_run_s, job.accepted_at, job.spec.depends_on, statuses, changes);
   });
 }
 
 void ClusterState::resolve_dependency(JobIndex job_index, double done_at) {
   auto status = dependency_status(job_index);
-  status.at = done_at;
+  status.done_at = done_at;
   update_dependency_graph(
-      [&](DependencyGraph::Changes& changes) { dependency_graph_.resolve_name(jobs_[job_index.value].uid, status, changes); });
+      [&](DependencyGraph::JobChanges& changes) { dependency_graph_.resolve_name(jobs_[job_index.value].uid, status, changes); });
 }
 
 void ClusterState::update_dependents(JobIndex job_index, double ended_at) {
   THISTLEFRONT_INVARIANT(jobs_[job_index.value].ended());
-  update_dependency_graph([&](DependencyGraph::Changes& changes) {
+  update_dependency_graph([&](DependencyGraph::JobChanges& changes) {
     if (jobs_[job_index.value].status == JobStatus::done) {
       dependency_graph_.mark_done(job_index, ended_at, changes);
     } else {
@@ -62,18 +61,18 @@
 }
 
 void ClusterState::unblock(JobIndex job_index, double eligible_since) {
-  update_dependency_graph([&](DependencyGraph::Changes& changes) {
+  update_dependency_graph([&](DependencyGraph::JobChanges& changes) {
     dependency_graph_.mark_eligible(job_index, changes);
     changes.eligible.push_back({job_index, eligible_since});
   });
 }
 
-void ClusterState::apply_dependency_changes(const DependencyGraph::Changes& changes) {
+void ClusterState::apply_dependency_changes(const DependencyGraph::JobChanges& changes) {
   for (const auto& [job_index, since] : changes.eligible) {
     Job& job = jobs_[job_index.value];
     job.blocked = false;
     job.eligible_since = since;
-    // All that it depended on is done, so that it cannot be cancelled through another job any more.
+    // All its dependencies are done, so it can no longer be cancelled because of one.
     job.spec.depends_on.clear();
     job.spec.depends_on.shrink_to_fit();
     if (!job.ended()) activate(job_index);
@@ -84,7 +83,7 @@
   }
   for (const JobIndex job_index : changes.cancelled) {
     Job& job = jobs_[job_index.value];
-    // No task of it ever ran, for what it depended on was not done: there is nothing to stop.
+    // Its dependencies were not done, so no task of it ever ran and there is nothing to stop.
     if (!job.ended()) job.status = JobStatus::cancelled;
     release_if_finished(job_index);
   }
--- a/src/cluster_state/job_lifecycle.cpp
+++ b/src/cluster_state/job_lifecycle.cpp
@@ -1,4 +1,4 @@
-// How jobs enter the cluster state, become live and are released after their end.
+// Adds jobs to the cluster state, keeps the list of live jobs, and releases the data of ended jobs.
 #include <algorithm>
 #include <utility>
 
@@ -34,7 +34,7 @@
   job.eligible_since = record.accepted_at;
   job.urgency = own_urgency(job);
 
-  latest_accepted_ = std::max(latest_accepted_, record.accepted_at);
+  latest_accepted_at_ = std::max(latest_accepted_at_, record.accepted_at);
   size_ranking_.record(job.job_class, size_of(spec));
   accelerator_demands_.record(job.machine_types, spec.demand, spec.allows_spot);
   if (spec.depends_on.empty()) {
@@ -66,7 +66,7 @@
   const std::uint32_t position = std::exchange(jobs_[job_index.value].live_position, kNotLive);
   if (position == kNotLive) return;
   THISTLEFRONT_INVARIANT(position < live_.size() && live_[position] == job_index);
-  // The last live job takes the free position.
+  // The last live job moves to the free position.
   const JobIndex last = live_.back();
   live_.pop_back();
   if (last == job_index) return;
@@ -80,8 +80,8 @@
   deactivate(job_index);
   job.blocked = false;
   const bool any_task_succeeded = job.done > 0;
-  failure_attribution_.forget_job(job_index, any_task_succeeded);
-  // Only its name and how it ended are still needed.
+  failure_attribution_.remove_job(job_index, any_task_succeeded);
+  // Only the UID and the final status are still needed.
   job.spec = {};
   job.tasks = {};
   job.machine_types = {};
--- a/src/cluster_state/job_size_ranking.cpp
+++ b/src/cluster_state/job_size_ranking.cpp
@@ -5,11 +5,11 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kRecentJobs = 64;  // of a class
-constexpr double kLargeQuantile = 0.85;  // a job is large at or above this quantile of the recent sizes
+constexpr std::size_t kRecentJobs = 64;  // per class
+constexpr double kLargeQuantile = 0.85;  // jobs at or above this quantile of the recent sizes are large
 
-double quantile(const std::vector<double>& sorted, double share) {
-  return sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+double quantile(const std::vector<double>& sorted, double fraction) {
+  return sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 }  // namespace
 
@@ -24,14 +24,14 @@
   if (recent.sizes.size() > kRecentJobs) recent.sizes.pop_front();
   std::vector<double> sorted(recent.sizes.begin(), recent.sizes.end());
   std::sort(sorted.begin(), sorted.end());
-  recent.large = quantile(sorted, kLargeQuantile);
+  recent.min_large_size = quantile(sorted, kLargeQuantile);
   recent.median = quantile(sorted, 0.5);
 }
 
 bool JobSizeRanking::is_among_largest(JobClassIndex job_class, double size) const {
   if (!job_class.valid() || classes_.size() <= job_class.value) return false;
   const RecentSizes& recent = classes_[job_class.value];
-  return size >= recent.large && size > recent.median;
+  return size >= recent.min_large_size && size > recent.median;
 }
 
 }  // namespace thistlefront
--- a/src/cluster_state/job_snapshot.cpp
+++ b/src/cluster_state/job_snapshot.cpp
@@ -1,4 +1,4 @@
-// The present state of a job as ledger records, so that the older records that it came from can be removed
+// Snapshot records: the current state of a job as ledger records, so that older records of it can be removed
 // (ledger/ledger_compactor.hpp).
 #include <algorithm>
 #include <iterator>
@@ -8,10 +8,10 @@
 namespace thistlefront {
 
 namespace {
-// A placement (node, incarnation, attempt, time) takes about as much of a record as this many task ranges.
+// A placement (node, incarnation, attempt, time) takes about as many bytes as this many task ranges.
 constexpr std::size_t kItemsPerPlacement = 3;
 
-// Fills a record and counts its items; a record is full at a bound on these.
+// Fills a snapshot record and counts its items; the caller limits the number of items.
 class SnapshotBuilder {
  public:
   explicit SnapshotBuilder(JobSnapshotRecord& record) : record_(record) {}
@@ -19,7 +19,7 @@
   [[nodiscard]] std::size_t item_count() const { return item_count_; }
   void add_done(std::uint32_t task) { add_task(record_.done, task); }
   void add_placed(std::uint32_t task, const Placement& placement, const std::string& node) {
-    add_task(placed_like(placement, node).tasks, task);
+    add_task(find_or_add_placed(placement, node).tasks, task);
   }
 
  private:
@@ -31,8 +31,8 @@
     item_count_ += ranges.size() - ranges_before;
   }
 
-  // The part of the record for tasks with the same node, incarnation, attempt and time.
-  PlacedTasks& placed_like(const Placement& placement, const std::string& node) {
+  // Finds or adds the item of the record for tasks with this node, incarnation, attempt and time.
+  PlacedTasks& find_or_add_placed(const Placement& placement, const std::string& node) {
     const auto it = std::find_if(record_.placed.begin(), record_.placed.end(), [&](const PlacedTasks& placed) {
       return placed.node == node && placed.agent_incarnation == placement.agent_incarnation && placed.attempt == placement.attempt &&
              placed.decided_at == placement.decided_at;
@@ -56,29 +56,29 @@
   return record;
 }
 
-Record ClusterState::snapshot_record(JobIndex job_index, std::uint32_t& from, std::size_t max_items) const {
+Record ClusterState::snapshot_record(JobIndex job_index, std::uint32_t& next_task, std::size_t max_items) const {
   const Job& job = jobs_[job_index.value];
   if (job.ended() && job.placed.empty()) return ended_job_record(job_index);
   JobSnapshotRecord record;
-  record.first_task = from;
+  record.first_task = next_task;
   record.accepted = {job.spec, job.random_draw, job.accepted_at};
   record.suspect = failure_attribution_.is_suspect(job_index);
   if (job.eligible_since != job.accepted_at) record.eligible_since = job.eligible_since;
   record.attempts = job.attempts;
 
   SnapshotBuilder builder(record);
-  auto next_placed = job.placed.lower_bound(from);
-  for (; from < job.tasks.size() && builder.item_count() < max_items; ++from) {
-    const bool is_placed = next_placed != job.placed.end() && next_placed->first == from;
-    if (job.tasks[from] == TaskState::done) {
-      builder.add_done(from);
+  auto next_placed = job.placed.lower_bound(next_task);
+  for (; next_task < job.tasks.size() && builder.item_count() < max_items; ++next_task) {
+    const bool is_placed = next_placed != job.placed.end() && next_placed->first == next_task;
+    if (job.tasks[next_task] == TaskState::done) {
+      builder.add_done(next_task);
     } else if (is_placed) {
       const Placement& placement = next_placed->second;
-      builder.add_placed(from, placement, nodes_[placement.node.value].name);
+      builder.add_placed(next_task, placement, nodes_[placement.node.value].name);
     }
     if (is_placed) ++next_placed;
   }
-  record.has_more = from < job.tasks.size();
+  record.has_more = next_task < job.tasks.size();
   if (!record.has_more) record.status = job.status;
   return record;
 }
--- a/src/cluster_state/machine_type_catalogue.hpp
+++ b/src/cluster_state/machine_type_catalogue.hpp
@@ -1,5 +1,5 @@
-// The machine types that the cloud offers, and the names of all machine types that jobs and nodes mention. A name has the
-// same index for as long as the catalogue exists, also while its machine type is not offered.
+// The machine types that the cloud offers, and indices for the names of all machine types that jobs and nodes use. The index of a
+// name never changes, even while its machine type is not offered.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -14,10 +14,10 @@
 
 class MachineTypeCatalogue {
  public:
-  // Replaces the offered machine types; the indices of names stay.
+  // Replaces the offered machine types; indices of names are kept.
   void replace_offered(const std::vector<MachineType>& machine_types);
 
-  // nullptr while the machine type is not offered, or its index is not valid.
+  // nullptr if the machine type is not offered or the index is not valid.
   [[nodiscard]] const MachineType* offered(MachineTypeIndex index) const;
   [[nodiscard]] const std::vector<MachineType>& offered() const { return offered_; }
 
--- a/src/cluster_state/pending_summary.cpp
+++ b/src/cluster_state/pending_summary.cpp
@@ -31,14 +31,14 @@
   if (cluster_state.failure_attribution().is_suspect(job_index)) return PendingSummary::Reason::suspected;
   const bool gang = job.spec.job_type == JobType::gang;
   if (gang && !job.placed.empty()) return PendingSummary::Reason::stopping_gang;
-  // What must start together: the whole gang, or one task.
-  const Resources unit = job.spec.demand * (gang ? static_cast<double>(job.tasks.size()) : 1.0);
-  const bool fits = unit.fits(quota_accounts.headroom(job.team, std::numeric_limits<double>::max()));
+  // Demand of what must start together: the whole gang, or one task.
+  const Resources start_demand = job.spec.demand * (gang ? static_cast<double>(job.tasks.size()) : 1.0);
+  const bool fits = start_demand.fits(quota_accounts.headroom(job.team, std::numeric_limits<double>::max()));
   return fits ? PendingSummary::Reason::capacity : PendingSummary::Reason::team_limit;
 }
 }  // namespace
 
-std::vector<PendingSummary> summarize_pending(const ClusterState& cluster_state, double wall) {
+std::vector<PendingSummary> summarize_pending(const ClusterState& cluster_state, double wall_s) {
   std::map<std::tuple<std::string, std::string, PendingSummary::Reason>, PendingSummary> by_key;
   for (const JobIndex job_index : cluster_state.live()) {
     const Job& job = cluster_state.job(job_index);
@@ -49,7 +49,7 @@
     summary.job_class = job.spec.job_class;
     summary.reason = reason;
     summary.tasks += job.pending;
-    if (job.attempts == 0) summary.unstarted_s = std::max(summary.unstarted_s, wall - job.eligible_since);
+    if (job.attempts == 0) summary.unstarted_s = std::max(summary.unstarted_s, wall_s - job.eligible_since);
   }
   std::vector<PendingSummary> summaries;
   summaries.reserve(by_key.size());
--- a/src/cluster_state/pending_summary.hpp
+++ b/src/cluster_state/pending_summary.hpp
@@ -1,5 +1,5 @@
-// What is pending, by team and job class, for how long and for which reason, so that starvation is seen. The leader computes
-// it for its metrics and status pages. Pure.
+// Summary of pending tasks by team, job class and reason, with waiting times, to make starvation visible. The leader computes it
+// for its metrics and status pages. No I/O and no clock.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,21 +11,21 @@
 
 struct PendingSummary {
   std::string team, job_class;
-  // What the tasks wait for.
+  // Why the tasks are pending.
   enum class Reason : std::uint8_t {
-    capacity,       // free nodes, behind jobs that go first
-    team_limit,     // the end of other work of the team
-    missing_quota,  // a quota for the team, which has none
-    suspected,      // the job failed wherever it ran: it is retried with one task after delays
-    stopping_gang,  // the end of the remaining tasks of the gang's last attempt
+    capacity,       // not enough free resources, or other jobs come first
+    team_limit,     // the team's limit is used up by its other tasks
+    missing_quota,  // the team has no quota
+    suspected,      // the job failed on every node: it is retried with one task, after delays
+    stopping_gang,  // tasks of the gang's last attempt are still on nodes
   } reason = Reason::capacity;
   std::uint32_t tasks = 0;
-  double unstarted_s = 0;  // for how long the oldest job has been eligible of which nothing has run yet; 0: there is none
+  double unstarted_s = 0;  // time since the oldest job that has never started a task became eligible; 0: there is none
 };
-// The value of the metrics' label.
+// The reason as a value of the metrics' label.
 const char* name_of(PendingSummary::Reason reason);
 
-// `wall`: wall seconds. Sorted by team, class and reason.
-std::vector<PendingSummary> summarize_pending(const ClusterState& cluster_state, double wall);
+// `wall_s`: wall-clock seconds. The result is sorted by team, job class and reason.
+std::vector<PendingSummary> summarize_pending(const ClusterState& cluster_state, double wall_s);
 
 }  // namespace thistlefront
--- a/src/cluster_state/quota_accounts.cpp
+++ b/src/cluster_state/quota_accounts.cpp
@@ -5,7 +5,7 @@
 namespace thistlefront {
 
 namespace {
-// A limit of 0 is none.
+// A limit of 0 means no limit.
 double lower_limit(double a, double b) {
   if (a <= 0) return b;
   if (b <= 0) return a;
@@ -45,7 +45,7 @@
 }
 
 void QuotaAccounts::apply_record(const TeamQuotaRecord& record) {
-  agreed_ = true;
+  has_agreed_quotas_ = true;
   Team& team = teams_[find_or_add(record.name).value];
   team.record = record;
   team.lacks_quota = !record.agreed && !record.proposed;
@@ -57,7 +57,7 @@
 bool QuotaAccounts::accepts_jobs(TeamIndex index) const {
   const Team& team = teams_[index.value];
   if (team.lacks_quota) return false;
-  return !agreed_ || (team.record && !team.record->in_no_settings);
+  return !has_agreed_quotas_ || (team.record && !team.record->in_no_settings);
 }
 
 void QuotaAccounts::raise_usage(TeamIndex team, const Resources& used) {
@@ -72,7 +72,7 @@
 
 Resources QuotaAccounts::headroom(TeamIndex index, double unlimited) const {
   const Team& team = teams_[index.value];
-  // Less than nothing, so that not even a task without demand fits.
+  // Negative, so that not even a task without any demand fits.
   if (team.lacks_quota) return {-1, -1, -1};
   const Resources used = team.used + team.unplaced;
   const auto remaining = [&](double limit, double amount_used) { return limit > 0 ? limit - amount_used : unlimited; };
--- a/src/cluster_state/quota_accounts.hpp
+++ b/src/cluster_state/quota_accounts.hpp
@@ -1,6 +1,6 @@
-// What each team may use, and what it uses. Quotas (guarantee and limit) come from the settings file until the ledger holds
-// some, and only from the ledger's records from then on: a changed file alone changes nothing, nor does a failover to a
-// controller with another file. `ClusterState` owns the accounts and charges them. Pure.
+// Quotas and usage of teams. Quotas (guarantee and limit) come from the settings file until the ledger contains quota records, and
+// only from these afterwards: neither a changed file alone nor a failover to a controller with a different file changes a quota.
+// `ClusterState` owns the accounts and charges them. No I/O and no clock.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,46 +13,46 @@
 
 namespace thistlefront {
 
-// A team's quota and usage. Memory is neither limited nor guaranteed.
+// Quota and usage of a team. Memory is neither limited nor guaranteed.
 struct Team {
   std::string name;
   Resources guarantee, limit;                            // in force; 0: none
-  Resources used = {};                                   // by placed tasks, also those whose start is uncertain
-  Resources unplaced = {};                               // by tasks that agents report and that are placed nowhere
-  std::optional<TeamQuotaRecord> record = std::nullopt;  // the latest one of the ledger
-  bool lacks_quota = false;                              // it owns jobs, and neither settings nor ledger gave it a quota
+  Resources used = {};                                   // by placed tasks, including those whose start has an unknown outcome
+  Resources unplaced = {};                               // by tasks that agents report but that are not placed
+  std::optional<TeamQuotaRecord> record = std::nullopt;  // latest one in the ledger
+  bool lacks_quota = false;                              // it has jobs, but no quota in the settings or the ledger
 };
 
 class QuotaAccounts {
  public:
-  // `configured_teams`: those of the settings file.
+  // `configured_teams`: from the settings file.
   explicit QuotaAccounts(const std::vector<Team>& configured_teams);
 
   [[nodiscard]] TeamIndex find(std::string_view name) const { return names_.find(name); }
-  // The team of a job that is in the ledger. A team without a quota gets an account on which nothing starts; without an
-  // account, its jobs had no limit at all once the team was taken out of the settings.
+  // Returns the team of a job that is in the ledger. An unknown team gets an account without a quota, on which nothing starts:
+  // without an account, its jobs would have no limit once the team was removed from the settings.
   TeamIndex find_or_add(std::string_view name);
-  // The record replaces every earlier quota of the team.
+  // Replaces the quota of the record's team.
   void apply_record(const TeamQuotaRecord& record);
-  // Whether the ledger holds the quota of some team.
-  [[nodiscard]] bool has_agreed_quotas() const { return agreed_; }
-  // Whether submissions of the team are accepted: it has a quota, and some controller's settings still name it.
+  // Whether the ledger contains the quota of any team.
+  [[nodiscard]] bool has_agreed_quotas() const { return has_agreed_quotas_; }
+  // Whether submissions of the team are accepted: it has a quota, and some controller's settings contain it.
   [[nodiscard]] bool accepts_jobs(TeamIndex index) const;
 
   // A task with this demand was placed.
   void charge(TeamIndex team, const Resources& demand) { teams_[team.value].used += demand; }
   // A task with this demand was removed from its node.
   void refund(TeamIndex team, const Resources& demand) { teams_[team.value].used -= demand; }
-  // The team uses at least this many cores and accelerators.
+  // Raises the usage by placed tasks to at least this many cores and accelerators.
   void raise_usage(TeamIndex team, const Resources& used);
-  // Starts a new count of the tasks that agents report and that are placed nowhere; made for each scheduling pass.
+  // Resets the usage by reported but unplaced tasks, which is recomputed for each scheduling pass.
   void clear_unplaced();
   void add_unplaced(TeamIndex team, const Resources& demand) { teams_[team.value].unplaced += demand; }
 
-  // What may still be started within the limit; an amount without a limit is `unlimited`.
+  // Resources that the team may still use within its limit; `unlimited` for a resource without a limit.
   [[nodiscard]] Resources headroom(TeamIndex index, double unlimited) const;
-  // The first team whose quota is not yet the same in all settings, or that is in no settings any more: format versions
-  // before 3 cannot store it.
+  // The first team whose quota differs between settings files, or that is no longer in any: format versions before 3 cannot store
+  // it.
   [[nodiscard]] std::optional<std::string> changing_team() const;
 
   [[nodiscard]] const std::vector<Team>& teams() const { return teams_; }
@@ -61,10 +61,10 @@
  private:
   Interner<TeamIndex> names_;
   std::vector<Team> teams_;
-  bool agreed_ = false;
+  bool has_agreed_quotas_ = false;
 };
 
-// The quota in force while controllers' settings differ: the lower limit, and the higher guarantee as far as the limit allows.
+// The quota in force while controllers' settings differ: the lower limit, and the higher guarantee, capped at that limit.
 TeamQuota stricter_quota(const TeamQuota& a, const TeamQuota& b);
 
 }  // namespace thistlefront
--- a/src/cluster_state/quota_agreement.cpp
+++ b/src/cluster_state/quota_agreement.cpp
@@ -11,9 +11,9 @@
 
 namespace thistlefront {
 
-std::uint64_t digest_of(const TeamQuotas& file) {
+std::uint64_t digest_of(const TeamQuotas& quotas) {
   std::uint64_t digest = 1;
-  for (const auto& [name, quota] : file) {
+  for (const auto& [name, quota] : quotas) {
     digest = digest_with(digest, digest_of_text(name));
     for (const double amount : {quota.guarantee.cores, quota.guarantee.accelerators, quota.limit.cores, quota.limit.accelerators})
       digest = digest_with(digest, std::bit_cast<std::uint64_t>(amount));
@@ -23,11 +23,11 @@
 
 namespace {
 
-// What the known settings files say of one team.
+// The quotas of one team in the known settings files.
 struct KnownQuotas {
   bool all_files_known = true;
   bool all_same = true;
-  std::vector<std::optional<TeamQuota>> quotas;  // one per known file; nullopt: the file is without the team
+  std::vector<std::optional<TeamQuota>> quotas;  // one per known file; nullopt: the file does not contain the team
 };
 
 KnownQuotas known_quotas(const std::string& team, const std::map<std::string, std::optional<TeamQuotas>>& files) {
@@ -62,15 +62,15 @@
     if (!quota || quota == record.agreed) continue;
     narrowed = narrowed ? stricter_quota(*narrowed, *quota) : *quota;
   }
-  // While some file is not known, it may still hold the quota that was proposed: that one stays.
+  // An unknown file may still contain the proposed quota, so that the proposal is kept until all files are known.
   if (narrowed || known.all_files_known) record.proposed = narrowed;
   return record;
 }
 
-std::set<std::string> all_team_names(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
+std::set<std::string> all_team_names(const QuotaAccounts& quota_accounts, const TeamQuotas& leader_quotas,
                                      const std::map<std::string, std::optional<TeamQuotas>>& files) {
   std::set<std::string> names;
-  for (const auto& [name, quota] : own) names.insert(name);
+  for (const auto& [name, quota] : leader_quotas) names.insert(name);
   for (const auto& [label, file] : files) {
     if (!file) continue;
     for (const auto& [name, quota] : *file) names.insert(name);
@@ -80,8 +80,8 @@
   return names;
 }
 
-// The ledger's record of the team; nullptr: it holds none.
-const TeamQuotaRecord* ledger_record(const QuotaAccounts& quota_accounts, const std::string& name) {
+// The team's quota record in the ledger; nullptr if there is none.
+const TeamQuotaRecord* find_ledger_record(const QuotaAccounts& quota_accounts, const std::string& name) {
   const TeamIndex team = quota_accounts.find(name);
   if (!team.valid()) return nullptr;
   const auto& record = quota_accounts.team(team).record;
@@ -90,18 +90,18 @@
 
 }  // namespace
 
-std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
+std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& leader_quotas,
                                                 const std::map<std::string, std::optional<TeamQuotas>>& files) {
   std::vector<TeamQuotaRecord> records;
-  for (const auto& name : all_team_names(quota_accounts, own, files)) {
+  for (const auto& name : all_team_names(quota_accounts, leader_quotas, files)) {
     TeamQuotaRecord before;
     before.name = name;
-    const TeamQuotaRecord* recorded = ledger_record(quota_accounts, name);
+    const TeamQuotaRecord* recorded = find_ledger_record(quota_accounts, name);
     if (recorded) {
       before = *recorded;
     } else if (!quota_accounts.has_agreed_quotas()) {
-      // The ledger holds no quotas yet: so far the leader's own file was in force.
-      if (const auto it = own.find(name); it != own.end()) before.agreed = it->second;
+      // The ledger contains no quotas yet, so the leader's own file has been in force.
+      if (const auto it = leader_quotas.find(name); it != leader_quotas.end()) before.agreed = it->second;
     }
     TeamQuotaRecord after = next_record(before, known_quotas(name, files));
     if (!recorded && !after.agreed && !after.proposed) continue;
--- a/src/cluster_state/quota_agreement.hpp
+++ b/src/cluster_state/quota_agreement.hpp
@@ -1,5 +1,5 @@
-// Which team quotas come into force when the controllers' settings files differ. Each team is decided by itself. The leader
-// asks before it writes team quota records to the ledger. Pure.
+// Decides which team quotas are in force when the controllers' settings files differ, for each team separately. The leader writes
+// the resulting team quota records to the ledger. No I/O and no clock.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,17 +12,17 @@
 
 namespace thistlefront {
 
-// The quotas in one controller's settings file, by team.
+// The quotas in one controller's settings file, by team name.
 using TeamQuotas = std::map<std::string, TeamQuota>;
-// Differs between files with different quotas; never 0.
-std::uint64_t digest_of(const TeamQuotas& file);
+// Digest of the quotas in a settings file; never 0.
+std::uint64_t digest_of(const TeamQuotas& quotas);
 
-// The records to be written now. `files`: by label of every controller in the settings; nullopt where a file is not known
-// (never received, or changed and not received since). `own`: the leader's file, which is in force at first.
+// Returns the records to write now. `files`: quotas of every controller in the settings, by label; nullopt if a file is not known
+// (never received, or changed since). `leader_quotas`: the leader's file, which is in force while the ledger has no quotas.
 //
-// While all files give a team the same quota, that one is in force. While some differ, the quota in force stays, narrowed by
-// the different ones. A team that is in no file has no more jobs accepted, and keeps its last quota for those that it has.
-std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& own,
+// If all files have the same quota for a team, it comes into force. If they differ, the agreed quota stays in force, narrowed by
+// the differing ones. For a team that is in no file, no new jobs are accepted, and its existing jobs keep the last quota.
+std::vector<TeamQuotaRecord> next_quota_records(const QuotaAccounts& quota_accounts, const TeamQuotas& leader_quotas,
                                                 const std::map<std::string, std::optional<TeamQuotas>>& files);
 
 }  // namespace thistlefront
--- a/src/cluster_state/record_application.cpp
+++ b/src/cluster_state/record_application.cpp
@@ -1,5 +1,5 @@
-// What each kind of ledger record does to the cluster state. Every controller applies the same records in the same order, so
-// nothing here may depend on anything but the state and the record.
+// Applies ledger records to the cluster state. Every controller applies the same records in the same order, so the result must
+// depend on nothing but the state and the record.
 #include <algorithm>
 
 #include "cluster_state/cluster_state.hpp"
@@ -19,11 +19,11 @@
   if (!job_index.valid()) return;
   Job& job = jobs_[job_index.value];
   job.attempts = std::max(job.attempts, record.attempt);
-  // Cancelled between the plan and the ledger: it does not start.
+  // Cancelled after the start was planned and before it was committed: the job does not start.
   if (job.ended()) return;
-  // No start, however it came here, places a task of a blocked job. Except during the replay: what the job depends on may
-  // stand further on in the ledger, in snapshot records. The writer of this start knew that the job was eligible, and
-  // ignoring the start would let its running tasks be started once more.
+  // A start never places a task of a blocked job, except during replay: there, the records of the job's dependencies may come
+  // later in the ledger, as snapshot records. The leader that wrote this start knew that the job was eligible, and ignoring the
+  // start would cause its running tasks to be started again.
   if (job.blocked && !is_replay_incomplete(job_index)) return;
   for (const auto& assignment : record.assignments) {
     Placement placement;
@@ -49,7 +49,7 @@
   for (const TaskRange& range : record.tasks) {
     for (std::uint32_t task = range.first; task < range.end; ++task) {
       const auto it = job.placed.find(task);
-      // A late removal of an earlier attempt says nothing about the present one.
+      // A late removal of an earlier attempt does not affect the current one.
       if (it == job.placed.end() || it->second.attempt != record.attempt) continue;
       if (record.failed_at > 0) failure_attribution_.record_failure(job_index, it->second.node, record.failed_at, job.done > 0);
       unplace({job_index, task});
@@ -64,8 +64,8 @@
   Job& job = jobs_[job_index.value];
   if (job.ended()) return;
   job.status = JobStatus::cancelled;
-  // During the replay its start may have been read before the jobs that it depends on. It must be live, so that its tasks are
-  // stopped: the randomised safety test found them left on their nodes for good.
+  // During replay, its start may have been read before its dependencies, so that it is still blocked. It must be live, or its
+  // tasks are never stopped and stay on their nodes (found by the randomised safety test).
   job.blocked = false;
   if (!job.placed.empty()) activate(job_index);
   for (auto& [task, placement] : job.placed) {
@@ -80,12 +80,12 @@
   machine_types_.replace_offered(record.machine_types);
 }
 
-// In a ledger read from its beginning this repeats what is known; where older entries were removed, the job begins with it.
-// A job with many task ranges comes in several records, of which only the last one carries its status.
+// If the older records of the job are still in the ledger, the snapshot repeats known state; otherwise the job is created from
+// it. The snapshot of a job with many task ranges has several records, and only the last one contains the status.
 void ClusterState::apply_record(const JobSnapshotRecord& record) {
   JobIndex job_index = find(record.accepted.job.uid);
   if (!job_index.valid()) {
-    // A later part of an outdated snapshot, whose earlier parts were removed: the whole job stands further on in the ledger.
+    // Part of an outdated snapshot whose first parts were removed: a complete snapshot follows later in the ledger.
     if (record.first_task > 0) return;
     job_index = add_job(record.accepted);
     jobs_[job_index.value].partially_replayed = true;
@@ -99,13 +99,13 @@
     job.eligible_since = record.eligible_since;
   }
   if (!record.done.empty()) mark_done(job_index, record.done, 0);
-  for (const auto& placed : record.placed) {
+  for (const auto& placed_tasks : record.placed) {
     Placement placement;
-    placement.node = find_or_add_node(placed.node);
-    placement.agent_incarnation = placed.agent_incarnation;
-    placement.attempt = placed.attempt;
-    placement.decided_at = placed.decided_at;
-    place_all(job_index, placed.tasks, placement);
+    placement.node = find_or_add_node(placed_tasks.node);
+    placement.agent_incarnation = placed_tasks.agent_incarnation;
+    placement.attempt = placed_tasks.attempt;
+    placement.decided_at = placed_tasks.decided_at;
+    place_all(job_index, placed_tasks.tasks, placement);
   }
   if (record.status == JobStatus::cancelled) apply_record(JobCancelledRecord{record.accepted.job.uid});
   if (job.status == JobStatus::cancelled) {
@@ -115,15 +115,16 @@
 }
 
 void ClusterState::apply_record(const JobsEndedRecord& record) {
-  for (std::uint32_t position = 0; position < record.uids.size(); ++position) apply_end(record, position);
+  for (std::uint32_t position = 0; position < record.uids.size(); ++position) apply_job_end(record, position);
 }
 
-// `position`: of the job in the record's list of names.
-void ClusterState::apply_end(const JobsEndedRecord& record, std::uint32_t position) {
+// `position`: index of the job in `record.uids`.
+void ClusterState::apply_job_end(const JobsEndedRecord& record, std::uint32_t position) {
   const std::string& uid = record.uids[position];
   const bool service = std::find(record.services.begin(), record.services.end(), position) != record.services.end();
-  const auto time = std::find_if(record.done_at.begin(), record.done_at.end(), [&](const auto& entry) { return entry.first == position; });
-  const double done_at = time == record.done_at.end() ? 0 : time->second;
+  const auto done_entry =
+      std::find_if(record.done_at.begin(), record.done_at.end(), [&](const auto& entry) { return entry.first == position; });
+  const double done_at = done_entry == record.done_at.end() ? 0 : done_entry->second;
   const JobIndex job_index = find(uid);
   if (!job_index.valid()) {
     add_ended_job(uid, record.status, service, done_at);
--- a/src/cluster_state/submission_check.cpp
+++ b/src/cluster_state/submission_check.cpp
@@ -10,7 +10,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRoundingSlack = 1e-6;  // sums of decimals are not exact
+constexpr double kRoundingSlack = 1e-6;  // sums of decimals have rounding errors
 
 // An empty list allows every name.
 bool allows_name(const std::vector<std::string>& allowed, const std::string& name) {
@@ -34,7 +34,7 @@
   const auto& offered = machine_types.offered();
   const bool fits = std::any_of(offered.begin(), offered.end(), [&](const MachineType& type) { return can_run_task(type, spec); });
   if (!fits) return "hostKinds: a task fits no allowed machine type";
-  // The tasks of an array may run one after another; those of a gang or a service run together.
+  // Tasks of an array may run one after another; those of a gang or a service run at the same time.
   const Resources concurrent = spec.demand * (spec.job_type == JobType::array ? 1.0 : spec.task_count);
   const Resources& limit = quota_accounts.team(team).limit;
   if (exceeds(concurrent.cores, limit.cores)) return "cores: more than the team's limit";
--- a/src/cluster_state/task_placement.cpp
+++ b/src/cluster_state/task_placement.cpp
@@ -1,5 +1,5 @@
-// Placing tasks on nodes, removing them, and marking them done. The counts of a job, the usage of its nodes and the account of
-// its team change together here and nowhere else.
+// Places tasks on nodes, removes them and marks them done. The task counts of a job, the usage of its nodes and the account of its
+// team change only here, together, so that they stay consistent.
 #include <algorithm>
 
 #include "cluster_state/cluster_state.hpp"
@@ -8,7 +8,7 @@
 namespace thistlefront {
 
 namespace {
-// A job that was released after its end has no tasks any more.
+// The tasks of an ended job are deleted when its data is released.
 [[maybe_unused]] bool has_consistent_counts(const Job& job) {
   return job.tasks.empty() || job.pending + job.done + job.placed.size() == job.tasks.size();
 }
@@ -21,7 +21,7 @@
     placed.pop_back();
   }
   node.used -= demand;
-  if (placed.empty()) node.used = {};  // no rounding errors stay behind
+  if (placed.empty()) node.used = {};  // discards rounding errors
 }
 }  // namespace
 
@@ -78,7 +78,7 @@
       THISTLEFRONT_INVARIANT(has_consistent_counts(job));
     }
   }
-  // A job that its user cancelled stays cancelled, whatever its tasks still do.
+  // A cancelled job stays cancelled even if all its tasks complete.
   if (job.done < job.tasks.size() || job.ended()) return;
   job.status = JobStatus::done;
   update_dependents(job_index, done_at);
--- a/src/cluster_state/usage_accounting.cpp
+++ b/src/cluster_state/usage_accounting.cpp
@@ -1,4 +1,4 @@
-// Checks of the team accounts against the placements, and the usage by tasks that agents report and that are placed nowhere.
+// Checks team accounts against the placements, and computes the usage by tasks that agents report but that are not placed.
 #include <algorithm>
 #include <cmath>
 
@@ -7,7 +7,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRoundingSlack = 1e-3;  // sums of decimals drift
+constexpr double kRoundingSlack = 1e-3;  // rounding errors accumulate in sums of decimals
 
 bool differs(double a, double b) {
   return std::abs(a - b) > kRoundingSlack;
@@ -44,26 +44,26 @@
     if (may_have_unplaced_tasks(nodes_[i])) charge_unplaced(NodeIndex{i});
 }
 
-// Spares the search task by task for nearly all nodes, on which every reported task is placed.
+// Avoids looking up each task on nearly all nodes, because there every reported task is placed.
 bool ClusterState::may_have_unplaced_tasks(const Node& node) {
   if (node.lease_expired || node.terminated || node.agent.tasks.empty()) return false;
   const auto reported = std::count_if(node.agent.tasks.begin(), node.agent.tasks.end(), is_on_node);
-  // Tasks of an earlier incarnation, and tasks whose end is on its way into the ledger, are not on the node any more: counted
-  // here, they would hide as many unplaced ones.
-  const auto placed_and_seen = std::count_if(node.placed.begin(), node.placed.end(), [&](const PlacedTask& task) {
+  // Tasks of an earlier incarnation, and tasks whose removal is pending, are no longer on the node. If they were counted here,
+  // they would hide the same number of unplaced tasks.
+  const auto placed_and_present = std::count_if(node.placed.begin(), node.placed.end(), [&](const PlacedTask& task) {
     const Placement& placement = *task.placement;
     return placement.reported && !placement.removal_pending && placement.agent_incarnation == node.agent.incarnation &&
            placement.phase != TaskPhase::exited;
   });
-  return reported > placed_and_seen;
+  return reported > placed_and_present;
 }
 
 void ClusterState::charge_unplaced(NodeIndex node_index) {
   for (const ReportedTask& task : nodes_[node_index.value].agent.tasks) {
     if (!is_on_node(task) || !task.ref.job.valid()) continue;
-    // A task that is placed, here or on another node, is counted by its placement.
+    // A task that is placed, on this or another node, is already charged.
     if (placement(task.ref)) continue;
-    // The demand of an ended job is not known any more.
+    // The demand of a released job is no longer known.
     const Job& job = jobs_[task.ref.job.value];
     if (!job.tasks.empty()) quota_accounts_.add_unplaced(job.team, job.spec.demand);
   }
