--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state machine: what each record does, and that snapshot records rebuild the same state.
+// The replicated state machine: applying records, and rebuilding the same state from snapshot records.
 #include "cluster_state/cluster_state.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return thistlefront::submission(uid, tasks, 2);
 }
 
-ClusterState fresh() {
+ClusterState new_cluster_state() {
   return cluster_state_with_core_limit(10);
 }
 
@@ -34,7 +34,7 @@
 }
 
 TEST(ClusterState, AppliesRecordsInOrder) {
-  ClusterState state = fresh();
+  ClusterState state = new_cluster_state();
   for (const auto& record : sample_records()) state.apply(record);
   const Job& first_job = state.job(state.find("j-1"));
   EXPECT_EQ(first_job.done, 1u);
@@ -47,7 +47,7 @@
 }
 
 TEST(ClusterState, CancelledJobNeitherStartsNorCompletes) {
-  ClusterState state = fresh();
+  ClusterState state = new_cluster_state();
   state.apply(JobAcceptedRecord{submission("j-1", 1), 0.5, 1});
   state.apply(TasksStartedRecord{"j-1", 1, 4, {{"m-1", 1, {{0, 1}}}}});
   state.apply(JobCancelledRecord{"j-1"});
@@ -60,7 +60,7 @@
 }
 
 TEST(ClusterState, DoneJobIsNotCancelledAndLateRemovalOfAnotherAttemptIsIgnored) {
-  ClusterState state = fresh();
+  ClusterState state = new_cluster_state();
   state.apply(JobAcceptedRecord{submission("j-1", 1), 0.5, 1});
   state.apply(TasksStartedRecord{"j-1", 2, 4, {{"m-1", 1, {{0, 1}}}}});
   state.apply(TasksRemovedRecord{"j-1", 1, {{0, 1}}});
@@ -70,28 +70,28 @@
   EXPECT_EQ(state.job(state.find("j-1")).status, JobStatus::done);
 }
 
-// Snapshot records of all jobs; the ranges of one job may be spread over several records.
-std::vector<Record> snapshot_of_all_jobs(const ClusterState& cluster_state, std::size_t most_items) {
-  std::vector<Record> out;
+// Snapshot records of all jobs; the snapshot of one job may consist of several records.
+std::vector<Record> snapshot_of_all_jobs(const ClusterState& cluster_state, std::size_t max_items) {
+  std::vector<Record> snapshots;
   for (std::uint32_t i = 0; i < cluster_state.job_count(); ++i) {
-    std::uint32_t from = 0;
+    std::uint32_t next_task = 0;
     do {
-      out.push_back(cluster_state.snapshot_record(JobIndex{i}, from, most_items));
-    } while (!cluster_state.is_snapshot_complete(JobIndex{i}, from));
+      snapshots.push_back(cluster_state.snapshot_record(JobIndex{i}, next_task, max_items));
+    } while (!cluster_state.is_snapshot_complete(JobIndex{i}, next_task));
   }
-  return out;
+  return snapshots;
 }
 
-// Snapshots of jobs are written behind the entries that they replace, and those are removed oldest first: however many were
-// removed when the leader ended, replaying the rest in order gives the same state.
+// Snapshots are written after the entries that they replace, which are then removed, oldest first. A leader may fail at any point of
+// this: replaying the remaining entries in order must give the same state.
 TEST(ClusterState, AnyLedgerSuffixWithSnapshotsRebuildsTheSameState) {
-  for (std::size_t most_items : {1, 3, 100}) {
-    ClusterState expected_state = fresh();
+  for (std::size_t max_items : {1, 3, 100}) {
+    ClusterState expected_state = new_cluster_state();
     const auto records = sample_records();
     for (const auto& record : records) expected_state.apply(record);
-    const auto snapshots = snapshot_of_all_jobs(expected_state, most_items);
+    const auto snapshots = snapshot_of_all_jobs(expected_state, max_items);
     for (std::size_t removed = 0; removed <= records.size(); ++removed) {
-      ClusterState state = fresh();
+      ClusterState state = new_cluster_state();
       for (std::size_t i = removed; i < records.size(); ++i) state.apply(records[i]);
       for (const auto& record : snapshots) state.apply(parse_entry(stored_entry({record})).records.at(0));
       for (const char* uid : {"j-1", "j-2", "j-3"}) {
@@ -107,24 +107,24 @@
   }
 }
 
-// A job continues, or ends, while its snapshot is written: the records between the parts of the snapshot count as well.
+// A job continues, or ends, while its snapshot is written: records between the parts of the snapshot must be applied as well.
 TEST(ClusterState, RecordsBetweenTheSnapshotRecordsOfAJobAreApplied) {
   for (const bool ends : {false, true}) {
-    ClusterState expected_state = fresh(), rebuilt = fresh();
+    ClusterState expected_state = new_cluster_state(), rebuilt = new_cluster_state();
     expected_state.apply(JobAcceptedRecord{submission("j-1", 6), 0.5, 1});
     expected_state.apply(TasksStartedRecord{"j-1", 1, 4, {{"m-1", 1, {{0, 3}}}, {"m-2", 1, {{3, 5}}}}});
     expected_state.apply(TasksCompletedRecord{"j-1", {{0, 1}, {2, 3}}});
     const auto apply_to_both = [&](const Record& record) { expected_state.apply(record), rebuilt.apply(record); };
-    std::uint32_t from = 0;
-    apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), from, 2));
-    ASSERT_FALSE(expected_state.is_snapshot_complete(expected_state.find("j-1"), from));
+    std::uint32_t next_task = 0;
+    apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), next_task, 2));
+    ASSERT_FALSE(expected_state.is_snapshot_complete(expected_state.find("j-1"), next_task));
     apply_to_both(TasksRemovedRecord{"j-1", 1, {{3, 4}}});
     apply_to_both(TasksCompletedRecord{"j-1", {{4, 5}}});
     apply_to_both(TasksStartedRecord{"j-1", 2, 9, {{"m-1", 1, {{3, 4}, {5, 6}}}}});
     if (ends) apply_to_both(TasksCompletedRecord{"j-1", {{1, 2}, {3, 4}, {5, 6}}});
-    while (!expected_state.is_snapshot_complete(expected_state.find("j-1"), from))
-      apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), from, 2));
-    if (ends) apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), from, 2));
+    while (!expected_state.is_snapshot_complete(expected_state.find("j-1"), next_task))
+      apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), next_task, 2));
+    if (ends) apply_to_both(expected_state.snapshot_record(expected_state.find("j-1"), next_task, 2));
     const Job& expected = expected_state.job(expected_state.find("j-1"));
     const Job& actual = rebuilt.job(rebuilt.find("j-1"));
     EXPECT_EQ(actual.status, expected.status);
@@ -136,10 +136,10 @@
   }
 }
 
-// A record that the key-value store refuses would end every leader in turn (found by a run with a large cluster): with
-// 2,500 tasks on 400 nodes, every second one done, each record is only a part of an entry.
+// A record that is too large for the key-value store would make every leader fail in turn (found in a run with a large cluster).
+// Snapshot records of a job with 2,500 tasks on 400 nodes, half of them done, must be much smaller than an entry.
 TEST(ClusterState, SnapshotRecordsOfALargeJobStaySmall) {
-  ClusterState state = fresh();
+  ClusterState state = new_cluster_state();
   state.apply(JobAcceptedRecord{submission("j-1", 2500), 0.5, 1});
   TasksStartedRecord start{"j-1", 1, 1793000000.123456, {}};
   for (std::uint32_t t = 0; t < 2500; ++t) start.assignments.push_back({"m-" + std::to_string(100000 + t % 400), 1, {{t, t + 1}}});
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,5 +1,5 @@
-// Jobs that depend on others: which are eligible, which are cancelled with another one, which urgency counts; and that every
-// replay of the ledger, however far it was compacted, gives the same state.
+// Job dependencies: eligibility, cancellation of dependents and inherited urgency. Every replay of the ledger must give the same
+// state, at any stage of compaction.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,16 +16,16 @@
 namespace thistlefront {
 namespace {
 
-JobSpec after(const std::string& uid, std::vector<std::string> names, std::uint32_t tasks = 2) {
-  JobSpec s = submission(uid, tasks, 1);
-  s.priority = Priority::idle;
-  s.depends_on = std::move(names);
-  return s;
+JobSpec job_with_dependencies(const std::string& uid, std::vector<std::string> dependencies, std::uint32_t tasks = 2) {
+  JobSpec spec = submission(uid, tasks, 1);
+  spec.priority = Priority::idle;
+  spec.depends_on = std::move(dependencies);
+  return spec;
 }
-JobAcceptedRecord accept(JobSpec s, double at) {
-  return {std::move(s), 0.5, at};
+JobAcceptedRecord accept_record(JobSpec spec, double accepted_at) {
+  return {std::move(spec), 0.5, accepted_at};
 }
-TasksStartedRecord start(const std::string& uid, std::uint64_t attempt, TaskRanges tasks, const std::string& node = "m-1") {
+TasksStartedRecord start_record(const std::string& uid, std::uint64_t attempt, TaskRanges tasks, const std::string& node = "m-1") {
   return {uid, attempt, 1, {{node, 1, std::move(tasks)}}};
 }
 const Job& job(const ClusterState& cluster_state, const std::string& uid) {
@@ -41,37 +41,38 @@
   return uids;
 }
 
-TEST(DependencyGraph, JobIsBlockedUntilTheLedgerHoldsTheEndsOfAllItsDependencies) {
+TEST(DependencyGraph, JobIsBlockedUntilAllItsDependenciesAreDone) {
   ClusterState cluster_state = fresh();
-  cluster_state.apply(accept(after("j-1", {}), 10));
-  cluster_state.apply(accept(after("j-2", {}), 11));
-  cluster_state.apply(accept(after("j-3", {"j-1", "j-2"}), 12));
-  EXPECT_FALSE(is_live(cluster_state, "j-3")) << "neither planned, nor scaled out for, nor counted as pending";
-  // However a start came into the ledger, it has no effect.
-  cluster_state.apply(start("j-3", 1, {{0, 2}}));
+  cluster_state.apply(accept_record(job_with_dependencies("j-1", {}), 10));
+  cluster_state.apply(accept_record(job_with_dependencies("j-2", {}), 11));
+  cluster_state.apply(accept_record(job_with_dependencies("j-3", {"j-1", "j-2"}), 12));
+  EXPECT_FALSE(is_live(cluster_state, "j-3")) << "a live job would be planned, scaled out for and counted as pending";
+  // A start record of a blocked job has no effect.
+  cluster_state.apply(start_record("j-3", 1, {{0, 2}}));
   EXPECT_TRUE(job(cluster_state, "j-3").placed.empty());
-  cluster_state.apply(start("j-1", 1, {{0, 2}}));
-  cluster_state.apply(start("j-2", 1, {{0, 2}}));
+  cluster_state.apply(start_record("j-1", 1, {{0, 2}}));
+  cluster_state.apply(start_record("j-2", 1, {{0, 2}}));
   cluster_state.apply(TasksCompletedRecord{"j-1", {{0, 2}}, 20});
   cluster_state.apply(TasksCompletedRecord{"j-2", {{0, 1}}, 21});
-  EXPECT_TRUE(job(cluster_state, "j-3").blocked) << "one task of a dependency is left";
+  EXPECT_TRUE(job(cluster_state, "j-3").blocked) << "one task of a dependency is not done";
   cluster_state.apply(TasksCompletedRecord{"j-2", {{1, 2}}, 25});
   EXPECT_TRUE(is_live(cluster_state, "j-3"));
-  EXPECT_EQ(job(cluster_state, "j-3").eligible_since, 25) << "its waiting time counts from the end of its last dependency";
+  EXPECT_EQ(job(cluster_state, "j-3").eligible_since, 25) << "the waiting time starts when the last dependency is done";
   EXPECT_EQ(job(cluster_state, "j-3").accepted_at, 12);
-  cluster_state.apply(start("j-3", 2, {{0, 2}}));
+  cluster_state.apply(start_record("j-3", 2, {{0, 2}}));
   EXPECT_EQ(job(cluster_state, "j-3").placed.size(), 2u);
 }
 
-// One record cancels the whole chain, however deep; and what is done stays done.
+// One record cancels the whole chain of dependents; done jobs stay done.
 TEST(DependencyGraph, CancellingAJobCancelsAllItsDependentsAndNothingElse) {
   constexpr int kDepth = 20000;
   ClusterState cluster_state = fresh();
-  cluster_state.apply(accept(after("j-0", {}), 1));
-  cluster_state.apply(accept(after("j-900000", {}), 1));
-  for (int i = 1; i <= kDepth; ++i) cluster_state.apply(accept(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}), 2));
-  cluster_state.apply(accept(after("j-900001", {"j-0", "j-900000"}), 3));
-  cluster_state.apply(accept(after("j-900002", {"j-900000"}), 3));
+  cluster_state.apply(accept_record(job_with_dependencies("j-0", {}), 1));
+  cluster_state.apply(accept_record(job_with_dependencies("j-900000", {}), 1));
+  for (int i = 1; i <= kDepth; ++i)
+    cluster_state.apply(accept_record(job_with_dependencies("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}), 2));
+  cluster_state.apply(accept_record(job_with_dependencies("j-900001", {"j-0", "j-900000"}), 3));
+  cluster_state.apply(accept_record(job_with_dependencies("j-900002", {"j-900000"}), 3));
   EXPECT_EQ(cluster_state.dependency_graph().counts().blocked, kDepth + 2u);
   cluster_state.apply(JobCancelledRecord{"j-0"});
   for (const auto& uid : {std::string("j-1"), "j-" + std::to_string(kDepth), std::string("j-900001")})
@@ -79,58 +80,60 @@
   EXPECT_EQ(job(cluster_state, "j-900002").status, JobStatus::queued);
   EXPECT_EQ(cluster_state.dependency_graph().counts().blocked, 1u);
   EXPECT_EQ(cluster_state.dependency_graph().counts().cancelled, kDepth + 1u);
-  // A job accepted after a dependency was cancelled; and one accepted after its dependency was done.
-  cluster_state.apply(accept(after("j-900003", {"j-900000", "j-1"}), 4));
+  // A job accepted after one of its dependencies was cancelled, and later one whose dependency is already done.
+  cluster_state.apply(accept_record(job_with_dependencies("j-900003", {"j-900000", "j-1"}), 4));
   EXPECT_EQ(job(cluster_state, "j-900003").status, JobStatus::cancelled);
-  cluster_state.apply(start("j-900000", 1, {{0, 2}}));
+  cluster_state.apply(start_record("j-900000", 1, {{0, 2}}));
   cluster_state.apply(TasksCompletedRecord{"j-900000", {{0, 2}}, 30});
   EXPECT_EQ(job(cluster_state, "j-900002").eligible_since, 30);
   cluster_state.apply(JobCancelledRecord{"j-900000"});
   EXPECT_EQ(job(cluster_state, "j-900002").status, JobStatus::queued) << "its dependency is done, so it is not cancelled";
-  cluster_state.apply(accept(after("j-900004", {"j-900000"}), 40));
+  cluster_state.apply(accept_record(job_with_dependencies("j-900004", {"j-900000"}), 40));
   EXPECT_TRUE(is_live(cluster_state, "j-900004"));
   EXPECT_EQ(job(cluster_state, "j-900004").eligible_since, 40);
 }
 
 TEST(DependencyGraph, PriorityAndDeadlinePropagateToAllDependencies) {
   ClusterState cluster_state = fresh();
-  auto last = after("j-4", {"j-2", "j-3"});
+  auto last = job_with_dependencies("j-4", {"j-2", "j-3"});
   last.priority = Priority::high;
   last.deadline_s = 100;
   last.estimated_run_s = 8;
-  cluster_state.apply(accept(after("j-1", {}), 10));
-  cluster_state.apply(accept(after("j-2", {"j-1"}), 11));
-  auto longer = after("j-3", {"j-1"});
+  cluster_state.apply(accept_record(job_with_dependencies("j-1", {}), 10));
+  cluster_state.apply(accept_record(job_with_dependencies("j-2", {"j-1"}), 11));
+  auto longer = job_with_dependencies("j-3", {"j-1"});
   longer.estimated_run_s = 30;
-  cluster_state.apply(accept(longer, 11));
+  cluster_state.apply(accept_record(longer, 11));
   EXPECT_EQ(job(cluster_state, "j-1").urgency, Urgency{});
-  cluster_state.apply(accept(last, 12));
+  cluster_state.apply(accept_record(last, 12));
   EXPECT_EQ(job(cluster_state, "j-4").urgency, (Urgency{Priority::high, 112}));
   EXPECT_EQ(job(cluster_state, "j-3").urgency, (Urgency{Priority::high, 104}));
-  EXPECT_EQ(job(cluster_state, "j-1").urgency, (Urgency{Priority::high, 74})) << "less the run times on the longest path to the last job";
+  EXPECT_EQ(job(cluster_state, "j-1").urgency, (Urgency{Priority::high, 74}))
+      << "earlier by the run times on the longest path to the last job";
   cluster_state.apply(JobCancelledRecord{"j-4"});
-  EXPECT_EQ(job(cluster_state, "j-1").urgency, Urgency{}) << "nothing urgent depends on it any more";
+  EXPECT_EQ(job(cluster_state, "j-1").urgency, Urgency{}) << "its urgent dependent was cancelled";
 }
 
 TEST(DependencyGraph, RejectsUnknownJobsServicesAndTheJobItselfAsDependencies) {
   ClusterState cluster_state = fresh();
-  auto service = after("j-1", {});
+  auto service = job_with_dependencies("j-1", {});
   service.job_type = JobType::service;
-  cluster_state.apply(accept(service, 1));
-  cluster_state.apply(accept(after("j-2", {}), 1));
-  EXPECT_EQ(cluster_state.dependency_rejection_reason(after("j-9", {"j-2"})), std::nullopt);
-  EXPECT_NE(cluster_state.dependency_rejection_reason(after("j-9", {"j-1"})), std::nullopt);
-  EXPECT_NE(cluster_state.dependency_rejection_reason(after("j-9", {"j-3"})), std::nullopt);
-  EXPECT_NE(cluster_state.dependency_rejection_reason(after("j-9", {"j-2", "j-9"})), std::nullopt);
-  // Also when it ended long ago and is read from the record of ended jobs.
+  cluster_state.apply(accept_record(service, 1));
+  cluster_state.apply(accept_record(job_with_dependencies("j-2", {}), 1));
+  EXPECT_EQ(cluster_state.dependency_rejection_reason(job_with_dependencies("j-9", {"j-2"})), std::nullopt);
+  EXPECT_NE(cluster_state.dependency_rejection_reason(job_with_dependencies("j-9", {"j-1"})), std::nullopt);
+  EXPECT_NE(cluster_state.dependency_rejection_reason(job_with_dependencies("j-9", {"j-3"})), std::nullopt);
+  EXPECT_NE(cluster_state.dependency_rejection_reason(job_with_dependencies("j-9", {"j-2", "j-9"})), std::nullopt);
+  // A service is also rejected after it has ended and was replayed from the record of ended jobs.
   cluster_state.apply(JobCancelledRecord{"j-1"});
-  std::uint32_t from = 0;
-  ClusterState later = fresh();
-  later.apply(parse_entry(stored_entry({cluster_state.snapshot_record(cluster_state.find("j-1"), from, 9)}, {4, 0, 1, 0})).records.at(0));
-  EXPECT_NE(later.dependency_rejection_reason(after("j-9", {"j-1"})), std::nullopt);
+  std::uint32_t next_task = 0;
+  ClusterState replayed = fresh();
+  replayed.apply(
+      parse_entry(stored_entry({cluster_state.snapshot_record(cluster_state.find("j-1"), next_task, 9)}, {4, 0, 1, 0})).records.at(0));
+  EXPECT_NE(replayed.dependency_rejection_reason(job_with_dependencies("j-9", {"j-1"})), std::nullopt);
 }
 
-// Draws the records that a leader might write next: submissions of jobs that depend on earlier ones, starts, completions and
+// Random records as a leader might write them: submissions of jobs that depend on earlier ones, starts, completions and
 // cancellations.
 class RandomHistory {
  public:
@@ -142,19 +145,19 @@
     const double now = 1.5 * step;
     const auto& live = cluster_state.live();
     const JobIndex job_index = live.empty() ? JobIndex{} : live[below(live.size())];
-    if (!job_index.valid() || (live.size() < 8 && below(2) == 0)) return {accept(new_job(cluster_state, step), now)};
+    if (!job_index.valid() || (live.size() < 8 && below(2) == 0)) return {accept_record(new_job(cluster_state, step), now)};
     return continue_job(cluster_state, job_index, now);
   }
 
  private:
   JobSpec new_job(const ClusterState& cluster_state, int step) {
-    auto spec = after("j-" + std::to_string(1000 + step), {}, below(6) == 0 ? 300 : 1 + below(4));
+    auto spec = job_with_dependencies("j-" + std::to_string(1000 + step), {}, below(6) == 0 ? 300 : 1 + below(4));
     const std::size_t job_count = cluster_state.job_count();
     std::set<std::string> names;
     for (auto n = below(4); n > 0 && job_count > 0; --n) {
-      // Mostly recent ones, sometimes any.
-      const auto back = below(below(3) == 0 ? job_count : std::min<std::size_t>(job_count, 8));
-      names.insert(cluster_state.job(JobIndex{static_cast<std::uint32_t>(job_count) - 1 - back}).uid);
+      // Mostly recent jobs, sometimes any job.
+      const auto age = below(below(3) == 0 ? job_count : std::min<std::size_t>(job_count, 8));
+      names.insert(cluster_state.job(JobIndex{static_cast<std::uint32_t>(job_count) - 1 - age}).uid);
     }
     spec.depends_on.assign(names.begin(), names.end());
     if (below(3) == 0) {
@@ -191,10 +194,10 @@
   return count;
 }
 
-// Small entries, four changes a transaction, and jobs that depend on running, ended, cancelled and partly replayed ones. After
-// each commit a new leader replays the remaining ledger, in which a job may come before one that it depends on.
+// Small entries, four changes per transaction, and dependencies that are running, ended, cancelled or partially replayed. After each
+// commit a new leader replays the ledger, in which compaction may have moved a dependency after its dependents.
 TEST(DependencyGraph, EveryReplayOfTheLedgerGivesTheSameState) {
-  std::size_t reused = 0, eligible = 0, cancelled = 0, before_dependency = 0;
+  std::size_t reused = 0, steps_with_eligible = 0, steps_with_cancelled = 0, jobs_before_a_dependency = 0;
   for (unsigned seed = 1; seed <= 6; ++seed) {
     RandomHistory history(seed);
     const LedgerWriter::Limits limits{1843, 3, 4};
@@ -211,66 +214,66 @@
       EXPECT_EQ(replayed.dependency_graph().counts().unresolved_names, 0u);
       EXPECT_EQ(replayed.dependency_graph().counts().blocked, cluster_state.dependency_graph().counts().blocked);
       EXPECT_EQ(live_uids(replayed), live_uids(cluster_state)) << "seed " << seed;
-      before_dependency += count_jobs_before_a_dependency(replayed);
-      eligible += cluster_state.dependency_graph().counts().eligible > 0;
-      cancelled += cluster_state.dependency_graph().counts().cancelled > 0;
+      jobs_before_a_dependency += count_jobs_before_a_dependency(replayed);
+      steps_with_eligible += cluster_state.dependency_graph().counts().eligible > 0;
+      steps_with_cancelled += cluster_state.dependency_graph().counts().cancelled > 0;
       if (history.below(50) == 0) cluster_state = ledger.read(ledger.ledger_writer, 4);
     }
     reused += ledger.reused;
   }
-  EXPECT_GT(reused, 300u) << "the ledger was compacted all along, and what the compaction left over is not read";
-  EXPECT_GT(eligible, 500u);
-  EXPECT_GT(cancelled, 300u);
-  EXPECT_GT(before_dependency, 20u) << "some job came before one that it depends on";
+  EXPECT_GT(reused, 300u) << "compaction must run, and keys of entries that are not needed any more must be reused";
+  EXPECT_GT(steps_with_eligible, 500u);
+  EXPECT_GT(steps_with_cancelled, 300u);
+  EXPECT_GT(jobs_before_a_dependency, 20u) << "some jobs must be replayed before one of their dependencies";
 }
 
-// The largest record of each kind where the key-value store takes 2 KiB a value and 5 changes a transaction: each is split to
-// size or rejected on submission, and its snapshot records fit as well.
+// The largest record of each kind, with a key-value store that accepts values of 2 KiB and 5 changes per transaction: each record is
+// split or rejected on submission, and the snapshot records fit as well.
 TEST(DependencyGraph, LargestRecordOfEachKindFitsIntoSmallEntries) {
   const LedgerWriter::Limits limits{1843, 4, 5};
   ClusterState cluster_state = fresh(max_record_bytes(limits.value_bytes));
   Ledger ledger(limits);
   ledger.ledger_writer.set_format_version(4);
   const auto long_uid = [](int i) { return "j-" + std::string(26, '9') + std::to_string(1000 + i); };
-  for (int i = 0; i < 120; ++i) ledger.commit(cluster_state, {accept(after(long_uid(i), {}), 1)});
-  auto widest = after("j-1", {}, 4000);
+  for (int i = 0; i < 120; ++i) ledger.commit(cluster_state, {accept_record(job_with_dependencies(long_uid(i), {}), 1)});
+  auto widest = job_with_dependencies("j-1", {}, 4000);
   widest.job_class = std::string(200, 'c');
   widest.image = std::string(200, 'b');
-  ASSERT_TRUE(LedgerWriter::fits_in_entry(accept(widest, 1), limits.value_bytes));
-  ledger.commit(cluster_state, {accept(widest, 1)});
-  auto names = after("j-2", {});
-  while (LedgerWriter::fits_in_entry(accept(names, 1), limits.value_bytes))
-    names.depends_on.push_back(long_uid(static_cast<int>(names.depends_on.size())));
-  EXPECT_GT(names.depends_on.size(), 20u);
-  names.depends_on.pop_back();
-  ledger.commit(cluster_state, {accept(names, 1)});
+  ASSERT_TRUE(LedgerWriter::fits_in_entry(accept_record(widest, 1), limits.value_bytes));
+  ledger.commit(cluster_state, {accept_record(widest, 1)});
+  auto with_many_dependencies = job_with_dependencies("j-2", {});
+  while (LedgerWriter::fits_in_entry(accept_record(with_many_dependencies, 1), limits.value_bytes))
+    with_many_dependencies.depends_on.push_back(long_uid(static_cast<int>(with_many_dependencies.depends_on.size())));
+  EXPECT_GT(with_many_dependencies.depends_on.size(), 20u);
+  with_many_dependencies.depends_on.pop_back();
+  ledger.commit(cluster_state, {accept_record(with_many_dependencies, 1)});
   auto escaped = widest;
   escaped.image = std::string(200, '\1');
-  EXPECT_FALSE(LedgerWriter::fits_in_entry(accept(escaped, 1), limits.value_bytes)) << "rejected on submission";
+  EXPECT_FALSE(LedgerWriter::fits_in_entry(accept_record(escaped, 1), limits.value_bytes)) << "rejected on submission";
   // Tasks scattered over many nodes with long names.
-  TasksStartedRecord all{"j-1", 1, 1, {}};
+  TasksStartedRecord all_starts{"j-1", 1, 1, {}};
   for (std::uint32_t t = 0; t < 4000; t += 2)
-    all.assignments.push_back({"m-" + std::string(40, 'x') + std::to_string(t % 97), 12345678901234567890u, {{t, t + 1}}});
-  for (auto& r : split_by_size(all, cluster_state.record_bytes())) ledger.commit(cluster_state, {r});
+    all_starts.assignments.push_back({"m-" + std::string(40, 'x') + std::to_string(t % 97), 12345678901234567890u, {{t, t + 1}}});
+  for (auto& r : split_by_size(all_starts, cluster_state.record_bytes())) ledger.commit(cluster_state, {r});
   ASSERT_EQ(job(cluster_state, "j-1").placed.size(), 2000u);
-  std::vector<Record> ends;
+  std::vector<Record> removals;
   for (std::uint32_t h = 0; h < cluster_state.node_count(); ++h)
-    for (auto& r : evict_all_tasks(cluster_state, NodeIndex{h})) ends.push_back(std::move(r));
-  ledger.commit(cluster_state, ends);
+    for (auto& r : evict_all_tasks(cluster_state, NodeIndex{h})) removals.push_back(std::move(r));
+  ledger.commit(cluster_state, removals);
   EXPECT_TRUE(job(cluster_state, "j-1").placed.empty());
-  // Jobs that end while another one depends on them, and a team with a long name; then the compaction snapshots all of it.
+  // Jobs that end while another one depends on them, and a team with a long name; then compaction writes snapshots of all of them.
   for (int i = 0; i < 120; ++i) ledger.commit(cluster_state, {TasksCompletedRecord{long_uid(i), {{0, 2}}, 20.123456789 + i}});
   ledger.commit(cluster_state, {TeamQuotaRecord{std::string(200, 't'), TeamQuota{{1.0 / 3, 1.0 / 7, 0}, {1e9 / 3, 1e9 / 7, 0}},
                                                 TeamQuota{{1.0 / 3, 1.0 / 7, 0}, {1e9 / 3, 1e9 / 7, 0}}, true}});
-  for (int i = 0; i < 600; ++i) ledger.commit(cluster_state, {accept(after("j-7" + std::to_string(i), {}), 30)});
+  for (int i = 0; i < 600; ++i) ledger.commit(cluster_state, {accept_record(job_with_dependencies("j-7" + std::to_string(i), {}), 30)});
   EXPECT_GT(ledger.reused, 10u) << "the ledger was compacted";
   LedgerWriter new_writer;
   expect_same(ledger.read(new_writer, 4), cluster_state, 0);
 }
 
-// Ends of single tasks come by the hundred: those of one job are merged into one queued record, but never across another
-// record about that job.
-TEST(Queue, CompletionsOfAJobMergeUnlessAnotherRecordOfItIsBetween) {
+// Hundreds of completions of single tasks may be queued at once: those of one job are merged into one queued record, but never across
+// another record of that job.
+TEST(RecordQueue, CompletionsOfAJobAreMergedUnlessAnotherRecordOfTheJobIsBetween) {
   std::deque<QueuedRecord> queue;
   const auto put = [&](Record r) {
     if (!merge_completions(queue, r)) queue.push_back({std::move(r), 0});
@@ -283,7 +286,7 @@
   EXPECT_EQ(std::get<TasksCompletedRecord>(queue[0].record).completed_at, 21);
   put(JobCancelledRecord{"j-1"});
   put(TasksCompletedRecord{"j-1", {{9, 10}}});
-  EXPECT_EQ(queue.size(), 4u) << "a job that was cancelled before it was done stays cancelled";
+  EXPECT_EQ(queue.size(), 4u) << "a merge would complete the job before it was cancelled";
 }
 
 }  // namespace
--- a/tests/job_builders.hpp
+++ b/tests/job_builders.hpp
@@ -1,4 +1,4 @@
-// Jobs, cluster states and ledger entries that several tests start from.
+// Builders of jobs, cluster states and ledger entries for tests.
 #pragma once
 #include "cluster_state/cluster_state.hpp"
 #include "model/job.hpp"
@@ -19,7 +19,7 @@
   return spec;
 }
 
-// A cluster state with one team, red, with this limit of cores.
+// A cluster state with one team, "red", that has this limit of cores.
 inline ClusterState cluster_state_with_core_limit(double core_limit) {
   return ClusterState({Team{"red", {}, {core_limit, 0, 0}, {}}});
 }
@@ -28,7 +28,7 @@
   return encode_record(record, 1).text.size();
 }
 
-// A ledger entry with these records, as it is stored.
+// The stored form of a ledger entry with these records.
 inline std::string stored_entry(const std::vector<Record>& records, EntryHead head = {}) {
   std::string text;
   std::uint64_t digest = 0;
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages: what is taken, what is refused and by which field's name, and round trips.
+// Messages: accepted and rejected input, the field named in a rejection, and round trips.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -17,23 +17,23 @@
 namespace thistlefront {
 namespace {
 
-nlohmann::json good() {
+nlohmann::json valid_submission() {
   return {{"uid", "j-000412"}, {"jobClass", "train"}, {"owner", "vision"}, {"shape", "group"}, {"rank", "high"},
           {"pieces", 16},      {"cores", 8.0},        {"accelerators", 1}, {"ramGb", 64.0},    {"bundle", "img"},
           {"pullGb", 6.2},     {"hostKinds", {"g8"}}, {"yard", nullptr},   {"oneZone", true},  {"expectedS", 240.0}};
 }
 
-std::string refusal(const nlohmann::json& j) {
+std::string rejection_of(const nlohmann::json& submission) {
   try {
-    parse_submission(j.dump());
-    return "taken";
+    parse_submission(submission.dump());
+    return "accepted";
   } catch (const ProtocolError& e) {
     return e.what();
   }
 }
 
-TEST(JobSpec, UnknownFieldsAreIgnoredAndNullsAreOmissions) {
-  auto j = good();
+TEST(JobSpec, UnknownFieldsAreIgnoredAndNullFieldsCountAsMissing) {
+  auto j = valid_submission();
   j["later"] = {1, 2};
   j["dueS"] = nullptr;
   const auto s = parse_submission(j.dump());
@@ -42,53 +42,53 @@
   EXPECT_TRUE(s.zone.empty());
 }
 
-TEST(JobSpec, RefusalNamesTheField) {
+TEST(JobSpec, RejectionNamesTheField) {
   const std::pair<const char*, nlohmann::json> cases[] = {
       {"uid", "k-1"},      {"uid", "j-"},  {"uid", 7},     {"pieces", 0},    {"pieces", -1},     {"pieces", 1.5},
       {"pieces", 100001},  {"cores", -1},  {"cores", "8"}, {"cores", 1e300}, {"shape", "x"},     {"rank", nullptr},
       {"hostKinds", "g8"}, {"oneZone", 1}, {"owner", ""},  {"dueS", -3},     {"ramGb", nullptr}, {"hostKinds", nlohmann::json::array()}};
   for (const auto& [field, value] : cases) {
-    auto j = good();
+    auto j = valid_submission();
     j[field] = value;
-    EXPECT_EQ(refusal(j).rfind(std::string(field) + ": ", 0), 0u) << field << "=" << value << ": " << refusal(j);
+    EXPECT_EQ(rejection_of(j).rfind(std::string(field) + ": ", 0), 0u) << field << "=" << value << ": " << rejection_of(j);
   }
   EXPECT_THROW(parse_submission("{"), ProtocolError);
   EXPECT_THROW(parse_submission("[]"), ProtocolError);
   EXPECT_THROW(parse_submission("{\"cores\":1e999}"), ProtocolError);
 }
 
-TEST(Messages, AnErrorCarriesItsFieldAndReason) {
-  auto job = good();
+TEST(Messages, ProtocolErrorHasFieldAndReason) {
+  auto job = valid_submission();
   job["pieces"] = 0;
   try {
     parse_submission(job.dump());
-    FAIL() << "taken";
+    FAIL() << "accepted";
   } catch (const ProtocolError& e) {
     EXPECT_EQ(e.field(), "pieces");
     EXPECT_EQ(e.reason(), "not from 1 to 100000");
     EXPECT_STREQ(e.what(), "pieces: not from 1 to 100000");
   }
-  const ProtocolError of_the_whole("its check is wrong");
-  EXPECT_EQ(of_the_whole.field(), "");
-  EXPECT_EQ(of_the_whole.reason(), "its check is wrong");
-  EXPECT_STREQ(of_the_whole.what(), "its check is wrong");
+  const ProtocolError without_field("its check is wrong");
+  EXPECT_EQ(without_field.field(), "");
+  EXPECT_EQ(without_field.reason(), "its check is wrong");
+  EXPECT_STREQ(without_field.what(), "its check is wrong");
 }
 
-TEST(Messages, ASettingsErrorCarriesFileFieldAndReason) {
+TEST(Messages, SettingsErrorHasFileFieldAndReason) {
   try {
     load_settings("/nowhere/settings.toml");
-    FAIL() << "read";
+    FAIL() << "no error";
   } catch (const SettingsError& e) {
     EXPECT_EQ(e.file(), "/nowhere/settings.toml");
     EXPECT_EQ(e.field(), "");
     EXPECT_EQ(e.reason(), "cannot be read");
   }
-  const SettingsError of_a_field("a.toml", "deployment.state.rps", "missing");
-  EXPECT_EQ(of_a_field.field(), "deployment.state.rps");
-  EXPECT_STREQ(of_a_field.what(), "a.toml: deployment.state.rps: missing");
+  const SettingsError with_field("a.toml", "deployment.state.rps", "missing");
+  EXPECT_EQ(with_field.field(), "deployment.state.rps");
+  EXPECT_STREQ(with_field.what(), "a.toml: deployment.state.rps: missing");
 }
 
-TEST(Routes, PathsAndMethods) {
+TEST(Routes, PathAndMethodSelectTheRoute) {
   using Kind = UserRoute::Kind;
   EXPECT_EQ(route_of("POST", "/v1/jobs").kind, Kind::submit);
   EXPECT_EQ(route_of("GET", "/v1/jobs/j-1").uid, "j-1");
@@ -99,7 +99,7 @@
   EXPECT_EQ(route_of("GET", "/v1/jobs/j-1/else").kind, Kind::unknown);
 }
 
-TEST(Reports, MalformedOnesAreRefused) {
+TEST(Heartbeats, MalformedHeartbeatsAreRejected) {
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":3,)";
   const auto r = parse_heartbeat(head + R"("recallS":null,"pieces":[{"piece":"j-1/3","try":2,"status":"running"}]})");
   EXPECT_EQ(r.tasks.at(0).id.task, 3u);
@@ -112,7 +112,7 @@
     EXPECT_THROW(parse_heartbeat(head + rest), ProtocolError) << rest;
 }
 
-TEST(Reports, UnknownFieldsArePassedOverWhateverTheyHold) {
+TEST(Heartbeats, UnknownFieldsAreIgnoredWhateverTheyContain) {
   const auto r = parse_heartbeat(
       R"({"x":{"host":"no","pieces":[{"piece":"j-9/9"}]},"host":"m","address":"a","hostKind":"k","yard":"z","y":[[{}],3],)"
       R"("loaners":true,"tenure":1,"serial":2.0,"epoch":3,"recallS":4.5,"pieces":[{"z":{"try":9,"s":[1]},"piece":"j-1/3","try":2,)"
@@ -132,8 +132,8 @@
   EXPECT_THROW(parse_heartbeat("{"), ProtocolError);
 }
 
-TEST(Ledger, RecordsComeBackAsTheyWere) {
-  const auto s = parse_submission(good().dump());
+TEST(Ledger, RecordsSurviveARoundTrip) {
+  const auto s = parse_submission(valid_submission().dump());
   const std::vector<Record> records{JobAcceptedRecord{s, 0.25, 12.5},
                                     TasksStartedRecord{"j-000412", 3, 9.5, {{"m-1", 2, {{0, 4}, {6, 7}}}}},
                                     TasksCompletedRecord{"j-000412", {{0, 1}}}};
@@ -149,21 +149,22 @@
   EXPECT_THROW(parse_entry(R"({"seq":1,"records":[["start"]]})"), ProtocolError);
 }
 
-TEST(Frames, BoundsAreChecked) {
+TEST(Frames, TruncatedOrExtendedFramesAreRejected) {
   const Frame frame = pack(PeerCall{"GET", "/v1/jobs/j-1", "body"});
   const auto call = unpack_call(frame);
   ASSERT_TRUE(call);
   EXPECT_EQ(call->target, "/v1/jobs/j-1");
-  for (std::size_t cut = 0; cut < frame.payload.size(); ++cut) EXPECT_FALSE(unpack_call({frame.kind, frame.payload.substr(0, cut)})) << cut;
+  for (std::size_t length = 0; length < frame.payload.size(); ++length)
+    EXPECT_FALSE(unpack_call({frame.kind, frame.payload.substr(0, length)})) << length;
   EXPECT_FALSE(unpack_call({frame.kind, frame.payload + "x"}));
   EXPECT_FALSE(unpack_peer_heartbeat(frame));
 }
 
-TEST(Histograms, BucketsAreCumulativeAndKeepWhatIsBeyondTheLast) {
-  SecondsHistogram h;
-  for (const double s : {0.005, 0.005, 0.5, 5000.0}) h.add(s);
+TEST(Histograms, BucketsAreCumulativeAndTheInfinityBucketCountsAllValues) {
+  SecondsHistogram histogram;
+  for (const double seconds : {0.005, 0.005, 0.5, 5000.0}) histogram.add(seconds);
   std::string out;
-  h.print(out, "x", "class=\"c\"");
+  histogram.print(out, "x", "class=\"c\"");
   EXPECT_NE(out.find("x_bucket{class=\"c\",le=\"0.01\"} 2\n"), std::string::npos) << out;
   EXPECT_NE(out.find("x_bucket{class=\"c\",le=\"0.64\"} 3\n"), std::string::npos) << out;
   EXPECT_NE(out.find("x_bucket{class=\"c\",le=\"+Inf\"} 4\n"), std::string::npos) << out;
--- a/tests/quota_accounts_test.cpp
+++ b/tests/quota_accounts_test.cpp
@@ -1,5 +1,4 @@
-// Team quotas: which are in force while controllers' settings differ, what counts as used, and that the accounts agree with an
-// independent count.
+// Team quotas: quotas in force while controllers' settings differ, usage, and correction of accounts by an independent count.
 #include "cluster_state/quota_accounts.hpp"
 
 #include <gtest/gtest.h>
@@ -19,9 +18,9 @@
 TeamQuota quota(double guarantee, double limit) {
   return {{guarantee, 0, 0}, {limit, 0, 0}};
 }
-constexpr double kNone = 1e9;
+constexpr double kUnlimited = 1e9;
 
-// Controllers with their settings files, and the accounts that result from the ledger.
+// Controllers with their settings files, and the quota accounts that result from the ledger.
 class ControllerFleet {
  public:
   explicit ControllerFleet(std::vector<TeamQuotas> known_files) : quota_accounts({}) {
@@ -30,8 +29,8 @@
     for (const auto& [name, quota] : *files.begin()->second) teams.push_back({name, quota.guarantee, quota.limit});
     quota_accounts = QuotaAccounts(teams);
   }
-  // The leader's quota records are written and applied; after that it has none to write. Returns how many there were.
-  std::size_t agree(const std::string& leader) {
+  // Applies the quota records that this leader writes, and checks that it then has none left to write. Returns their number.
+  std::size_t write_quota_records(const std::string& leader) {
     const TeamQuotas own = files.at(leader).value_or(TeamQuotas{});
     const auto records = next_quota_records(quota_accounts, own, files);
     for (const auto& record : records) quota_accounts.apply_record(record);
@@ -40,7 +39,7 @@
   }
   double limit(const std::string& team) const { return quota_accounts.team(quota_accounts.find(team)).limit.cores; }
   double guarantee(const std::string& team) const { return quota_accounts.team(quota_accounts.find(team)).guarantee.cores; }
-  bool open(const std::string& team) const {
+  bool accepts_jobs(const std::string& team) const {
     return quota_accounts.find(team).valid() && quota_accounts.accepts_jobs(quota_accounts.find(team));
   }
 
@@ -48,94 +47,94 @@
   std::map<std::string, std::optional<TeamQuotas>> files;
 };
 
-// A file is rolled out controller by controller: whoever leads, the lower limit and the higher guarantee are in force until
-// all have the file.
-TEST(QuotaAgreement, ChangedLimitNarrowsUntilAllControllersHaveIt) {
-  const TeamQuotas old{{"red", quota(8, 16)}};
+// A settings file is rolled out controller by controller. Whichever controller leads, the lower limit and the higher guarantee are in
+// force until all have the new file.
+TEST(QuotaAgreement, StricterQuotaIsInForceUntilAllControllersHaveTheChange) {
+  const TeamQuotas initial{{"red", quota(8, 16)}};
   for (const double changed : {10.0, 24.0}) {
-    ControllerFleet fleet({old, old, old});
-    fleet.agree("host-0");
+    ControllerFleet fleet({initial, initial, initial});
+    fleet.write_quota_records("host-0");
     for (const auto* next : {"host-1", "host-2"}) {
       fleet.files[next] = TeamQuotas{{"red", quota(12, changed)}};
       for (const auto* leader : {"host-0", "host-1", "host-2"}) {
-        fleet.agree(leader);
+        fleet.write_quota_records(leader);
         EXPECT_EQ(fleet.limit("red"), std::min(16.0, changed)) << leader;
-        EXPECT_EQ(fleet.guarantee("red"), std::min(12.0, changed)) << leader << ": as far as the limit allows";
+        EXPECT_EQ(fleet.guarantee("red"), std::min(12.0, changed)) << leader << ": capped at the limit";
       }
     }
     fleet.files["host-0"] = fleet.files["host-1"];
-    fleet.agree("host-0");
+    fleet.write_quota_records("host-0");
     EXPECT_EQ(fleet.limit("red"), changed);
     EXPECT_EQ(fleet.quota_accounts.changing_team(), std::nullopt);
   }
 }
 
-TEST(QuotaAgreement, RevertedChangeNoLongerNarrows) {
-  const TeamQuotas old{{"red", quota(8, 16)}};
-  ControllerFleet fleet({old, old, old});
-  fleet.agree("host-0");
+TEST(QuotaAgreement, RevertedChangeNoLongerNarrowsTheQuota) {
+  const TeamQuotas initial{{"red", quota(8, 16)}};
+  ControllerFleet fleet({initial, initial, initial});
+  fleet.write_quota_records("host-0");
   fleet.files["host-2"] = TeamQuotas{{"red", quota(8, 4)}};
-  fleet.agree("host-1");
+  fleet.write_quota_records("host-1");
   EXPECT_EQ(fleet.limit("red"), 4);
-  // Its controller is unreachable and may still have the changed file.
+  // host-2 is unreachable and may still have the changed file.
   fleet.files["host-2"] = std::nullopt;
-  EXPECT_EQ(fleet.agree("host-0"), 0u);
+  EXPECT_EQ(fleet.write_quota_records("host-0"), 0u);
   EXPECT_EQ(fleet.limit("red"), 4);
-  fleet.files["host-2"] = old;
-  fleet.agree("host-0");
+  fleet.files["host-2"] = initial;
+  fleet.write_quota_records("host-0");
   EXPECT_EQ(fleet.limit("red"), 16);
 }
 
-TEST(QuotaAgreement, AddedAndRemovedTeams) {
-  const TeamQuotas old{{"red", quota(8, 16)}, {"blue", quota(0, 6)}};
-  ControllerFleet fleet({old, old, old});
-  fleet.agree("host-0");
-  // One controller's file loses blue and gains green: blue is unchanged, and green may use what that file gives it.
+TEST(QuotaAgreement, AddedTeamIsAcceptedAtOnceAndRemovedTeamKeepsItsLimit) {
+  const TeamQuotas initial{{"red", quota(8, 16)}, {"blue", quota(0, 6)}};
+  ControllerFleet fleet({initial, initial, initial});
+  fleet.write_quota_records("host-0");
+  // One controller's file removes blue and adds green: blue is unchanged, and green has the quota of that file.
   const TeamQuotas changed{{"red", quota(8, 16)}, {"green", quota(2, 5)}};
   fleet.files["host-1"] = changed;
-  fleet.agree("host-0");
-  EXPECT_TRUE(fleet.open("blue"));
+  fleet.write_quota_records("host-0");
+  EXPECT_TRUE(fleet.accepts_jobs("blue"));
   EXPECT_EQ(fleet.limit("blue"), 6);
-  EXPECT_TRUE(fleet.open("green"));
+  EXPECT_TRUE(fleet.accepts_jobs("green"));
   EXPECT_EQ(fleet.limit("green"), 5);
   fleet.files["host-0"] = fleet.files["host-2"] = changed;
-  fleet.agree("host-2");
-  EXPECT_FALSE(fleet.open("blue")) << "no more jobs are accepted";
-  EXPECT_EQ(fleet.limit("blue"), 6) << "its last limit stays for the jobs that it has";
-  EXPECT_TRUE(fleet.open("green"));
-  // Blue comes back with another limit: the lower one is in force until all have it.
+  fleet.write_quota_records("host-2");
+  EXPECT_FALSE(fleet.accepts_jobs("blue")) << "no new jobs are accepted";
+  EXPECT_EQ(fleet.limit("blue"), 6) << "its existing jobs keep the last limit";
+  EXPECT_TRUE(fleet.accepts_jobs("green"));
+  // Blue is added again with a higher limit: the lower one is in force until all files have the change.
   fleet.files["host-0"] = TeamQuotas{{"red", quota(8, 16)}, {"green", quota(2, 5)}, {"blue", quota(0, 9)}};
-  fleet.agree("host-0");
+  fleet.write_quota_records("host-0");
   EXPECT_EQ(fleet.limit("blue"), 6);
   fleet.files["host-1"] = fleet.files["host-2"] = fleet.files["host-0"];
-  fleet.agree("host-1");
-  EXPECT_TRUE(fleet.open("blue"));
+  fleet.write_quota_records("host-1");
+  EXPECT_TRUE(fleet.accepts_jobs("blue"));
   EXPECT_EQ(fleet.limit("blue"), 9);
 }
 
-TEST(QuotaAgreement, NoLimitCountsAsTheHighestLimit) {
+TEST(QuotaAgreement, MissingLimitIsHigherThanAnyLimit) {
   EXPECT_EQ(stricter_quota(quota(3, 0), quota(5, 4)), quota(4, 4));
   EXPECT_EQ(stricter_quota(quota(3, 0), quota(5, 0)), quota(5, 0));
   ControllerFleet fleet({{{"red", quota(1, 0)}}, {{"red", quota(1, 7)}}});
-  fleet.agree("host-0");
+  fleet.write_quota_records("host-0");
   EXPECT_EQ(fleet.limit("red"), 7);
 }
 
-// Random sequences of changed files, unknown files and changing leaders: the limit in force is never above the agreed one, nor
-// above that of any file known when the leader last decided.
-TEST(QuotaAgreement, LimitInForceIsNeverAboveAnyKnownFile) {
+// Random sequences of changed files, unknown files and leader changes: the limit in force is never above the agreed one, nor above
+// that of any file known at the leader's latest decision.
+TEST(QuotaAgreement, LimitInForceIsNeverAboveThatOfAnyKnownFile) {
   const std::vector<std::optional<TeamQuotas>> choices{TeamQuotas{{"red", quota(2, 10)}}, TeamQuotas{{"red", quota(4, 6)}},
                                                        TeamQuotas{{"red", quota(1, 14)}}, TeamQuotas{}, std::nullopt};
   std::mt19937 random(3);
   for (int run = 0; run < 300; ++run) {
     ControllerFleet fleet({*choices[0], *choices[0], *choices[0]});
-    fleet.agree("host-0");
+    fleet.write_quota_records("host-0");
     for (int step = 0; step < 30; ++step) {
       const auto controller = "host-" + std::to_string(random() % 3);
       fleet.files[controller] = choices[random() % choices.size()];
       const auto leader = "host-" + std::to_string(random() % 3);
       if (!fleet.files[leader]) continue;
-      fleet.agree(leader);
+      fleet.write_quota_records(leader);
       const auto& record = *fleet.quota_accounts.team(fleet.quota_accounts.find("red")).record;
       for (const auto& [label, file] : fleet.files)
         if (file && file->contains("red")) {
@@ -149,7 +148,7 @@
   }
 }
 
-// Once, such a team had no account, and the planner let any number of its tasks start.
+// Guards against teams without an account: the planner started any number of their tasks.
 TEST(QuotaAccounts, JobsOfATeamWithoutQuotaDoNotStart) {
   ClusterState cluster_state = cluster_state_with_core_limit(4);
   auto blue = submission("j-1", 3, 1);
@@ -157,16 +156,16 @@
   cluster_state.apply(JobAcceptedRecord{blue, 0.5, 1});
   const Job& job = cluster_state.job(cluster_state.find("j-1"));
   ASSERT_TRUE(job.team.valid());
-  EXPECT_LT(cluster_state.quota_accounts().headroom(job.team, kNone).cores, 0);
+  EXPECT_LT(cluster_state.quota_accounts().headroom(job.team, kUnlimited).cores, 0);
   EXPECT_FALSE(cluster_state.quota_accounts().accepts_jobs(job.team));
   EXPECT_TRUE(cluster_state.rejection_reason(blue).has_value());
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(cluster_state.quota_accounts().find("red"), kNone).cores, 4);
-  // A quota from the ledger comes into force, and its jobs may start.
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(cluster_state.quota_accounts().find("red"), kUnlimited).cores, 4);
+  // When a quota from the ledger comes into force, the team's jobs may start.
   cluster_state.apply(TeamQuotaRecord{"blue", quota(0, 2), std::nullopt, false});
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(job.team, kNone).cores, 2);
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(job.team, kUnlimited).cores, 2);
 }
 
-// A limit of 4 cores, and one task of one core that runs on m-1.
+// A team with a limit of 4 cores, and one running task of one core on m-1.
 struct OneRunningTask {
   OneRunningTask() {
     cluster_state.apply(JobAcceptedRecord{submission("j-1", 3, 1), 0.5, 1});
@@ -189,40 +188,41 @@
   auto& [cluster_state, job, node, red] = scenario;
   cluster_state.node(node).agent.tasks = {{{job, 0}, 1, TaskPhase::running, ""}};
   cluster_state.recount_unplaced_usage();
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 3);
-  // A task without a placement: usage is never underestimated.
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kUnlimited).cores, 3);
+  // A reported task without a placement is added, so that usage is not underestimated.
   cluster_state.node(node).agent.tasks.push_back({{job, 1}, 1, TaskPhase::running, ""});
   cluster_state.recount_unplaced_usage();
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2);
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kUnlimited).cores, 2);
   cluster_state.node(node).agent.tasks.back().phase = TaskPhase::exited;
   cluster_state.recount_unplaced_usage();
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 3);
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kUnlimited).cores, 3);
 }
 
-// Found in review: as many tasks of the agent's earlier incarnation hid the ones that it runs now.
-TEST(QuotaAccounts, TasksOfAnEarlierIncarnationDoNotHideRunningOnes) {
+// Guards against placements of the agent's earlier incarnation hiding the same number of unplaced tasks that run now.
+TEST(QuotaAccounts, TasksOfAnEarlierIncarnationDoNotHideUnplacedRunningTasks) {
   OneRunningTask scenario;
   auto& [cluster_state, job, node, red] = scenario;
   cluster_state.node(node).agent.incarnation = 2;
   cluster_state.node(node).agent.tasks = {{{job, 1}, 1, TaskPhase::running, ""}};
   cluster_state.recount_unplaced_usage();
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2) << "the end of the earlier one is not in the ledger yet";
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kUnlimited).cores, 2)
+      << "the removal of the earlier task is not in the ledger yet";
   cluster_state.node(node).agent.incarnation = 1;
   scenario.placed().removal_pending = true;
   cluster_state.recount_unplaced_usage();
-  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kNone).cores, 2) << "nor is this one";
+  EXPECT_EQ(cluster_state.quota_accounts().headroom(red, kUnlimited).cores, 2) << "the removal of the placed task is pending";
 }
 
-// The order of a team's jobs is the ledger's, whatever the clock of the controller that accepted them.
+// A team's jobs are ordered as in the ledger, despite clock skew between the controllers that accepted them.
 TEST(QuotaAccounts, AcceptanceTimesFollowTheOrderOfTheLedger) {
   ClusterState cluster_state = cluster_state_with_core_limit(4);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 1, 1), 0.5, 100.02});
-  EXPECT_GT(cluster_state.next_acceptance_time(100.0, 0.025), 100.02) << "a clock that is slow within the bound on skew";
+  EXPECT_GT(cluster_state.next_acceptance_time(100.0, 0.025), 100.02) << "a clock that is slow within the maximum skew";
   EXPECT_EQ(cluster_state.next_acceptance_time(100.5, 0.025), 100.5);
-  EXPECT_EQ(cluster_state.next_acceptance_time(50, 0.025), 50) << "a clock that was once far ahead does not shift all later times";
+  EXPECT_EQ(cluster_state.next_acceptance_time(50, 0.025), 50) << "a clock that was far ahead does not affect all later times";
 }
 
-TEST(QuotaAccounts, PendingSummaryNamesTheReason) {
+TEST(QuotaAccounts, PendingSummaryShowsTheReason) {
   ClusterState cluster_state({Team{"red", {}, {2, 0, 0}}, Team{"blue", {}, {0, 0, 0}}});
   const auto accept = [&](const std::string& uid, const std::string& team, std::uint32_t tasks, double at) {
     auto spec = submission(uid, tasks, 1);
@@ -247,8 +247,8 @@
   EXPECT_EQ(line(2), "red 2 limit 0");
 }
 
-// The larger amount is kept, and the team is returned.
-TEST(QuotaAccounts, AccountBelowThePlacedUsageIsCorrected) {
+// The account is raised to the placed usage, and the team is reported. Accounts above it are reported but not lowered.
+TEST(QuotaAccounts, AccountBelowThePlacedUsageIsRaised) {
   ClusterState cluster_state = cluster_state_with_core_limit(10);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 3, 1), 0.5, 1});
   cluster_state.apply(TasksStartedRecord{"j-1", 1, 2, {{"m-1", 1, {{0, 3}}}}});
--- a/tests/service_level_counters_test.cpp
+++ b/tests/service_level_counters_test.cpp
@@ -1,4 +1,4 @@
-// Service level counters: each event of a job is counted once, by the leader that wrote its record.
+// Service level counters: each job event is counted once, by the leader that wrote its record.
 #include "cluster_state/service_level_counters.hpp"
 
 #include <gtest/gtest.h>
@@ -13,26 +13,26 @@
 namespace {
 
 JobSpec job_with_deadline(const std::string& uid, double deadline_s, const std::string& job_class = "c") {
-  auto s = submission(uid, 2, 1);
-  s.job_class = job_class;
-  s.deadline_s = deadline_s;
-  return s;
+  auto spec = submission(uid, 2, 1);
+  spec.job_class = job_class;
+  spec.deadline_s = deadline_s;
+  return spec;
 }
 
 struct Leader {
   ClusterState cluster_state = cluster_state_with_core_limit(100);
   ServiceLevelCounters counters{{"c", "web"}};
-  void write(const Record& record, double wall) {
+  void write(const Record& record, double wall_s) {
     counters.before_apply(record, cluster_state);
     cluster_state.apply(record);
-    counters.after_apply(record, cluster_state, wall);
+    counters.after_apply(record, cluster_state, wall_s);
   }
 };
 
-TEST(ServiceLevelCounters, CountsStartsOnceCompletionsByDeadlineAndWithdrawals) {
+TEST(ServiceLevelCounters, CountsStartsCompletionsDeadlinesAndWithdrawalsOnce) {
   Leader leader;
   for (const auto* uid : {"j-1", "j-2", "j-3"}) leader.write(JobAcceptedRecord{job_with_deadline(uid, 50), 0.5, 100}, 100);
-  leader.write(JobAcceptedRecord{job_with_deadline("j-1", 50), 0.5, 100}, 101);  // a duplicate changes nothing
+  leader.write(JobAcceptedRecord{job_with_deadline("j-1", 50), 0.5, 100}, 101);  // a duplicate is not counted
   leader.write(JobAcceptedRecord{job_with_deadline("j-4", 50, "unheard-of"), 0.5, 100}, 101);
   leader.write(TasksStartedRecord{"j-1", 1, 110, {{"m-1", 1, {{0, 2}}}}}, 110);
   leader.write(TasksRemovedRecord{"j-1", 1, {{1, 2}}}, 115);
@@ -48,7 +48,7 @@
             (std::map<ServiceLevelCounters::Key, ServiceLevelCounters::Counts>{{{"red", "c"}, class_c}, {{"red", "other"}, other}}));
 }
 
-// The next leader replays the records of the one before, counts none of them, and continues: the sum covers every event.
+// After a failover, the next leader replays the records of the previous one without counting them: the sum counts every event once.
 TEST(ServiceLevelCounters, CountsOfBothLeadersAddUpOverAFailover) {
   Leader first;
   const std::vector<Record> written{JobAcceptedRecord{job_with_deadline("j-1", 50), 0.5, 100},
@@ -67,7 +67,7 @@
   EXPECT_EQ(second_counts.done_in_time, 1u);
 }
 
-TEST(ServiceLevelCounters, ReplicaTimeCountsOnlyRunningReplicas) {
+TEST(ServiceLevelCounters, ReplicaTimeIsCountedForRequestedAndRunningReplicas) {
   Leader leader;
   auto web = submission("j-1", 4, 1);
   web.job_type = JobType::service;
@@ -83,21 +83,21 @@
   EXPECT_DOUBLE_EQ(counts.replica_running_s, 2);
 }
 
-// By the recent submissions of the class: a large gang among small ones is large, and none is where all are alike.
+// A job is large compared with recent submissions of its class; none is large where all have the same size.
 TEST(JobSizeRanking, ComparesWithRecentJobsOfTheClass) {
-  const JobClassIndex gangs{0}, alike{1};
+  const JobClassIndex mixed_sizes{0}, equal_sizes{1};
   JobSizeRanking ranking;
-  EXPECT_FALSE(ranking.is_among_largest(gangs, 8));
+  EXPECT_FALSE(ranking.is_among_largest(mixed_sizes, 8));
   for (int i = 0; i < 40; ++i) {
-    ranking.record(gangs, i % 5 == 0 ? 8 : 1);
-    ranking.record(alike, 3);
+    ranking.record(mixed_sizes, i % 5 == 0 ? 8 : 1);
+    ranking.record(equal_sizes, 3);
   }
-  EXPECT_TRUE(ranking.is_among_largest(gangs, 8));
-  EXPECT_FALSE(ranking.is_among_largest(gangs, 1));
-  EXPECT_FALSE(ranking.is_among_largest(alike, 3));
-  for (int i = 0; i < 64; ++i) ranking.record(gangs, 8);
-  EXPECT_FALSE(ranking.is_among_largest(gangs, 8)) << "the small ones are no longer recent";
-  EXPECT_TRUE(ranking.is_among_largest(gangs, 16));
+  EXPECT_TRUE(ranking.is_among_largest(mixed_sizes, 8));
+  EXPECT_FALSE(ranking.is_among_largest(mixed_sizes, 1));
+  EXPECT_FALSE(ranking.is_among_largest(equal_sizes, 3));
+  for (int i = 0; i < 64; ++i) ranking.record(mixed_sizes, 8);
+  EXPECT_FALSE(ranking.is_among_largest(mixed_sizes, 8)) << "the small jobs are no longer recent";
+  EXPECT_TRUE(ranking.is_among_largest(mixed_sizes, 16));
 
   ClusterState cluster_state = cluster_state_with_core_limit(100);
   ServiceLevelCounters counters({"c"});
@@ -114,7 +114,7 @@
   const auto& counts = counters.counts().begin()->second;
   EXPECT_EQ(counts.started, 3u);
   EXPECT_EQ(counts.largest_started, 2u);
-  EXPECT_EQ(counts.largest_started_in_time, 1u) << "the other started later than four minutes";
+  EXPECT_EQ(counts.largest_started_in_time, 1u) << "the other one started after more than four minutes";
 }
 
 }  // namespace
