--- a/src/controller/agent_messages.cpp
+++ b/src/controller/agent_messages.cpp
@@ -19,11 +19,11 @@
   const bool is_heartbeat = kind == MessageKind::heartbeat;
   ClusterState& cluster_state = *shared_.term->cluster_state;
   log_incarnation_change(report);
-  observe_responsiveness(cluster_state.node(cluster_state.find_or_add_node(report.node)), report, kind, now.steady);
+  observe_responsiveness(cluster_state.node(cluster_state.find_or_add_node(report.node)), report, kind, now.steady_s);
   auto outcome = apply_heartbeat(cluster_state, report, now, is_heartbeat, shared_.term->takeover_token);
   if (outcome.stale) return false;
   if (outcome.records.empty()) {
-    if (outcome.changed) shared_.request_pass();
+    if (outcome.needs_scheduling_pass) shared_.request_pass();
     return true;
   }
   // With records, the pass comes when they are in the ledger. Completions can wait a moment for company; the others wait for
@@ -52,7 +52,7 @@
 
 void AgentMessages::observe_responsiveness(Node& node, const Heartbeat& report, MessageKind kind, double steady) {
   const bool was_unresponsive = node.agent.unresponsive_since > 0;
-  observe_message(node, report, kind == MessageKind::heartbeat, steady, shared_.config.settings.lease_s);
+  track_responsiveness(node, report, kind == MessageKind::heartbeat, steady, shared_.config.settings.lease_s);
   const bool unresponsive = node.agent.unresponsive_since > 0;
   if (unresponsive == was_unresponsive) return;
   if (unresponsive) {
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -30,8 +30,8 @@
   });
 }
 
-void CommandSender::enqueue(NodeIndex node, bool announce) {
-  queue_.enqueue(node, announce, steady_now());
+void CommandSender::enqueue(NodeIndex node, bool announce_leader) {
+  queue_.enqueue(node, announce_leader, steady_now());
   assign_slots();
 }
 
@@ -130,7 +130,7 @@
   const Node& node = term.cluster_state->node(item.node);
   if (node.terminated || node.address.empty()) return std::nullopt;
   const auto commands = agent_messages_.due_commands(item.node);
-  if (commands.empty() && !(item.announce && shared_.may_decide())) return std::nullopt;
+  if (commands.empty() && !(item.announce_leader && shared_.may_decide())) return std::nullopt;
   Request request;
   request.node = item.node;
   request.fencing_token = term.fencing_token;
--- a/src/controller/command_sender.hpp
+++ b/src/controller/command_sender.hpp
@@ -27,8 +27,8 @@
   CommandSender(const CommandSender&) = delete;
   CommandSender& operator=(const CommandSender&) = delete;
 
-  // Commands are due on the node. `announce`: it is told of this leader's fencing token even if there are none.
-  void enqueue(NodeIndex node, bool announce = false);
+  // Commands are due on the node. `announce_leader`: it is told of this leader's fencing token even if there are none.
+  void enqueue(NodeIndex node, bool announce_leader = false);
   // The same for all nodes that hold tasks of the job.
   void enqueue_for(const Job& job);
   void stop();
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -66,7 +66,7 @@
 // Cut off with its zone, the agent reaches the leader no more than this controller does. Redirected there all the same, 120 to
 // 151 of some 400 lost their lease in a partition of 47 s.
 std::optional<HttpReply> HeartbeatHandler::await_partition_lease(Lock& lock, const Heartbeat& heartbeat, double now) {
-  const bool may_renew = heartbeat.zone == shared_.config.settings.site && shared_.partition_lease.is_granted(now);
+  const bool may_renew = heartbeat.zone == shared_.config.settings.site && shared_.partition_lease.is_unexpired(now);
   while (may_renew && relay_.is_cut_off() && shared_.role == Role::follower && steady_now() < now + kPartitionLeaseWaitS) {
     if (auto reply = renew_in_partition(heartbeat)) return reply;
     lock.unlock();
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -99,7 +99,7 @@
   if (now - term.direct_agents_at < kCountPeriodS) return term.direct_agents;
   term.direct_agents_at = now;
   const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
-  const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent;
+  const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent_nodes;
   const auto at_relays = term.balancer.workers_at_relays(now);
   term.direct_agents = heard > at_relays ? heard - at_relays : 0;
   return term.direct_agents;
@@ -122,7 +122,7 @@
   const double span = max_partition_lease_s(settings.cancel_s, settings.lease_s);
   if (!ledger_read && unreadable_since != 0 && now - unreadable_since > span) return refused;
   const LeadershipEvidence evidence = leadership_evidence(shared_, heartbeat, now);
-  const bool certain_or_backed = evidence.lease_valid || evidence.has_quorum;
+  const bool certain_or_backed = evidence.session_lease_valid || evidence.has_quorum;
   if (decide_lease_renewal(evidence, !heartbeat.tasks.empty()) == LeaseRenewal::refuse) return refused;
   if (route != Route::direct && !certain_or_backed) return refused;
   if (!certain_or_backed) {
@@ -143,7 +143,7 @@
   const bool stale = !agent_messages_.apply(heartbeat, MessageKind::heartbeat);
   const NodeIndex index = cluster_state.find_or_add_node(heartbeat.node);
   Node& node = cluster_state.node(index);
-  if (has_late_start_of_cancelled_job(cluster_state, node, now, max_partition_lease_s(settings.cancel_s, settings.lease_s)))
+  if (may_still_start_cancelled_job(cluster_state, node, now, max_partition_lease_s(settings.cancel_s, settings.lease_s)))
     return {HeartbeatAnswer::Outcome::refused, {}};
   record_lease_renewal(node, stale, now);
   record_direct_contact(node, route, stale, now);
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -88,7 +88,7 @@
   ClusterState& cluster_state = *term.cluster_state;
   const Look seen = look();
   const auto names = [&](Reason reason) -> std::vector<std::string>& { return out[static_cast<std::size_t>(reason)]; };
-  for (const NodeIndex index : unresponsive_nodes_to_replace(cluster_state, seen.now, shared_.config.settings.lease_s)) {
+  for (const NodeIndex index : find_unresponsive_nodes_to_replace(cluster_state, seen.now, shared_.config.settings.lease_s)) {
     if (term.starting_nodes.contains(index) || names(Reason::unresponsive).size() >= kMaxReleases) continue;
     cluster_state.node(index).releasing = true;
     names(Reason::unresponsive).push_back(cluster_state.node(index).name);
@@ -210,8 +210,8 @@
   const double interval_s = shared_.config.settings.heartbeat_interval_s;
   const Term& term = *shared_.term;
   const auto heard = measure_reachability(*term.cluster_state, now, kDirectHeartbeats * interval_s);
-  if (kDirectShare * heard.direct < heard.known) return {};
-  return suspect_nodes(measure_silence(*term.cluster_state, now, term.taken_over_at), interval_s);
+  if (kDirectShare * heard.direct_nodes < heard.known_nodes) return {};
+  return find_suspect_nodes(measure_silence(*term.cluster_state, now, term.taken_over_at), interval_s);
 }
 
 std::vector<InstanceReleaser::Probe> InstanceReleaser::probes_of_silent_nodes() const {
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -87,7 +87,7 @@
   const double now = steady_now();
   if (vacant_since_ == 0) vacant_since_ = now;
   // One that handed over lets the others go first; not for long, since a leader that the agents reach badly is better than none.
-  const double backoff = backoff_.remaining(now);
+  const double backoff = backoff_.remaining_s(now);
   if (backoff > 0 && now - vacant_since_ < kOthersFirstS) return pause_for(stop, std::min(backoff, kLookAgainS));
   // Controllers that saw the key go at the same moment try one after the other.
   const double jitter = std::uniform_real_distribution<double>(0, kMaxJitterS)(random_);
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -27,11 +27,11 @@
   const Term& term = *shared.term;
   LeadershipEvidence evidence;
   evidence.ledger_read = term.cluster_state != nullptr;
-  evidence.lease_valid = now < term.lease_valid_until;
+  evidence.session_lease_valid = now < term.lease_valid_until;
   evidence.has_quorum = term.quorum.has_quorum(now);
   const bool own_zone = heartbeat.zone == shared.config.settings.site;
   evidence.has_partition_lease =
-      evidence.ledger_read ? may_renew_in_partition(shared, heartbeat, now) : own_zone && shared.partition_lease.is_granted(now);
+      evidence.ledger_read ? may_renew_in_partition(shared, heartbeat, now) : own_zone && shared.partition_lease.is_unexpired(now);
   return evidence;
 }
 
@@ -51,7 +51,7 @@
   const Term& term = *shared.term;
   if (now - term.taken_over_at < shared.config.settings.lease_s || !term.quorum.is_isolated(now, kPeersLostS)) return false;
   const auto heard = recent_reachability(shared, now);
-  return heard.known > 2 * heard.recent;
+  return heard.known_nodes > 2 * heard.recent_nodes;
 }
 
 bool are_workers_heard_through_peers(const SharedState& shared) {
@@ -59,7 +59,7 @@
   if (shared.peers.empty() || shared.role != Role::leading) return false;
   if (now - shared.term->taken_over_at < shared.config.settings.lease_s / 2) return false;
   const auto heard = recent_reachability(shared, now);
-  return heard.via_peers > 2 * heard.direct && 4 * heard.via_peers > heard.known;
+  return heard.peer_only_nodes > 2 * heard.direct_nodes && 4 * heard.peer_only_nodes > heard.known_nodes;
 }
 
 FencingState fencing_state(SharedState& shared, double now) {
@@ -68,13 +68,13 @@
   FencingState out;
   out.fencing_token = term.takeover_token;
   out.taken_over_at = term.taken_over_at;
-  out.peers_acked_at = term.quorum.sole_leader_since(term.takeover_token, now);
+  out.sole_leader_since = term.quorum.sole_leader_since(term.takeover_token, now);
   const auto zone_of = [&](const std::string& site) { return cluster_state.intern_zone(site); };
-  extend(out.earlier_renewed_until_by_zone, zone_of(shared.config.settings.site), shared.partition_lease.last_renewal());
+  extend(out.latest_earlier_renewal_by_zone, zone_of(shared.config.settings.site), shared.partition_lease.last_renewal_at());
   for (const auto& link : shared.peers) {
     const ZoneIndex zone = zone_of(link.peer.site);
-    extend(out.renewed_until_by_zone, zone, link.partition_lease.renewals_until(now));
-    extend(out.earlier_renewed_until_by_zone, zone, link.partition_lease.earlier_renewals_until(now));
+    extend(out.latest_renewal_by_zone, zone, link.partition_lease.latest_possible_renewal(now));
+    extend(out.latest_earlier_renewal_by_zone, zone, link.partition_lease.latest_possible_earlier_renewal(now));
   }
   return out;
 }
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -57,7 +57,7 @@
   out.echoed_process = link.last_ack_process;
   out.echoed_clock_ms = link.last_ack_clock_ms;
   out.oldest_cancellation_age_ms = static_cast<std::uint32_t>(oldest_cancellation_s * kMsPerSecond) + 1;
-  link.partition_lease.record_sent();
+  link.partition_lease.record_heartbeat_sent();
   return out;
 }
 
@@ -106,7 +106,7 @@
   ack.leader = leader.label;
   ack.process = config.incarnation;
   ack.clock_ms = static_cast<std::uint64_t>(now * kMsPerSecond);
-  ack.last_renewal_age_ms = static_cast<std::uint32_t>(std::max(0.0, now - shared_.partition_lease.last_renewal()) * kMsPerSecond);
+  ack.last_renewal_age_ms = static_cast<std::uint32_t>(std::max(0.0, now - shared_.partition_lease.last_renewal_at()) * kMsPerSecond);
   return ack;
 }
 
--- a/src/leadership/partition_lease.hpp
+++ b/src/leadership/partition_lease.hpp
@@ -1,73 +1,74 @@
-// Keeps the leases of agents alive across a network partition. A follower that is separated from the leader may, for a bounded
-// time, renew the leases of the agents in its own zone under the leader's fencing token and without any commands, so that they
-// do not expire. Called by the leadership code of the controller. Pure.
+// Keeps the leases of agents alive during a network partition. A follower that is partitioned from the leader may, for a bounded time,
+// renew the leases of the agents in its own zone, under the leader's fencing token and without sending commands. Called by the
+// controller's leadership code. Pure.
 //
-// Invariant: a partition lease plus one lease of an agent ends within `cancel_s` after the moment from which it was granted. So a
-// cancellation that was confirmed to its user after that moment is carried out in time even if no command reaches the node.
-// docs/design.md has the proof.
+// Invariant: a partition lease followed by one lease of an agent ends within `cancel_s` of the time from which the partition lease was
+// granted. So a cancellation that was confirmed to its user after that time is carried out in time even if no command reaches the
+// node. docs/design.md has the proof.
 #pragma once
 #include <cstdint>
 
 namespace thistlefront {
 
-// The longest partition lease, in seconds. An agent whose lease is renewed at its very end runs for one lease more.
+// Returns the maximum duration of a partition lease in seconds. An agent whose lease is renewed at the end of the partition lease runs
+// for one more lease.
 double max_partition_lease_s(double cancel_s, double lease_s);
 
-// The follower's side: what this controller was granted. A leader grants one to itself whenever it is certain to lead, and uses it
-// when it no longer is.
-// Times are steady seconds of this controller.
+// The follower's side: the partition lease that was granted to this controller. A leader grants one to itself while it is certain to
+// lead, and uses it once its leadership is uncertain. Times are steady seconds of this controller.
 class PartitionLease {
  public:
   // `started_at`: when this process started. An earlier process of this controller renewed no lease after that.
-  PartitionLease(double span_s, double started_at) : span_s_(span_s), last_renewal_(started_at) {}
+  PartitionLease(double max_duration_s, double started_at) : max_duration_s_(max_duration_s), last_renewal_at_(started_at) {}
 
-  // The leader answered what this follower asked at `asked_at`. The lease runs from then, and is shorter by the age of the oldest
-  // cancellation that is not carried out in this zone yet, for that has to be carried out in time as well.
-  void grant(std::uint64_t fencing_token, double asked_at, double oldest_cancellation_age_s);
-  // A message of the leader with this takeover token arrived. What an earlier leader granted is over, also where that was the same
-  // controller.
+  // The leader grants a lease in answer to what this follower sent at `requested_at`. The lease runs from that time. It is shortened by
+  // the age of the oldest cancellation that is not carried out in this zone yet, so that this cancellation is carried out in time too.
+  void grant(std::uint64_t fencing_token, double requested_at, double oldest_cancellation_age_s);
+  // A message of the leader with this takeover token arrived. It revokes the grant of an earlier term, even if the same controller led.
   void observe_leader(std::uint64_t takeover_token);
   // Another controller leads.
   void revoke();
-  // Whether leases may be renewed under it: the leader has been silent for some time, and not yet for too long.
+  // Whether agents' leases may be renewed under it: the leader has been silent for some time and the lease has not expired.
   [[nodiscard]] bool is_active(double now) const;
-  // Whether it has not ended, however recently the leader was heard. Only for a controller that has meanwhile taken over itself
-  // and has not read the ledger yet.
-  [[nodiscard]] bool is_granted(double now) const { return now < ends_at_; }
-  void record_renewal(double now) { last_renewal_ = now; }
-  // When this controller last renewed an agent's lease under it.
-  [[nodiscard]] double last_renewal() const { return last_renewal_; }
-  // The token under which it was granted. A higher one, learned in another way, may belong to another leader.
+  // Whether it has not expired, even if the leader was not silent. Only for a controller that has taken over in the meantime and has
+  // not read the ledger yet.
+  [[nodiscard]] bool is_unexpired(double now) const { return now < ends_at_; }
+  void record_renewal(double now) { last_renewal_at_ = now; }
+  // When this controller last renewed an agent's lease under a partition lease.
+  [[nodiscard]] double last_renewal_at() const { return last_renewal_at_; }
+  // The token under which it was granted. A higher token that this controller learned elsewhere may belong to another leader.
   [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
-  double span_s_, last_renewal_;
-  double asked_at_ = 0, ends_at_ = 0;
+  double max_duration_s_, last_renewal_at_;
+  double requested_at_ = 0, ends_at_ = 0;
   std::uint64_t fencing_token_ = 0, takeover_token_ = 0;
 };
 
-// The leader's side, for one peer: until when that peer may have renewed leases on its own. Times are steady seconds of the
-// leader.
+// The leader's side, for one peer: bounds the time until which that peer may have renewed leases under a partition lease. Times are
+// steady seconds of the leader.
 class PartitionLeaseGrant {
  public:
   PartitionLeaseGrant() = default;
-  // An earlier leader granted nothing after it ceased to lead, which was before `taken_over_at`.
-  PartitionLeaseGrant(double span_s, double taken_over_at) : span_s_(span_s), taken_over_at_(taken_over_at) {}
+  // `taken_over_at`: after this takeover, no earlier leader granted a partition lease.
+  PartitionLeaseGrant(double max_duration_s, double taken_over_at) : max_duration_s_(max_duration_s), taken_over_at_(taken_over_at) {}
 
-  // A peer heartbeat is sent that echoes the peer's latest answer. It grants a lease that runs from that answer, however often it
-  // is sent. If it ran from the time of sending, a peer that is cut off for good would seem to hold its lease for ever.
-  void record_sent() { granted_at_ = acked_at_; }
-  // The peer answered a heartbeat that echoed its answer to the one sent at `echoed_sent_at` (0: that echoed none). It last renewed a
-  // lease under a partition lease `last_renewal_age_s` ago.
+  // A peer heartbeat is sent that echoes the peer's latest answer. It grants a lease that runs from that answer, however often the
+  // heartbeat is repeated. If the lease ran from the time of sending, a permanently partitioned peer would seem to hold it forever.
+  void record_heartbeat_sent() { granted_at_ = acked_at_; }
+  // The peer answered a heartbeat. `echoed_sent_at`: if this heartbeat echoed the answer to an earlier one, when that earlier one was
+  // sent, else 0. `last_renewal_age_s`: time since the peer last renewed an agent's lease under a partition lease.
   void record_ack(double echoed_sent_at, double now, double last_renewal_age_s);
-  // Until when it may have renewed leases under this leader's token.
-  [[nodiscard]] double renewals_until(double now) const;
-  // The same under an earlier leader's token, which no agent accepts that has seen this leader's.
-  [[nodiscard]] double earlier_renewals_until(double now) const;
+  // Returns the latest time at which the peer may have renewed a lease under this leader's token.
+  [[nodiscard]] double latest_possible_renewal(double now) const;
+  // Returns the latest time at which the peer may have renewed a lease under an earlier leader's token. An agent that has seen this
+  // leader's token does not accept such a renewal.
+  [[nodiscard]] double latest_possible_earlier_renewal(double now) const;
 
  private:
-  double span_s_ = 0, taken_over_at_ = 0;
-  double acked_at_ = 0, granted_at_ = 0, attached_until_ = 0, renewed_at_ = 0;
+  double max_duration_s_ = 0, taken_over_at_ = 0;
+  double acked_at_ = 0, granted_at_ = 0, renewed_at_ = 0;
+  double no_renewal_before_ = 0;  // until then the peer does not regard the leader as silent
   bool acked_ = false;
 };
 
--- a/src/worker_control/command_queue.cpp
+++ b/src/worker_control/command_queue.cpp
@@ -6,12 +6,12 @@
 
 void CommandQueue::push(NodeIndex node, NodeStatus& status) {
   status.queued = true;
-  (status.slow ? slow_ : prompt_).push_back(node);
+  (status.slow ? slow_nodes_ : regular_nodes_).push_back(node);
 }
 
-void CommandQueue::enqueue(NodeIndex node, bool announce, double now) {
+void CommandQueue::enqueue(NodeIndex node, bool announce_leader, double now) {
   NodeStatus& status = statuses_[node];
-  status.announce = status.announce || announce;
+  status.announce_leader = status.announce_leader || announce_leader;
   if (status.being_served) {
     status.due_again = true;
   } else if (!status.queued && now >= status.not_before) {
@@ -21,7 +21,7 @@
 
 std::optional<CommandQueue::Item> CommandQueue::dequeue() {
   if (!has_ready()) return std::nullopt;
-  auto& queue = prompt_.empty() ? slow_ : prompt_;
+  auto& queue = regular_nodes_.empty() ? slow_nodes_ : regular_nodes_;
   const NodeIndex node = queue.front();
   queue.pop_front();
   NodeStatus& status = statuses_[node];
@@ -29,7 +29,7 @@
   status.being_served = true;
   status.counted_as_slow = status.slow;
   if (status.counted_as_slow) ++slow_in_service_;
-  return Item{node, std::exchange(status.announce, false)};
+  return Item{node, std::exchange(status.announce_leader, false)};
 }
 
 void CommandQueue::end_service(NodeIndex node, NodeStatus& status) {
@@ -54,8 +54,8 @@
 }
 
 void CommandQueue::clear() {
-  prompt_.clear();
-  slow_.clear();
+  regular_nodes_.clear();
+  slow_nodes_.clear();
   statuses_.clear();
   slow_in_service_ = 0;
 }
--- a/src/worker_control/command_selection.cpp
+++ b/src/worker_control/command_selection.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Commands in one message, which keeps it well below 64 KiB.
-constexpr std::size_t kMaxCommands = 400;
+// Keeps a message well below 64 KiB.
+constexpr std::size_t kMaxCommandsPerMessage = 400;
 
 bool is_cancelled(const ClusterState& cluster_state, JobIndex job) {
   return job.valid() && cluster_state.job(job).status == JobStatus::cancelled;
 }
 
-// The placement of the reported attempt on this node; null where the cluster state has none.
-const Placement* placement_of(const ClusterState& cluster_state, NodeIndex node_index, const ReportedTask& reported) {
+// Returns the placement of the reported attempt on this node, or null if the cluster state has none.
+const Placement* find_placement_of(const ClusterState& cluster_state, NodeIndex node_index, const ReportedTask& reported) {
   if (!reported.ref.job.valid()) return nullptr;
   const auto& placements = cluster_state.job(reported.ref.job).placed;
   const auto it = placements.find(reported.ref.task);
@@ -28,43 +28,44 @@
   return is_placement_of(&it->second, node_index, agent_incarnation, reported.attempt) ? &it->second : nullptr;
 }
 
-Command kill(TaskId id, std::uint64_t attempt, double grace_period_s) {
+Command kill_command(TaskId id, std::uint64_t attempt, double grace_period_s) {
   return {CommandType::kill, std::move(id), attempt, grace_period_s};
 }
 
-// Kills and acknowledgements for what the agent reports.
+// Adds kills and acknowledgements for the tasks that the agent reported.
 void add_commands_for_reported_tasks(const ClusterState& cluster_state, NodeIndex node_index, std::uint64_t fencing_token,
                                      std::vector<Command>& commands) {
   const Node& node = cluster_state.node(node_index);
-  // While a start may still be on its way, the agent must remember the attempts that have exited, or it would run one again.
+  // While a start may still be in transit, the agent must remember which attempts have exited, or it would run one of them again.
   const bool may_acknowledge = node.has_no_uncertain_start(node.agent.highest_token) && node.agent.highest_token >= fencing_token;
   for (const ReportedTask& reported : node.agent.tasks) {
-    if (commands.size() >= kMaxCommands) return;
+    if (commands.size() >= kMaxCommandsPerMessage) return;
     const bool exited = reported.phase == TaskPhase::exited;
     const TaskId id{reported.ref.job.valid() ? cluster_state.job(reported.ref.job).uid : reported.uid, reported.ref.task};
-    if (const Placement* placement = placement_of(cluster_state, node_index, reported)) {
-      // A task that writes its checkpoint is left to finish it. If its job was cancelled since, the checkpoint is of no use, and a
-      // second kill ends it at once.
-      const bool finishes_checkpoint = reported.phase == TaskPhase::checkpointing && !is_cancelled(cluster_state, reported.ref.job);
-      if (placement->stopping && !exited && !finishes_checkpoint) commands.push_back(kill(id, reported.attempt, placement->grace_period_s));
+    if (const Placement* placement = find_placement_of(cluster_state, node_index, reported)) {
+      // A task that is writing its checkpoint may finish it, unless its job was cancelled in the meantime: the checkpoint is then
+      // useless, and a second kill stops the task at once.
+      const bool may_finish_checkpoint = reported.phase == TaskPhase::checkpointing && !is_cancelled(cluster_state, reported.ref.job);
+      if (placement->stopping && !exited && !may_finish_checkpoint)
+        commands.push_back(kill_command(id, reported.attempt, placement->grace_period_s));
     } else if (!exited) {
-      commands.push_back(kill(id, reported.attempt, 0));
+      commands.push_back(kill_command(id, reported.attempt, 0));
     } else if (may_acknowledge) {
       commands.push_back({CommandType::acknowledge_exit, id, reported.attempt, 0});
     }
   }
 }
 
-// Starts and kills for what is placed on the node and not reported by its agent.
+// Adds starts and kills for tasks that are placed on the node and that its agent did not report.
 void add_commands_for_unreported_placements(const ClusterState& cluster_state, const Node& node, std::vector<Command>& commands) {
   for (const auto& placed : node.placed) {
-    if (commands.size() >= kMaxCommands) return;
+    if (commands.size() >= kMaxCommandsPerMessage) return;
     const Placement& placement = *placed.placement;
     if (placement.end_pending || placement.agent_incarnation != node.agent.incarnation) continue;
     if (find_reported_task(node.agent, placed, placement.attempt)) continue;
     const TaskId id{cluster_state.job(placed.job).uid, placed.task};
     if (placement.stopping) {
-      commands.push_back(kill(id, placement.attempt, placement.grace_period_s));
+      commands.push_back(kill_command(id, placement.attempt, placement.grace_period_s));
     } else {
       commands.push_back({CommandType::run, id, placement.attempt, 0});
     }
@@ -77,7 +78,7 @@
   std::vector<Command> commands;
   const Node& node = cluster_state.node(node_index);
   if (node.terminated || node.lease_expired || node.agent.incarnation == 0) return commands;
-  // Kills and acknowledgements first: they free the resources that the starts need.
+  // Kills and acknowledgements come first because they free the resources that the starts need.
   add_commands_for_reported_tasks(cluster_state, node_index, fencing_token, commands);
   add_commands_for_unreported_placements(cluster_state, node, commands);
   return commands;
@@ -88,11 +89,11 @@
   const Node& node = cluster_state.node(node_index);
   if (node.terminated || node.agent.incarnation == 0) return commands;
   const auto add_kill = [&](TaskRef ref, std::uint64_t attempt) {
-    if (commands.size() < kMaxCommands) commands.push_back(kill({cluster_state.job(ref.job).uid, ref.task}, attempt, 0));
+    if (commands.size() < kMaxCommandsPerMessage) commands.push_back(kill_command({cluster_state.job(ref.job).uid, ref.task}, attempt, 0));
   };
   for (const ReportedTask& reported : node.agent.tasks)
     if (reported.phase != TaskPhase::exited && is_cancelled(cluster_state, reported.ref.job)) add_kill(reported.ref, reported.attempt);
-  // Tasks that were never reported: a start that was on its way may have been carried out since the last message.
+  // A task that was never reported may have started since the last message.
   for (const auto& placed : node.placed) {
     const Placement& placement = *placed.placement;
     if (is_cancelled(cluster_state, placed.job) && !placement.reported && placement.agent_incarnation == node.agent.incarnation)
--- a/src/worker_control/draining.hpp
+++ b/src/worker_control/draining.hpp
@@ -1,5 +1,5 @@
-// Decides which placed tasks are to be stopped: on spot instances that the cloud takes back, of gangs that lost a task, and those
-// whose stop an earlier leader began. Called by the leader before it plans. Pure; it only marks placements, and
+// Decides which placed tasks to stop: tasks on spot instances with an interruption notice, tasks of gangs that lost a task, and tasks
+// that an earlier leader began to stop. Called by the leader before it plans. Pure; it only marks placements, and
 // `pending_commands` turns the marks into kills.
 #pragma once
 #include <vector>
@@ -10,19 +10,19 @@
 
 namespace thistlefront {
 
-// Marks a placed task to be stopped, with this long to write a checkpoint.
+// Marks a placed task to be stopped. `grace_period_s`: time to write a checkpoint.
 void mark_for_stop(Placement& placement, double grace_period_s);
 
-// Nodes about to be interrupted: services move at once, tasks with checkpoints write one, and of the others those that cannot end
-// in time start again elsewhere. Returns the nodes that have something to stop.
+// Stops tasks on nodes with an interruption notice, except those that complete before the interruption. Services are stopped in any
+// case, and tasks with checkpoints get time to write one. Returns the nodes that have tasks to stop.
 std::vector<NodeIndex> drain_interrupted_nodes(ClusterState& cluster_state, Timestamps now);
 
-// Tasks that write a checkpoint although this leader stops none of them: an earlier leader did, to make room. The stop goes on,
-// for a gang with all of its tasks. A leader that took them for running would stop other tasks for the same need, and leave gangs
-// half stopped. Returns the nodes that have something to stop.
+// Continues preemptions that an earlier leader began. They show as tasks that write a checkpoint although this leader did not stop
+// them. For a gang, all of its tasks are stopped. A leader that treated such tasks as running would preempt further tasks for the
+// same capacity, and leave gangs partly stopped. Returns the nodes that have tasks to stop.
 std::vector<NodeIndex> resume_inherited_stops(ClusterState& cluster_state);
 
-// Stops gangs that lost a task, so that they can be planned as a whole again. Returns whether there was any.
+// Stops gangs that lost a task, so that they can be planned as a whole again. Returns whether any task was stopped.
 bool stop_broken_gangs(ClusterState& cluster_state);
 
 }  // namespace thistlefront
--- a/src/worker_control/failure_detector.cpp
+++ b/src/worker_control/failure_detector.cpp
@@ -8,71 +8,72 @@
 
 namespace {
 
-// Silence after which a node is suspected, in heartbeat intervals and in seconds. It is then only asked, so a mistake costs little.
-constexpr double kSuspectAfterHeartbeats = 2.0;
+// A node is suspected after a silence of this many heartbeat intervals plus the slack. It is then only probed, so a false suspicion
+// costs little.
+constexpr double kSuspectAfterIntervals = 2.0;
 constexpr double kSuspectSlackS = 0.5;
-// Nodes that run no service are given so many times as long.
-constexpr double kBatchPatience = 1.5;
-// Heartbeat intervals within which every node that can send a heartbeat has done so.
-constexpr double kFreshHeartbeats = 1.35;
-// One in so many nodes of a zone may be lost without a partition being considered.
-constexpr std::size_t kOneInMayBeLost = 3;
-// With more than that silent, a partition is ruled out only where one in so many nodes of the zone is still heard when a partition
-// would have silenced all of them, after so many heartbeat intervals.
-constexpr double kPartitionSurelySeenHeartbeats = 3.5;
-constexpr std::size_t kOneInStillHeard = 10;
-// A large zone is heard of all the time, and falls silent at once when a partition cuts it off: a node there is asked as soon as it is
-// a little late. When 86 nodes of a fleet hung, services with deadlines of 28 s had no time to wait for more.
-constexpr double kWindowS = 1.0;  // as long as asking a node takes
+// Nodes that run no service are suspected after this many times that silence.
+constexpr double kBatchSuspectFactor = 1.5;
+// Heartbeat intervals within which every functioning node has sent a heartbeat. Such nodes are fresh, the others silent.
+constexpr double kFreshIntervals = 1.35;
+// In a zone with infrequent heartbeats, one node or one in this many nodes may be silent before a partition is considered.
+constexpr std::size_t kMaxSilentDivisor = 3;
+// Otherwise a partition is ruled out only if at least one in kMinFreshDivisor nodes of the zone is fresh when the suspected node has
+// been silent for this many heartbeat intervals: a partition would have silenced all nodes of the zone by then.
+constexpr double kPartitionVisibleIntervals = 3.5;
+constexpr std::size_t kMinFreshDivisor = 10;
+// A large zone sends heartbeats all the time, and a partition silences it at once. So a node there is probed as soon as it is
+// slightly late: when 86 nodes hung, services with a deadline of 28 s could not wait longer.
+constexpr double kWindowS = 1.0;  // as long as probing a node takes
 constexpr double kMinHeartbeatsPerWindow = 8.0;
-constexpr double kLateHeartbeats = 1.4;
-constexpr double kMinShareOfExpected = 0.33;  // of the heartbeats that all nodes of the zone would send within the window
+constexpr double kLateIntervals = 1.4;
+constexpr double kMinReceivedFraction = 0.33;  // of the heartbeats that all nodes of the zone would send within the window
 
 class ZoneSilence {
  public:
   void add(double silence_s, double heartbeat_interval_s) {
     ++nodes_;
-    if (silence_s < kFreshHeartbeats * heartbeat_interval_s) ++fresh_;
-    if (silence_s < kWindowS) ++heard_within_window_;
+    if (silence_s < kFreshIntervals * heartbeat_interval_s) ++fresh_nodes_;
+    if (silence_s < kWindowS) ++received_within_window_;
   }
 
-  // Whether heartbeats of the zone come so often that a partition would show within the window, and it does not.
-  [[nodiscard]] bool is_surely_reachable(double heartbeat_interval_s) const {
-    return is_frequent(heartbeat_interval_s) &&
-           static_cast<double>(heard_within_window_) >= kMinShareOfExpected * expected_within_window(heartbeat_interval_s);
+  // Whether heartbeats of the zone are frequent enough that a partition would show within the window, and enough were received in it.
+  [[nodiscard]] bool is_certainly_reachable(double heartbeat_interval_s) const {
+    return has_frequent_heartbeats(heartbeat_interval_s) &&
+           static_cast<double>(received_within_window_) >= kMinReceivedFraction * expected_heartbeats_within_window(heartbeat_interval_s);
   }
 
-  // Whether a node that has been silent for so long is so for a reason of its own.
+  // Whether a partition can't be the reason why a node has been silent for `silence_s`.
   [[nodiscard]] bool rules_out_partition(double silence_s, double heartbeat_interval_s) const {
-    if (fresh_ == 0) return false;
-    const std::size_t silent = nodes_ - fresh_;
-    const bool few_silent = silent <= 1 || kOneInMayBeLost * silent <= nodes_;
-    if (few_silent && !is_frequent(heartbeat_interval_s)) return true;
-    return kOneInStillHeard * fresh_ >= nodes_ && silence_s > kPartitionSurelySeenHeartbeats * heartbeat_interval_s;
+    if (fresh_nodes_ == 0) return false;
+    const std::size_t silent_nodes = nodes_ - fresh_nodes_;
+    const bool few_silent = silent_nodes <= 1 || kMaxSilentDivisor * silent_nodes <= nodes_;
+    if (few_silent && !has_frequent_heartbeats(heartbeat_interval_s)) return true;
+    return kMinFreshDivisor * fresh_nodes_ >= nodes_ && silence_s > kPartitionVisibleIntervals * heartbeat_interval_s;
   }
 
  private:
-  [[nodiscard]] double expected_within_window(double heartbeat_interval_s) const {
+  [[nodiscard]] double expected_heartbeats_within_window(double heartbeat_interval_s) const {
     return static_cast<double>(nodes_) * kWindowS / heartbeat_interval_s;
   }
-  [[nodiscard]] bool is_frequent(double heartbeat_interval_s) const {
-    return expected_within_window(heartbeat_interval_s) >= kMinHeartbeatsPerWindow;
+  [[nodiscard]] bool has_frequent_heartbeats(double heartbeat_interval_s) const {
+    return expected_heartbeats_within_window(heartbeat_interval_s) >= kMinHeartbeatsPerWindow;
   }
 
-  std::size_t nodes_ = 0, fresh_ = 0, heard_within_window_ = 0;
+  std::size_t nodes_ = 0, fresh_nodes_ = 0, received_within_window_ = 0;
 };
 
 bool is_suspect(const NodeSilence& node, const ZoneSilence& zone, double heartbeat_interval_s) {
   if (!node.runs_services && !node.runs_tasks) return false;
-  if (zone.is_surely_reachable(heartbeat_interval_s) && node.silence_s > kLateHeartbeats * heartbeat_interval_s) return true;
-  const double suspicious_s = kSuspectAfterHeartbeats * heartbeat_interval_s + kSuspectSlackS;
-  if (node.silence_s < (node.runs_services ? suspicious_s : kBatchPatience * suspicious_s)) return false;
+  if (zone.is_certainly_reachable(heartbeat_interval_s) && node.silence_s > kLateIntervals * heartbeat_interval_s) return true;
+  const double suspect_after_s = kSuspectAfterIntervals * heartbeat_interval_s + kSuspectSlackS;
+  if (node.silence_s < (node.runs_services ? suspect_after_s : kBatchSuspectFactor * suspect_after_s)) return false;
   return zone.rules_out_partition(node.silence_s, heartbeat_interval_s);
 }
 
 }  // namespace
 
-std::vector<NodeIndex> suspect_nodes(const std::vector<NodeSilence>& nodes, double heartbeat_interval_s) {
+std::vector<NodeIndex> find_suspect_nodes(const std::vector<NodeSilence>& nodes, double heartbeat_interval_s) {
   std::map<ZoneIndex, ZoneSilence> zones;
   for (const NodeSilence& node : nodes) zones[node.zone].add(node.silence_s, heartbeat_interval_s);
   std::vector<NodeIndex> suspects;
--- a/src/worker_control/heartbeat_application.cpp
+++ b/src/worker_control/heartbeat_application.cpp
@@ -13,28 +13,28 @@
 
 namespace {
 
-// A node that refused a start for lack of resources gets no other one for this time.
-constexpr double kFullNodePauseS = 3.0;
-// A replica that has run for this long shows that neither its job nor its node is at fault for earlier failures.
+// A node that refused a start for lack of resources gets no other start for this time.
+constexpr double kFullNodeBackoffS = 3.0;
+// A replica that has run for this long shows that neither its job nor its node caused the earlier failures.
 constexpr double kHealthyReplicaS = 15.0;
 
-bool by_ref(const ReportedTask& a, const ReportedTask& b) {
-  return a.ref < b.ref;
+bool has_smaller_ref(const ReportedTask& left, const ReportedTask& right) {
+  return left.ref < right.ref;
 }
 
 bool is_newer(const Heartbeat& heartbeat, const AgentState& agent) {
   return std::pair(heartbeat.agent_incarnation, heartbeat.serial) > std::pair(agent.incarnation, agent.serial);
 }
 
-// Whether the heartbeat reports the same tasks as the message from which `node.agent.tasks` was made. Tasks that have exited, or
-// whose job was not known then, are always looked up again.
+// Whether `node.agent.tasks` already has the tasks of this heartbeat, so that they need not be looked up again. Exited tasks, and
+// tasks whose job was unknown at the last look-up, are always looked up again.
 bool repeats_last_message(const Heartbeat& heartbeat, const Node& node) {
   if (heartbeat.repeated_serial != node.agent.serial || node.agent.tasks.size() != heartbeat.tasks.size()) return false;
   return std::none_of(node.agent.tasks.begin(), node.agent.tasks.end(),
                       [](const ReportedTask& reported) { return reported.phase == TaskPhase::exited || !reported.ref.job.valid(); });
 }
 
-// One message being applied to the state of its node.
+// Applies one message to the state of its node.
 class HeartbeatApplication {
  public:
   HeartbeatApplication(ClusterState& cluster_state, NodeIndex node_index, const Heartbeat& heartbeat, Timestamps now, bool is_heartbeat,
@@ -48,33 +48,33 @@
         takeover_token_(takeover_token) {}
 
   HeartbeatOutcome run() {
-    if (!node_.agent.has_reported || node_.lease_expired) changed_ = true;
+    if (!node_.agent.has_reported || node_.lease_expired) needs_scheduling_pass_ = true;
     cluster_state_.describe_node(node_index_, heartbeat_.address, heartbeat_.machine_type, heartbeat_.zone, heartbeat_.spot);
-    const bool repeated = heartbeat_.agent_incarnation == node_.agent.incarnation && repeats_last_message(heartbeat_, node_);
+    const bool repeats_tasks = heartbeat_.agent_incarnation == node_.agent.incarnation && repeats_last_message(heartbeat_, node_);
     remove_tasks_of_earlier_incarnations();
     update_agent();
     update_interruption();
-    update_uncertain_starts();
-    if (repeated) {
-      // The reported tasks are unchanged; only the ledger may have changed since.
+    clear_fenced_starts();
+    if (repeats_tasks) {
+      // The reported tasks are unchanged. Their placements may have changed through ledger records.
       for (const ReportedTask& reported : node_.agent.tasks) update_placement(reported, ExitReason::none);
     } else {
       replace_reported_tasks();
     }
-    remove_stopped_tasks_that_are_absent();
-    return {false, changed_, ends_.records(cluster_state_)};
+    remove_absent_stopped_tasks();
+    return {false, needs_scheduling_pass_, end_records_.records(cluster_state_)};
   }
 
  private:
   void remove(TaskRef ref, Placement& placement, double failed_at = 0) {
     placement.end_pending = true;
-    changed_ = true;
-    ends_.add_removed(cluster_state_, ref, placement.attempt, failed_at);
+    needs_scheduling_pass_ = true;
+    end_records_.add_removed(cluster_state_, ref, placement.attempt, failed_at);
   }
 
-  // An agent of a later incarnation has dropped all its tasks and refuses commands for an earlier one. This is checked with each
-  // message and not only when the incarnation changes: a start planned for the earlier incarnation may reach the ledger after
-  // the later one was first heard of, and would then stay placed without ever running.
+  // An agent of a later incarnation has dropped all tasks of earlier ones and refuses commands for them. This is checked with each
+  // message and not only when the incarnation changes: a start planned for an earlier incarnation may reach the ledger after the
+  // first message of the later one, and would then stay placed without ever running.
   void remove_tasks_of_earlier_incarnations() {
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
@@ -89,34 +89,34 @@
     agent.serial = heartbeat_.serial;
     agent.highest_token = std::max(agent.highest_token, heartbeat_.fencing_token);
     if (new_incarnation) {
-      agent.incarnation_since = now_.steady;
+      agent.incarnation_since = now_.steady_s;
       agent.heartbeat_serial = 0;
       node_.commands.last_run_serial = 0;
       node_.commands.uncertain_token = 0;
     }
-    // The lease of a new incarnation runs from its beginning without any answer of a leader. It is counted from the first
-    // message of that incarnation, or a task started in it could be given up while it still runs.
-    if ((agent.fenced_at == 0 || new_incarnation) && agent.highest_token >= takeover_token_) agent.fenced_at = now_.steady;
-    agent.last_message_at = now_.steady;
+    // A new incarnation has a lease from its start, without any reply of a leader. The leader counts this lease from the first
+    // message of the incarnation; otherwise a task started in it could be requeued while it still runs.
+    if ((agent.fenced_at == 0 || new_incarnation) && agent.highest_token >= takeover_token_) agent.fenced_at = now_.steady_s;
+    agent.last_message_at = now_.steady_s;
     if (is_heartbeat_) agent.heartbeat_serial = heartbeat_.serial;
-    // A copy of an earlier heartbeat may arrive much later than a lease, and a leader that has heard nothing else of the node
-    // cannot tell it from a new one. No such copy carries a token of this leader. So a heartbeat without one counts as a sign of
-    // life only once, and does not bring back a node whose lease has expired.
+    // A delayed copy of a heartbeat may arrive after the lease has expired, and a leader that has received nothing else from the
+    // node can't distinguish it from a new heartbeat. No such copy carries this leader's token. So a heartbeat without that token
+    // proves that the agent is alive only once, and does not make a node with an expired lease usable again.
     const bool proves_alive = !is_heartbeat_ || heartbeat_.fencing_token >= takeover_token_;
-    if (proves_alive || !agent.has_reported) agent.last_heartbeat_at = now_.steady;
+    if (proves_alive || !agent.has_reported) agent.last_heartbeat_at = now_.steady_s;
     if (proves_alive) node_.lease_expired = false;
     agent.has_reported = true;
   }
 
   void update_interruption() {
     if (!heartbeat_.interruption_in_s) return;
-    if (!node_.agent.interruption_at) changed_ = true;
-    node_.agent.interruption_at = now_.steady + *heartbeat_.interruption_in_s;
+    if (!node_.agent.interruption_at) needs_scheduling_pass_ = true;
+    node_.agent.interruption_at = now_.steady_s + *heartbeat_.interruption_in_s;
   }
 
-  void update_uncertain_starts() {
-    std::uint64_t& uncertain_token = node_.commands.uncertain_token;
-    if (heartbeat_.fencing_token > uncertain_token) uncertain_token = 0;
+  void clear_fenced_starts() {
+    std::uint64_t& indeterminate_token = node_.commands.uncertain_token;
+    if (heartbeat_.fencing_token > indeterminate_token) indeterminate_token = 0;
   }
 
   void replace_reported_tasks() {
@@ -131,7 +131,7 @@
       update_placement(reported, task_report.exit_reason);
       reported_tasks.push_back(std::move(reported));
     }
-    std::sort(reported_tasks.begin(), reported_tasks.end(), by_ref);
+    std::sort(reported_tasks.begin(), reported_tasks.end(), has_smaller_ref);
   }
 
   void update_placement(const ReportedTask& reported, ExitReason exit_reason) {
@@ -141,7 +141,7 @@
     const bool phase_changed = placement->phase != reported.phase;
     placement->phase = reported.phase;
     if (reported.phase == TaskPhase::running) {
-      if (phase_changed && placement->running_since == 0) placement->running_since = now_.wall;
+      if (phase_changed && placement->running_since == 0) placement->running_since = now_.wall_s;
       credit_healthy_replica(reported.ref, *placement);
     }
     if (reported.phase == TaskPhase::exited && !placement->end_pending) apply_exit(reported.ref, *placement, exit_reason);
@@ -150,27 +150,27 @@
   void credit_healthy_replica(TaskRef ref, const Placement& placement) {
     FailureAttribution& failure_attribution = cluster_state_.failure_attribution();
     if (!failure_attribution.is_suspect(ref.job) || cluster_state_.job(ref.job).spec.job_type != JobType::service) return;
-    if (now_.wall - placement.running_since > kHealthyReplicaS) failure_attribution.record_success(ref.job, node_index_);
+    if (now_.wall_s - placement.running_since > kHealthyReplicaS) failure_attribution.record_success(ref.job, node_index_);
   }
 
   void apply_exit(TaskRef ref, Placement& placement, ExitReason exit_reason) {
     if (exit_reason == ExitReason::completed) {
       placement.end_pending = true;
-      changed_ = true;
-      ends_.add_completed(cluster_state_, ref, now_.wall);
+      needs_scheduling_pass_ = true;
+      end_records_.add_completed(cluster_state_, ref, now_.wall_s);
       return;
     }
     const bool failed = exit_reason == ExitReason::failed || exit_reason == ExitReason::unknown_task;
-    remove(ref, placement, failed ? now_.wall : 0);
+    remove(ref, placement, failed ? now_.wall_s : 0);
     if (exit_reason == ExitReason::insufficient_resources || exit_reason == ExitReason::duplicate_attempt)
-      node_.full_until = now_.steady + kFullNodePauseS;
+      node_.full_until = now_.steady_s + kFullNodeBackoffS;
   }
 
-  // A task that is to be stopped and that the agent does not report has ended only when no start of it can still be on its way.
-  void remove_stopped_tasks_that_are_absent() {
-    const bool absence_is_proof =
+  // A task to be stopped that the agent does not report counts as removed only if no start of it can still be in transit.
+  void remove_absent_stopped_tasks() {
+    const bool absence_proves_removal =
         is_heartbeat_ && heartbeat_.fencing_token >= takeover_token_ && node_.has_no_uncertain_start(heartbeat_.fencing_token);
-    if (!absence_is_proof) return;
+    if (!absence_proves_removal) return;
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
       if (!placement.stopping || placement.end_pending || placement.agent_incarnation != heartbeat_.agent_incarnation) continue;
@@ -185,8 +185,8 @@
   const Timestamps now_;
   const bool is_heartbeat_;
   const std::uint64_t takeover_token_;
-  TaskEndRecords ends_;
-  bool changed_ = false;
+  TaskEndRecords end_records_;
+  bool needs_scheduling_pass_ = false;
 };
 
 }  // namespace
--- a/src/worker_control/heartbeat_application.hpp
+++ b/src/worker_control/heartbeat_application.hpp
@@ -1,6 +1,6 @@
-// Applies a message of an agent (a heartbeat, or its answer to a direct command) to the cluster state, and concludes which tasks
-// have ended. Called by the leader for each message that it accepts. Pure; it never changes what is durable: ends are returned
-// as records, and take effect when these are in the ledger.
+// Applies a message of an agent (a heartbeat, or its answer to a direct command) to the cluster state, and determines which tasks
+// have exited. Called by the leader for each message that it accepts. Pure. It never changes durable state: completed and removed
+// tasks are returned as records, and take effect when these are in the ledger.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -13,14 +13,14 @@
 namespace thistlefront {
 
 struct HeartbeatOutcome {
-  bool stale = false;           // not newer than a message that was already applied: nothing was taken from it
-  bool changed = false;         // a scheduling pass may be worthwhile
-  std::vector<Record> records;  // ends of tasks, to be written to the ledger
+  bool stale = false;                  // not newer than a message that was already applied: the message was ignored
+  bool needs_scheduling_pass = false;  // the node became usable or is to be interrupted, or a task on it ended
+  std::vector<Record> records;         // completed and removed tasks, to be written to the ledger
 };
 
-// `is_heartbeat`: the message is a heartbeat and not the answer to a direct command, so the agent has carried out or dropped
-// every answer to an earlier heartbeat.
-// `takeover_token`: the fencing token of this leader's takeover. An agent that has seen it executes no earlier leader's commands.
+// `is_heartbeat`: the message is a heartbeat and not the answer to a direct command. The agent has then executed or dropped the
+// replies to all of its earlier heartbeats.
+// `takeover_token`: the fencing token of this leader's takeover. An agent that has seen it executes no command of an earlier leader.
 HeartbeatOutcome apply_heartbeat(ClusterState& cluster_state, const Heartbeat& heartbeat, Timestamps now, bool is_heartbeat,
                                  std::uint64_t takeover_token);
 
--- a/src/worker_control/lease_expiry.hpp
+++ b/src/worker_control/lease_expiry.hpp
@@ -1,6 +1,6 @@
-// Tells when the lease of a node's agent has expired for certain, wherever its heartbeats were answered, and what follows for the
-// tasks placed there. Called by the leader when it answers a heartbeat and in each of its regular checks. Pure; it must never
-// call a lease expired while the agent may still run its tasks, for they are then started elsewhere.
+// Determines when the lease of a node's agent has certainly expired, whichever controller replied to its heartbeats, and removes the
+// tasks placed on such a node. Called by the leader when it replies to a heartbeat and in each of its regular checks. Pure. It must
+// never report a lease as expired while the agent may still run its tasks, because they are then started on other nodes.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -11,23 +11,26 @@
 
 namespace thistlefront {
 
-// The leader answers a heartbeat, which renews the agent's lease from the moment when it was sent. A stale heartbeat was sent
-// before the newest message was heard: a copy of it, however late, renews the lease no further than that.
-void record_lease_renewal(Node& node, bool stale, double steady);
+// Records that the leader replies to a heartbeat. The reply renews the agent's lease from the moment when the heartbeat was sent. A
+// stale heartbeat was sent before the newest message arrived, so its lease counts from the arrival of that message at the latest.
+void record_lease_renewal(Node& node, bool stale, double steady_now);
 
-// From when on nobody but this leader can have renewed the leases of agents. Times are steady seconds.
+// The latest times at which other controllers can have renewed leases of agents. Times are steady seconds.
 struct FencingState {
   std::uint64_t fencing_token = 0;  // of this leader's takeover
   double taken_over_at = 0;
-  double peers_acked_at = -1;  // when all peers knew of the takeover; below 0: some peer may still answer under an earlier token
-  // By zone: until when a peer there may have renewed leases on its own, under this leader's token and under an earlier one.
-  std::vector<double> renewed_until_by_zone = {}, earlier_renewed_until_by_zone = {};
+  // Since when no other controller replies to agents under an earlier token; below 0: some controller may still do so.
+  double sole_leader_since = -1;
+  // By zone: the latest time at which a peer there may have renewed leases under a partition lease, with this leader's token and
+  // with an earlier leader's token.
+  std::vector<double> latest_renewal_by_zone = {}, latest_earlier_renewal_by_zone = {};
 };
 
-// Whether the lease of the node's agent has expired for certain.
-bool is_lease_expired(const Node& node, const FencingState& fencing_state, double lease_s, double steady);
+// Whether the lease of the node's agent has certainly expired.
+bool is_lease_expired(const Node& node, const FencingState& fencing_state, double lease_s, double steady_now);
 
-// Records that end everything placed on a node which is known to run nothing: its lease has expired, or it was released.
+// Marks all tasks placed on the node as ending and returns the records that remove them. Only for a node that is known to run
+// nothing, because its lease has expired or because it was released.
 std::vector<Record> evict_all_tasks(ClusterState& cluster_state, NodeIndex node_index);
 
 }  // namespace thistlefront
--- a/src/worker_control/reachability.hpp
+++ b/src/worker_control/reachability.hpp
@@ -1,5 +1,5 @@
-// Which nodes the leader hears from, and how recently, according to its cluster state. Called by the leader. Pure; times are steady
-// seconds.
+// Determines from the cluster state which nodes the leader receives heartbeats from, and how recently. Called by the leader. Pure;
+// times are steady seconds.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -10,21 +10,21 @@
 
 namespace thistlefront {
 
-// Counts of nodes that sent a heartbeat to this leader and are not known to be gone.
+// Numbers of nodes that this leader has received a heartbeat from, without those that are terminated or whose lease has expired.
 struct Reachability {
-  std::size_t known = 0;
-  std::size_t recent = 0;     // heard from recently, directly or through another controller
-  std::size_t direct = 0;     // heard from recently by the leader itself
-  std::size_t via_peers = 0;  // heard from recently, and only through other controllers
+  std::size_t known_nodes = 0;
+  std::size_t recent_nodes = 0;     // with a recent heartbeat, received directly or through another controller
+  std::size_t direct_nodes = 0;     // with a recent heartbeat received by the leader itself
+  std::size_t peer_only_nodes = 0;  // with recent heartbeats received only through other controllers
 };
-// `recent_s`: for how long a message counts as recent.
+// `recent_s`: the age below which a heartbeat counts as recent.
 Reachability measure_reachability(const ClusterState& cluster_state, double now, double recent_s);
 
-// For how long each node has been silent, of those that may run tasks. Nodes never heard from are silent since the takeover.
+// Returns the silence of each node that may run tasks. A node without any heartbeat so far counts as silent since the takeover.
 std::vector<NodeSilence> measure_silence(const ClusterState& cluster_state, double now, double taken_over_at);
 
-// The age, in seconds, of the oldest cancellation that is not carried out yet in this zone; 0: there is none. `otherwise`: the age to
-// assume where an earlier leader cancelled the job.
-double oldest_pending_cancellation_s(const ClusterState& cluster_state, const std::string& zone, double now, double otherwise);
+// Returns the age, in seconds, of the oldest cancelled job that still has a task placed in this zone, or 0 if there is none.
+// `inherited_age_s`: the age to assume if an earlier leader cancelled the job.
+double oldest_pending_cancellation_s(const ClusterState& cluster_state, const std::string& zone, double now, double inherited_age_s);
 
 }  // namespace thistlefront
--- a/src/worker_control/reconciliation.hpp
+++ b/src/worker_control/reconciliation.hpp
@@ -1,4 +1,4 @@
-// All of reconciliation between the cluster state and the agents of the nodes. New code includes the header that it needs.
+// Includes all headers of the reconciliation between the cluster state and the agents. New code includes only the headers it needs.
 #pragma once
 
 #include "worker_control/command_selection.hpp"
--- a/src/worker_control/task_lookup.hpp
+++ b/src/worker_control/task_lookup.hpp
@@ -1,4 +1,4 @@
-// Matches tasks as an agent reports them with the placements that the cluster state has. Pure.
+// Matches the tasks that an agent reports with the placements in the cluster state. Pure.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace thistlefront {
 
-// Whether this is the placement of that very attempt, by that incarnation of the node's agent. `placement` may be null.
+// Whether `placement` places this attempt on this node and agent incarnation. `placement` may be null.
 inline bool is_placement_of(const Placement* placement, NodeIndex node, std::uint64_t agent_incarnation, std::uint64_t attempt) {
   return placement && placement->node == node && placement->agent_incarnation == agent_incarnation && placement->attempt == attempt;
 }
 
-// The attempt in the agent's newest message; null where that did not have it.
+// Returns the attempt as the agent's newest message reported it, or null if that message did not contain it.
 inline const ReportedTask* find_reported_task(const AgentState& agent, TaskRef ref, std::uint64_t attempt) {
   auto it = std::lower_bound(agent.tasks.begin(), agent.tasks.end(), ref,
                              [](const ReportedTask& reported, const TaskRef& wanted) { return reported.ref < wanted; });
--- a/src/worker_control/task_records.cpp
+++ b/src/worker_control/task_records.cpp
@@ -6,16 +6,18 @@
 
 namespace {
 
-// Upper estimates of the size of a record's parts as stored: its head, a node beside its name, and a range of tasks.
-constexpr std::size_t kHeadBytes = 120, kNodeBytes = 30, kRangeBytes = 14;
+// Upper estimates of the stored size of a record's parts.
+constexpr std::size_t kHeaderBytes = 120;
+constexpr std::size_t kNodeOverheadBytes = 30;  // a node without its name
+constexpr std::size_t kTaskRangeBytes = 14;
 
-// Appends copies of `ended` with at most `max_ranges` task ranges each.
-template <class EndedRecord>
-void append_split(const EndedRecord& ended, std::size_t max_ranges, std::vector<Record>& records) {
-  for (std::size_t first = 0; first < ended.tasks.size(); first += max_ranges) {
-    const std::size_t last = std::min(first + max_ranges, ended.tasks.size());
-    EndedRecord part = ended;
-    part.tasks.assign(ended.tasks.begin() + static_cast<long>(first), ended.tasks.begin() + static_cast<long>(last));
+// Appends copies of `end_record`, each with at most `max_ranges` of its task ranges.
+template <class EndRecord>
+void append_in_parts(const EndRecord& end_record, std::size_t max_ranges, std::vector<Record>& records) {
+  for (std::size_t first = 0; first < end_record.tasks.size(); first += max_ranges) {
+    const std::size_t last = std::min(first + max_ranges, end_record.tasks.size());
+    EndRecord part = end_record;
+    part.tasks.assign(end_record.tasks.begin() + static_cast<long>(first), end_record.tasks.begin() + static_cast<long>(last));
     records.emplace_back(std::move(part));
   }
 }
@@ -23,34 +25,34 @@
 }  // namespace
 
 std::vector<TasksStartedRecord> split_by_size(const TasksStartedRecord& started, std::size_t record_bytes) {
-  std::vector<TasksStartedRecord> out;
-  std::size_t bytes = 0;  // of the last record in `out`
+  std::vector<TasksStartedRecord> parts;
+  std::size_t bytes = 0;  // of the last part
   for (const auto& assignment : started.assignments) {
-    const std::size_t node_bytes = kNodeBytes + assignment.node.size();
-    bool node_listed = false;  // in the last record in `out`
+    const std::size_t node_bytes = kNodeOverheadBytes + assignment.node.size();
+    bool node_listed = false;  // in the last part
     for (const auto& range : assignment.tasks) {
-      const std::size_t added_bytes = kRangeBytes + (node_listed ? 0 : node_bytes);
-      if (out.empty() || bytes + added_bytes > record_bytes) {
-        out.push_back({started.uid, started.attempt, started.at, {}});
-        bytes = kHeadBytes;
+      const std::size_t added_bytes = kTaskRangeBytes + (node_listed ? 0 : node_bytes);
+      if (parts.empty() || bytes + added_bytes > record_bytes) {
+        parts.push_back({started.uid, started.attempt, started.at, {}});
+        bytes = kHeaderBytes;
         node_listed = false;
       }
       if (!node_listed) {
-        out.back().assignments.push_back({assignment.node, assignment.agent_incarnation, {}});
+        parts.back().assignments.push_back({assignment.node, assignment.agent_incarnation, {}});
         bytes += node_bytes;
         node_listed = true;
       }
-      out.back().assignments.back().tasks.push_back(range);
-      bytes += kRangeBytes;
+      parts.back().assignments.back().tasks.push_back(range);
+      bytes += kTaskRangeBytes;
     }
   }
-  return out;
+  return parts;
 }
 
 void TaskEndRecords::add_completed(const ClusterState& cluster_state, TaskRef ref, double completed_at) {
   TasksCompletedRecord& record = completed_[ref.job];
   record.uid = cluster_state.job(ref.job).uid;
-  // Only jobs that wait for this one need the time; older format versions have no field for it.
+  // Only dependents of this job need the time; older format versions have no field for it.
   if (cluster_state.dependency_graph().has_dependents(ref.job)) record.at = completed_at;
   append_task(record.tasks, ref.task);
 }
@@ -64,10 +66,10 @@
 }
 
 std::vector<Record> TaskEndRecords::records(const ClusterState& cluster_state) const {
-  const std::size_t max_ranges = std::max<std::size_t>(1, (cluster_state.record_bytes() - kHeadBytes) / kRangeBytes);
+  const std::size_t max_ranges = std::max<std::size_t>(1, (cluster_state.record_bytes() - kHeaderBytes) / kTaskRangeBytes);
   std::vector<Record> out;
-  for (const auto& [job, record] : completed_) append_split(record, max_ranges, out);
-  for (const auto& [key, record] : removed_) append_split(record, max_ranges, out);
+  for (const auto& [job, record] : completed_) append_in_parts(record, max_ranges, out);
+  for (const auto& [key, record] : removed_) append_in_parts(record, max_ranges, out);
   return out;
 }
 
--- a/src/worker_control/task_records.hpp
+++ b/src/worker_control/task_records.hpp
@@ -1,5 +1,5 @@
-// Builds the ledger records of task starts and ends, each small enough for one ledger entry however scattered its tasks are.
-// Used by whatever plans starts or concludes that tasks have ended. Pure: it never changes the cluster state.
+// Builds the ledger records of started, completed and removed tasks. Each record fits into one ledger entry, even if its task numbers
+// are not contiguous. Pure: it never changes the cluster state.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace thistlefront {
 
-// The same starts in records of about `record_bytes` at most. The key-value store refuses a larger entry; every leader in turn
-// would plan the same starts again and step down.
+// Splits the record into records of at most about `record_bytes` each. The key-value store refuses larger entries, and every leader in
+// turn would plan the same starts again and step down.
 std::vector<TasksStartedRecord> split_by_size(const TasksStartedRecord& started, std::size_t record_bytes = kRecordBytes);
 
-// Collects ends of tasks and joins those of the same job and attempt into one record.
+// Collects completed and removed tasks and merges those of the same job and attempt into one record.
 class TaskEndRecords {
  public:
-  // The task ran to its end at `completed_at` (wall seconds).
+  // Adds a task that completed at `completed_at` (wall seconds).
   void add_completed(const ClusterState& cluster_state, TaskRef ref, double completed_at);
-  // The task is no longer on its node and has to run again. `failed_at`: wall seconds of its failure, 0 where it did not fail.
+  // Adds a task that is no longer on its node and has to run again. `failed_at`: wall seconds of its failure, 0 if it did not fail.
   void add_removed(const ClusterState& cluster_state, TaskRef ref, std::uint64_t attempt, double failed_at = 0);
-  // All that was added, in records that fit into a ledger entry.
+  // Returns all added tasks in records that fit into a ledger entry.
   [[nodiscard]] std::vector<Record> records(const ClusterState& cluster_state) const;
 
  private:
--- a/src/worker_control/timestamps.hpp
+++ b/src/worker_control/timestamps.hpp
@@ -1,12 +1,12 @@
-// The moment at which something was observed, on both clocks that the controllers use.
+// The time of an observation on both clocks that the controllers use.
 #pragma once
 
 namespace thistlefront {
 
-// `steady` measures durations (leases, silences) and is this process's own; `wall` is comparable between controllers and is what
-// the ledger stores. Both in seconds.
+// The steady clock measures durations such as leases and silences, and is valid within this process only. The wall clock is comparable
+// between controllers, and the ledger stores its times.
 struct Timestamps {
-  double steady = 0, wall = 0;
+  double steady_s = 0, wall_s = 0;
 };
 
 }  // namespace thistlefront
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,5 +1,5 @@
-// Reconciliation between the cluster state and an agent: what its heartbeats mean, which commands it is due, and when its lease has
-// expired.
+// Reconciliation between the cluster state and an agent: effects of its heartbeats, the commands that it is due, and the expiry of its
+// lease.
 #include "worker_control/reconciliation.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 namespace thistlefront {
 namespace {
 
-constexpr std::uint64_t kToken = 10;
+constexpr std::uint64_t kToken = 10;  // fencing token of the leader
 
 class Reconciliation : public testing::Test {
  protected:
@@ -34,9 +34,9 @@
   HeartbeatOutcome heartbeat(std::vector<TaskReport> tasks, bool is_heartbeat = true, std::uint64_t fencing_token = kToken,
                              std::uint64_t agent_incarnation = 1) {
     const Heartbeat message = heartbeat_of_node("m-1", agent_incarnation, ++serial, fencing_token, std::move(tasks));
-    return apply_heartbeat(cluster_state, message, {steady, steady}, is_heartbeat, kToken);
+    return apply_heartbeat(cluster_state, message, {steady_s, steady_s}, is_heartbeat, kToken);
   }
-  void make_durable(const HeartbeatOutcome& outcome) {
+  void commit_records(const HeartbeatOutcome& outcome) {
     for (const auto& record : outcome.records) cluster_state.apply(record);
   }
   Node& node() { return cluster_state.node(cluster_state.find_node("m-1")); }
@@ -45,10 +45,10 @@
 
   ClusterState cluster_state;
   std::uint64_t serial = 0;
-  double steady = 100;
+  double steady_s = 100;
 };
 
-TEST_F(Reconciliation, RunIsRepeatedUntilTheAgentReportsTheTask) {
+TEST_F(Reconciliation, RepeatsAStartUntilTheAgentReportsTheTask) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
@@ -60,14 +60,14 @@
   EXPECT_TRUE(commands().empty());
 }
 
-TEST_F(Reconciliation, ExitIsAcknowledgedOnlyAfterItsOutcomeIsInTheLedgerAndTheTaskNeverRunAgain) {
+TEST_F(Reconciliation, AcknowledgesAnExitOnlyAfterItsOutcomeIsInTheLedger) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   const auto outcome = heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::completed)});
   ASSERT_EQ(outcome.records.size(), 1u);
-  EXPECT_TRUE(commands().empty()) << "neither acknowledged nor run while the outcome is on its way";
-  make_durable(outcome);
+  EXPECT_TRUE(commands().empty()) << "neither acknowledged nor started again before the outcome is in the ledger";
+  commit_records(outcome);
   EXPECT_EQ(job("j-1").status, JobStatus::done);
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
@@ -75,55 +75,55 @@
   EXPECT_TRUE(commands().empty());
 }
 
-TEST_F(Reconciliation, NoExitIsAcknowledgedWhileADirectStartIsUncertain) {
+TEST_F(Reconciliation, AcknowledgesNoExitWhileTheOutcomeOfADirectStartIsUnknown) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   node().commands.uncertain_token = kToken;
-  make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}));
-  // A late start would run it again if the agent had forgotten this attempt.
+  commit_records(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}));
+  // If the agent had forgotten this attempt, a delayed start would run it again.
   EXPECT_TRUE(commands().empty());
   heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::failed)}, true, kToken + 1);
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
 }
 
-TEST_F(Reconciliation, AStoppedTaskThatIsAbsentIsRemovedOnlyWhenNoStartCanBeOnItsWay) {
+TEST_F(Reconciliation, RemovesAnUnreportedStoppedTaskOnlyWhenNoStartCanBeInTransit) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   cluster_state.apply(JobCancelledRecord{"j-1"});
   EXPECT_EQ(commands()[0].type, CommandType::kill);
-  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command says nothing about answers to heartbeats";
-  EXPECT_TRUE(heartbeat({}, true, kToken - 1).records.empty()) << "an earlier leader's start may be on its way";
+  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command proves nothing about replies to heartbeats";
+  EXPECT_TRUE(heartbeat({}, true, kToken - 1).records.empty()) << "a start of an earlier leader may be in transit";
   node().commands.uncertain_token = kToken;
-  EXPECT_TRUE(heartbeat({}).records.empty()) << "a start of this leader is uncertain";
+  EXPECT_TRUE(heartbeat({}).records.empty()) << "the outcome of a start of this leader is unknown";
   const auto outcome = heartbeat({}, true, kToken + 1);
   ASSERT_EQ(outcome.records.size(), 1u);
-  make_durable(outcome);
+  commit_records(outcome);
   EXPECT_TRUE(node().placed.empty());
 }
 
-TEST_F(Reconciliation, ALaterIncarnationMeansThatAllTasksAreRemoved) {
+TEST_F(Reconciliation, RemovesAllTasksOfAnEarlierIncarnation) {
   accept("j-1", 2);
   heartbeat({});
   start("j-1", 1, {0, 2});
-  make_durable(heartbeat({}, true, kToken, 2));
+  commit_records(heartbeat({}, true, kToken, 2));
   EXPECT_EQ(job("j-1").pending, 2u);
   EXPECT_TRUE(commands().empty());
 }
 
-// Planned for one incarnation, in the ledger after the next one was heard of.
-TEST_F(Reconciliation, AStartForAnEarlierIncarnationIsRemovedWithTheNextHeartbeat) {
+// The start was planned for one incarnation and reached the ledger after the first heartbeat of the next one.
+TEST_F(Reconciliation, RemovesAStartForAnEarlierIncarnationWithTheNextHeartbeat) {
   accept("j-1", 1);
   heartbeat({}, true, kToken, 1);
   heartbeat({}, true, kToken, 2);
   start("j-1", 1, {0, 1}, 1);
-  make_durable(heartbeat({}, true, kToken, 2));
+  commit_records(heartbeat({}, true, kToken, 2));
   EXPECT_EQ(job("j-1").pending, 1u);
 }
 
-TEST_F(Reconciliation, AnOlderHeartbeatChangesNothing) {
+TEST_F(Reconciliation, IgnoresAnOlderHeartbeat) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
@@ -133,26 +133,27 @@
   EXPECT_EQ(job("j-1").running(), 1u);
 }
 
-TEST_F(Reconciliation, StrayAttemptsAreKilled) {
+TEST_F(Reconciliation, KillsAttemptsWithoutAPlacement) {
   accept("j-1", 1);
   heartbeat({task_report("j-1", 0, 7, TaskPhase::running), task_report("j-9", 3, 1, TaskPhase::running)});
-  const auto due = commands();
-  ASSERT_EQ(due.size(), 2u);
-  EXPECT_EQ(due[0].type, CommandType::kill);
-  EXPECT_EQ(due[1].type, CommandType::kill);
+  const auto pending = commands();
+  ASSERT_EQ(pending.size(), 2u);
+  EXPECT_EQ(pending[0].type, CommandType::kill);
+  EXPECT_EQ(pending[1].type, CommandType::kill);
 }
 
-TEST_F(Reconciliation, ABrokenGangIsStopped) {
+TEST_F(Reconciliation, StopsABrokenGang) {
   accept("j-1", 2, JobType::gang);
   heartbeat({});
   start("j-1", 1, {0, 2});
-  make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::running), task_report("j-1", 1, 1, TaskPhase::exited, ExitReason::failed)}));
+  commit_records(
+      heartbeat({task_report("j-1", 0, 1, TaskPhase::running), task_report("j-1", 1, 1, TaskPhase::exited, ExitReason::failed)}));
   EXPECT_TRUE(stop_broken_gangs(cluster_state));
   EXPECT_TRUE(job("j-1").placed.at(0).stopping);
 }
 
-// A leader ended while it stopped a gang to make room: its successor stops the rest of the gang too, and counts on the room.
-TEST_F(Reconciliation, StopsThatAnEarlierLeaderBeganAreResumed) {
+// A leader failed while it preempted a gang: its successor stops the rest of the gang too.
+TEST_F(Reconciliation, ResumesStopsThatAnEarlierLeaderBegan) {
   accept("j-1", 2, JobType::gang);
   accept("j-2", 2);
   for (const auto* uid : {"j-1", "j-2"}) {
@@ -168,32 +169,32 @@
   EXPECT_EQ(resume_inherited_stops(cluster_state).size(), 1u);
   EXPECT_TRUE(job("j-1").placed.at(0).stopping);
   EXPECT_TRUE(job("j-2").placed.at(0).stopping);
-  EXPECT_FALSE(job("j-2").placed.at(1).stopping) << "the tasks of an array are stopped one by one";
+  EXPECT_FALSE(job("j-2").placed.at(1).stopping) << "tasks of an array are stopped individually";
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::kill);
   EXPECT_EQ(commands()[0].id.uid + "/" + std::to_string(commands()[0].id.task), "j-1/1");
   EXPECT_EQ(commands()[0].grace_period_s, 4);
-  EXPECT_TRUE(resume_inherited_stops(cluster_state).empty()) << "once";
+  EXPECT_TRUE(resume_inherited_stops(cluster_state).empty()) << "each stop is resumed once";
 }
 
-TEST_F(Reconciliation, ANodeAboutToBeInterruptedIsDrained) {
+TEST_F(Reconciliation, DrainsANodeWithAnInterruptionNotice) {
   accept("j-1", 1, JobType::service);
   accept("j-2", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   start("j-2", 1, {0, 1});
   job("j-2").spec.estimated_run_s = 5;
-  node().agent.interruption_at = steady + 20;
-  EXPECT_EQ(drain_interrupted_nodes(cluster_state, {steady, steady}).size(), 1u);
-  EXPECT_TRUE(job("j-1").placed.at(0).stopping) << "a service moves at once";
-  EXPECT_FALSE(job("j-2").placed.at(0).stopping) << "it ends before the machine goes";
+  node().agent.interruption_at = steady_s + 20;
+  EXPECT_EQ(drain_interrupted_nodes(cluster_state, {steady_s, steady_s}).size(), 1u);
+  EXPECT_TRUE(job("j-1").placed.at(0).stopping) << "a service is stopped at once";
+  EXPECT_FALSE(job("j-2").placed.at(0).stopping) << "it completes before the interruption";
   job("j-2").spec.estimated_run_s = 50;
-  drain_interrupted_nodes(cluster_state, {steady, steady});
+  drain_interrupted_nodes(cluster_state, {steady_s, steady_s});
   EXPECT_TRUE(job("j-2").placed.at(0).stopping);
 }
 
-// A new leader sends an agent a command before it has answered any of its heartbeats: its lease must not count from zero.
-TEST(LeaseExpiry, OfANodeReachedByCommandCountsFromWhenItSawTheToken) {
+// Guards against a lease that counts from time zero because a new leader sent the agent a command before any reply to a heartbeat.
+TEST(LeaseExpiry, CountsFromTheFirstContactUnderTheTokenWithoutAnyHeartbeatReply) {
   Node node;
   node.agent.highest_token = kToken;
   node.agent.fenced_at = 100;
@@ -203,112 +204,115 @@
   EXPECT_TRUE(is_lease_expired(node, fencing_state, 10, 111));
 }
 
-// Found by the randomised test: an agent's new incarnation lives for a whole lease without any answer.
-TEST_F(Reconciliation, ANewIncarnationHasAWholeLeaseFromItsFirstMessage) {
+// The randomised safety test found this case: a new incarnation of an agent lives for a whole lease without any reply.
+TEST_F(Reconciliation, GivesANewIncarnationAWholeLeaseFromItsFirstMessage) {
   heartbeat({});
   node().agent.last_answered_at = 100;
-  steady = 109;
+  steady_s = 109;
   heartbeat({}, false, kToken, 2);
   const FencingState fencing_state{kToken, 50, 50};
   EXPECT_FALSE(is_lease_expired(node(), fencing_state, 10, 112));
   EXPECT_TRUE(is_lease_expired(node(), fencing_state, 10, 120));
 }
 
-// An answer that starts an attempt is on its way; direct commands start it, stop it and would acknowledge its exit: the answer,
-// arriving last, would start it again.
-TEST_F(Reconciliation, NoExitIsAcknowledgedWhileAnAnswerWithAStartMayBeOnItsWay) {
+// A delayed heartbeat reply carries the start of an attempt that direct commands have meanwhile started and stopped. If its exit were
+// acknowledged, the reply would start the attempt again.
+TEST_F(Reconciliation, AcknowledgesNoExitWhileAReplyWithAStartMayBeInTransit) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
-  const auto sent = commands();
-  ASSERT_EQ(sent.size(), 1u);
-  record_commands_sent(node(), serial, sent);
+  const auto sent_commands = commands();
+  ASSERT_EQ(sent_commands.size(), 1u);
+  record_commands_sent(node(), serial, sent_commands);
   cluster_state.apply(JobCancelledRecord{"j-1"});
-  make_durable(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)}, false));
-  EXPECT_TRUE(commands().empty()) << "the answer to a command does not tell what became of the answer to the heartbeat";
+  commit_records(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)}, false));
+  EXPECT_TRUE(commands().empty()) << "the answer to a command proves nothing about the reply to the heartbeat";
   heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)});
-  ASSERT_EQ(commands().size(), 1u) << "its next heartbeat: the answer has arrived, or never will";
+  ASSERT_EQ(commands().size(), 1u) << "its next heartbeat shows that the reply has arrived or was dropped";
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
 }
 
-// Copies of a dead node's heartbeats reach the leader that had them already, and its successor, which never heard of the node.
-TEST_F(Reconciliation, ACopyOfAHeartbeatIsNoSignOfLife) {
+// Copies of a dead node's heartbeats reach the leader that has already received them, and its successor, which has received nothing else
+// from the node.
+TEST_F(Reconciliation, DoesNotCountACopyOfAHeartbeatAsASignOfLife) {
   heartbeat({}, true, kToken);
   const Heartbeat first = heartbeat_of_node("m-1", 1, node().agent.serial, kToken);
-  const double heard_at = steady;
-  record_lease_renewal(node(), false, heard_at);
-  for (steady = heard_at + 1; steady < heard_at + 30; steady += 3) {
-    const auto outcome = apply_heartbeat(cluster_state, first, {steady, steady}, true, kToken);
+  const double received_at = steady_s;
+  record_lease_renewal(node(), false, received_at);
+  for (steady_s = received_at + 1; steady_s < received_at + 30; steady_s += 3) {
+    const auto outcome = apply_heartbeat(cluster_state, first, {steady_s, steady_s}, true, kToken);
     EXPECT_TRUE(outcome.stale);
-    record_lease_renewal(node(), outcome.stale, steady);
+    record_lease_renewal(node(), outcome.stale, steady_s);
   }
-  EXPECT_EQ(node().agent.last_heartbeat_at, heard_at);
-  EXPECT_EQ(node().agent.last_answered_at, heard_at);
-  EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, heard_at + 11)) << "it expires as early as without the copies";
+  EXPECT_EQ(node().agent.last_heartbeat_at, received_at);
+  EXPECT_EQ(node().agent.last_answered_at, received_at);
+  EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, received_at + 11)) << "it expires as early as without the copies";
 
-  constexpr std::uint64_t kLater = kToken + 5;
-  ClusterState next = book_of_red(10);
-  Node* there = nullptr;
-  for (std::uint64_t serial = 1; serial < 9; ++serial, steady += 2) {
+  constexpr std::uint64_t kLaterToken = kToken + 5;
+  ClusterState successor_state = book_of_red(10);
+  Node* silent_node = nullptr;
+  for (std::uint64_t serial = 1; serial < 9; ++serial, steady_s += 2) {
     Heartbeat copy = first;
     copy.serial = serial;
-    apply_heartbeat(next, copy, {steady, steady}, true, kLater);
-    there = &next.node(next.find_node("m-1"));
-    EXPECT_LT(there->agent.highest_token, kLater) << "so nothing is placed there";
+    apply_heartbeat(successor_state, copy, {steady_s, steady_s}, true, kLaterToken);
+    silent_node = &successor_state.node(successor_state.find_node("m-1"));
+    EXPECT_LT(silent_node->agent.highest_token, kLaterToken) << "so nothing is placed on it";
   }
-  EXPECT_EQ(there->agent.last_heartbeat_at, steady - 16) << "silent since the first of them";
-  there->lease_expired = true;
+  EXPECT_EQ(silent_node->agent.last_heartbeat_at, steady_s - 16) << "silent since the first copy";
+  silent_node->lease_expired = true;
   Heartbeat copy = first;
   copy.serial = 20;
-  apply_heartbeat(next, copy, {steady, steady}, true, kLater);
-  EXPECT_TRUE(there->lease_expired);
+  apply_heartbeat(successor_state, copy, {steady_s, steady_s}, true, kLaterToken);
+  EXPECT_TRUE(silent_node->lease_expired);
   copy.serial = 21;
-  copy.fencing_token = kLater;
-  apply_heartbeat(next, copy, {steady, steady}, true, kLater);
-  EXPECT_FALSE(there->lease_expired) << "it has seen this leader";
+  copy.fencing_token = kLaterToken;
+  apply_heartbeat(successor_state, copy, {steady_s, steady_s}, true, kLaterToken);
+  EXPECT_FALSE(silent_node->lease_expired) << "it has seen this leader";
 }
 
-// Heartbeats come and answers do not arrive: detected when an incarnation ends that was answered all along.
-TEST_F(Reconciliation, ANodeThatAnswersDoNotReachIsDetectedFromItsHeartbeats) {
-  constexpr double kLease = 10, kHeartbeat = 1;
+// One-way partition: heartbeats arrive, but replies do not reach the agent. It shows when an incarnation ends although the leader replied
+// to its heartbeats in time.
+TEST_F(Reconciliation, DetectsANodeThatRepliesDoNotReach) {
+  constexpr double kLeaseS = 10, kHeartbeatIntervalS = 1;
   std::uint64_t agent_incarnation = 1, serial = 100, fencing_token = kToken;
   const auto receive = [&](bool is_heartbeat) {
     const Heartbeat message = heartbeat_of_node("m-1", agent_incarnation, ++serial, fencing_token);
     Node& node = cluster_state.node(cluster_state.find_or_add_node("m-1"));
-    observe_message(node, message, is_heartbeat, steady, kLease);
-    const auto outcome = apply_heartbeat(cluster_state, message, {steady, steady}, is_heartbeat, kToken);
-    if (is_heartbeat) record_lease_renewal(node, outcome.stale, steady);
+    track_responsiveness(node, message, is_heartbeat, steady_s, kLeaseS);
+    const auto outcome = apply_heartbeat(cluster_state, message, {steady_s, steady_s}, is_heartbeat, kToken);
+    if (is_heartbeat) record_lease_renewal(node, outcome.stale, steady_s);
   };
   receive(true);
-  const double began = steady;
-  for (; steady < began + 9; steady += kHeartbeat) receive(true);
-  EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat));
-  ++agent_incarnation, serial = 0, steady = began + 10;
+  const double started_at = steady_s;
+  for (; steady_s < started_at + 9; steady_s += kHeartbeatIntervalS) receive(true);
+  EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS));
+  ++agent_incarnation, serial = 0, steady_s = started_at + 10;
   receive(true);
-  EXPECT_TRUE(is_unresponsive(node(), steady, kHeartbeat)) << "its lease expired, though it was answered a second ago";
-  for (; steady < began + 19; steady += kHeartbeat) receive(true);
-  EXPECT_TRUE(is_unresponsive(node(), steady, kHeartbeat));
-  EXPECT_TRUE(unresponsive_nodes_to_replace(cluster_state, steady, kLease).empty());
-  EXPECT_EQ(unresponsive_nodes_to_replace(cluster_state, steady + 3 * kLease, kLease).size(), 1u) << "replaced, if it stays so";
+  EXPECT_TRUE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS)) << "its lease expired although the leader replied a second ago";
+  for (; steady_s < started_at + 19; steady_s += kHeartbeatIntervalS) receive(true);
+  EXPECT_TRUE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS));
+  EXPECT_TRUE(find_unresponsive_nodes_to_replace(cluster_state, steady_s, kLeaseS).empty());
+  EXPECT_EQ(find_unresponsive_nodes_to_replace(cluster_state, steady_s + 3 * kLeaseS, kLeaseS).size(), 1u)
+      << "replaced if it stays unresponsive";
   receive(false);
-  EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat)) << "it answered a command";
-  // One that stood still for longer than its lease heard all that it was sent.
-  ++agent_incarnation, serial = 0, steady += 11;
+  EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS)) << "it answered a command";
+  // An agent that hung for longer than its lease has received all replies.
+  ++agent_incarnation, serial = 0, steady_s += 11;
   receive(true);
-  EXPECT_FALSE(is_unresponsive(node(), steady, kHeartbeat));
+  EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS));
 }
 
-TEST(LeaseExpiry, OfASilentNodeHasNotExpiredWhileAPeerMayStillRenewIt) {
+TEST(LeaseExpiry, DoesNotExpireWhileAPeerMayStillRenewTheLease) {
   Node node;
   FencingState fencing_state{kToken, 100, -1};
   EXPECT_FALSE(is_lease_expired(node, fencing_state, 10, 1e6));
-  fencing_state.peers_acked_at = 200;
+  fencing_state.sole_leader_since = 200;
   EXPECT_FALSE(is_lease_expired(node, fencing_state, 10, 205));
   EXPECT_TRUE(is_lease_expired(node, fencing_state, 10, 211));
 }
 
-// An uncertain leader sends these and nothing else: no start, no stop to make room, no acknowledgement.
-TEST_F(Reconciliation, AnUncertainLeaderSendsOnlyKillsOfCancelledJobs) {
+// A leader whose leadership is uncertain sends only these kills: no start, no preemption, no acknowledgement.
+TEST_F(Reconciliation, SelectsOnlyKillsOfCancelledJobsWhenLeadershipIsUncertain) {
   accept("j-1", 3);
   accept("j-2", 3);
   accept("j-3", 1);
@@ -329,43 +333,43 @@
     EXPECT_EQ(command.grace_period_s, 0);
     killed.insert(command.id.uid + "/" + std::to_string(command.id.task));
   }
-  // One that runs, one whose start may be on its way, and one that the cluster state places nowhere.
+  // A running task, a task whose start may be in transit, and a task without a placement.
   EXPECT_EQ(killed, (std::set<std::string>{"j-1/0", "j-1/2", "j-3/0"}));
 }
 
-// A task stopped to make room writes its checkpoint; when it was cancelled meanwhile, it used to be left to finish that.
-TEST_F(Reconciliation, ATaskCancelledWhileItWritesItsCheckpointIsKilledAtOnce) {
+// Guards against a preempted task that finishes its checkpoint although its job was cancelled in the meantime.
+TEST_F(Reconciliation, KillsATaskAtOnceThatIsCancelledWhileItWritesItsCheckpoint) {
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   mark_for_stop(job("j-1").placed.at(0), 4);
   heartbeat({task_report("j-1", 0, 1, TaskPhase::checkpointing)});
-  EXPECT_TRUE(commands().empty()) << "it writes its checkpoint";
+  EXPECT_TRUE(commands().empty()) << "the checkpoint is allowed to finish";
   cluster_state.apply(JobCancelledRecord{"j-1"});
   ASSERT_EQ(commands().size(), 1u);
   EXPECT_EQ(commands()[0].type, CommandType::kill);
   EXPECT_EQ(commands()[0].grace_period_s, 0);
 }
 
-// A delayed start of a job that is cancelled since may be executed as long as the incarnation lasts and no higher token was seen: the
-// lease is not renewed for longer than the command may still matter.
-TEST_F(Reconciliation, ALeaseIsNotRenewedBeyondWhatALateStartOfACancelledJobAllows) {
-  constexpr double kSpan = 20;
+// An agent may execute a delayed start of a job that was cancelled in the meantime until its incarnation ends or it sees a higher token.
+// Some time after the cancellation, its lease must therefore not be renewed.
+TEST_F(Reconciliation, DetectsADelayedStartOfACancelledJobThatBlocksLeaseRenewal) {
+  constexpr double kMinCancellationAgeS = 20;
   accept("j-1", 1);
   heartbeat({});
   start("j-1", 1, {0, 1});
   cluster_state.apply(JobCancelledRecord{"j-1"});
   job("j-1").cancelled_at = 100;
-  const auto late = [&](double now) { return has_late_start_of_cancelled_job(cluster_state, node(), now, kSpan); };
-  EXPECT_FALSE(late(200)) << "no command is on its way";
+  const auto may_still_start = [&](double now) { return may_still_start_cancelled_job(cluster_state, node(), now, kMinCancellationAgeS); };
+  EXPECT_FALSE(may_still_start(200)) << "no command is in transit";
   node().commands.uncertain_token = kToken;
-  EXPECT_FALSE(late(119));
-  EXPECT_TRUE(late(121));
+  EXPECT_FALSE(may_still_start(119));
+  EXPECT_TRUE(may_still_start(121));
   heartbeat({}, true, kToken + 1);
-  EXPECT_FALSE(late(121)) << "fenced by a higher token";
+  EXPECT_FALSE(may_still_start(121)) << "fenced by a higher token";
   node().commands.uncertain_token = kToken + 1;
   job("j-1").cancelled_at = 0;
-  EXPECT_FALSE(late(121)) << "an earlier leader's start is fenced by any answer of this one";
+  EXPECT_FALSE(may_still_start(121)) << "a start of an earlier leader is fenced by any message of this leader";
 }
 
 }  // namespace
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -46,14 +46,14 @@
   due.enqueue(NodeIndex{1}, true, 0);
   const auto first = due.dequeue();
   ASSERT_TRUE(first);
-  EXPECT_TRUE(first->announce);
+  EXPECT_TRUE(first->announce_leader);
   EXPECT_FALSE(due.dequeue());
   due.enqueue(NodeIndex{1}, false, 0);
   EXPECT_FALSE(due.has_ready());  // a sender serves it
   due.complete(NodeIndex{1});
   const auto again = due.dequeue();
   ASSERT_TRUE(again);
-  EXPECT_FALSE(again->announce);
+  EXPECT_FALSE(again->announce_leader);
 }
 
 TEST(CommandQueue, NodesThatDoNotAnswerNeverHoldUpTheOthers) {
--- a/tests/safety_agents.cpp
+++ b/tests/safety_agents.cpp
@@ -48,7 +48,7 @@
   ClusterState& cluster_state = leader_->cluster_state;
   Node& node = cluster_state.node(cluster_state.find_or_add_node(heartbeat.node));
   const bool was_unresponsive = node.agent.unresponsive_since > 0;
-  observe_message(node, heartbeat, is_heartbeat, now_, kLease);
+  track_responsiveness(node, heartbeat, is_heartbeat, now_, kLease);
   found_unresponsive += !was_unresponsive && node.agent.unresponsive_since > 0;
   auto outcome = apply_heartbeat(cluster_state, heartbeat, {now_, now_}, is_heartbeat, leader_->takeover_token);
   if (is_heartbeat) record_lease_renewal(node, outcome.stale, now_);
@@ -72,7 +72,7 @@
   receive(heartbeat, true);
   const NodeIndex node_index = leader_->cluster_state.find_node(heartbeat.node);
   Node& node = leader_->cluster_state.node(node_index);
-  if (has_late_start_of_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancel, kLease))) return std::nullopt;
+  if (may_still_start_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancel, kLease))) return std::nullopt;
   std::vector<Command> commands;
   if (node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial)
     commands = pending_commands(leader_->cluster_state, node_index, leader_->takeover_token);
--- a/tests/safety_leader.cpp
+++ b/tests/safety_leader.cpp
@@ -133,8 +133,8 @@
   const FencingState fencing_state{takeover_token,
                                    taken_at,
                                    acked_at,
-                                   {0, follower_lease.renewals_until(simulation.now_)},
-                                   {0, follower_lease.earlier_renewals_until(simulation.now_)}};
+                                   {0, follower_lease.latest_possible_renewal(simulation.now_)},
+                                   {0, follower_lease.latest_possible_earlier_renewal(simulation.now_)}};
   std::vector<Record> records;
   bool doubt = false;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
@@ -168,7 +168,7 @@
   Leader& l = *leader_;
   const double sent = now_, echoed_sent_at = l.mark > 0 ? l.marked_sent_at : 0, mark = l.mark,
                oldest_cancellation = oldest_cancellation_s();
-  if (mark > 0) l.follower_lease.record_sent();
+  if (mark > 0) l.follower_lease.record_heartbeat_sent();
   const auto term = l.takeover_token, fencing_token = l.fencing_token;
   const bool held = uniform(0, 1) < 0.5;
   if (now_ < partitioned_until_ && !held) return;
@@ -177,7 +177,7 @@
     partition_lease_.observe_leader(term);
     follower_token_ = fencing_token;
     if (mark > 0) partition_lease_.grant(fencing_token, mark, oldest_cancellation);
-    const double asked = now_, last_renewal_age = now_ - partition_lease_.last_renewal();
+    const double asked = now_, last_renewal_age = now_ - partition_lease_.last_renewal_at();
     schedule(now_ + delay(), [this, term, asked, last_renewal_age, sent, echoed_sent_at] {
       if (leader_->takeover_token != term || now_ < partitioned_until_ || sent < leader_->marked_sent_at) return;
       leader_->follower_lease.record_ack(echoed_sent_at, now_, last_renewal_age);
--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -188,7 +188,7 @@
 
 TEST(LeadershipBackoff, IsLongerWhereItComesToThatAgainAndAgain) {
   LeadershipBackoff s;
-  EXPECT_EQ(s.remaining(100), 0);
+  EXPECT_EQ(s.remaining_s(100), 0);
   EXPECT_EQ(s.record_hand_over(100), 15);
   EXPECT_EQ(s.record_hand_over(150), 30);
   EXPECT_EQ(s.record_hand_over(200), 60);
@@ -196,7 +196,7 @@
   EXPECT_EQ(s.record_hand_over(300), 120);
   EXPECT_EQ(s.record_hand_over(500), 15);
   s.extend_until(510);
-  EXPECT_EQ(s.remaining(503), 7);
+  EXPECT_EQ(s.remaining_s(503), 7);
 }
 
 TEST(StartStallDetector, TellsOnceForEachStall) {
