--- a/tests/concurrent_leaders_test.cpp
+++ b/tests/concurrent_leaders_test.cpp
@@ -1,7 +1,7 @@
-// Two controllers that each may believe that they lead, explored exhaustively: two teams that may use one core each, three jobs, two
-// nodes, and every interleaving (up to a number of events) of decisions, transactions that are late, lost or applied without an
-// answer, commands that are late or lost, tasks that end, heartbeats, session leases that expire, and takeovers. Cluster state, quota
-// accounts and reconciliation are those of the service. What the nodes really run must stay within the quotas.
+// Explores exhaustively two controllers that may both believe that they lead: two teams with a quota of one core each, three jobs, two
+// nodes, and every interleaving, up to a number of events, of decisions, transactions that are delayed, lost or applied without an
+// answer, commands that are delayed or lost, task exits, heartbeats, expired session leases and takeovers. Cluster state, quota
+// accounts and reconciliation are those of the service. The tasks that the nodes run must stay within the quotas.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -19,10 +19,10 @@
 namespace thistlefront {
 namespace {
 
-const std::vector<std::pair<std::string, std::string>> kJobs{{"j-1", "red"}, {"j-2", "red"}, {"j-3", "blue"}};
+const std::vector<std::pair<std::string, std::string>> kJobTeams{{"j-1", "red"}, {"j-2", "red"}, {"j-3", "blue"}};
 
 struct Transaction {
-  std::size_t from = 0;
+  std::size_t sender = 0;  // index of the controller
   std::uint64_t fencing_token = 0, term = 0;
   Record record;
 };
@@ -31,339 +31,353 @@
   std::size_t node = 0;
   Command command;
 };
-// What one controller believes.
+// The state of one controller, which may differ from the state of the system.
 struct ControllerView {
-  bool leads = false, waits = false;  // it believes so; a transaction of it is on its way
+  bool leads = false;  // it believes that it leads
+  bool awaits_transaction = false;
   std::uint64_t fencing_token = 0;
-  std::size_t ledger_read = 0;                         // entries of the ledger at its takeover
-  std::vector<std::variant<Record, Heartbeat>> since;  // what it learned, in order
+  std::size_t ledger_size_at_takeover = 0;
+  std::vector<std::variant<Record, Heartbeat>> applied;  // records and heartbeats since its takeover, in order
 };
-// What a node really runs.
+// The actual state of a node and its agent.
 struct NodeState {
   std::uint64_t fencing_token = 0, serial = 0;
-  std::map<std::pair<std::string, std::uint64_t>, bool> tasks;  // uid, attempt: ended
+  std::map<std::pair<std::string, std::uint64_t>, bool> tasks;  // by uid and attempt: whether it has exited
 };
 template <class... Numbers>
-std::string numbers(const Numbers&... values) {
+std::string text_of_numbers(const Numbers&... values) {
   return ((("," + std::to_string(values))) + ...);
 }
 
 std::string text_of(const Heartbeat& heartbeat) {
-  std::string out = heartbeat.node + numbers(heartbeat.fencing_token);
-  for (const auto& task : heartbeat.tasks) out += task.id.uid + numbers(task.attempt, static_cast<int>(task.phase));
+  std::string out = heartbeat.node + text_of_numbers(heartbeat.fencing_token);
+  for (const auto& task : heartbeat.tasks) out += task.id.uid + text_of_numbers(task.attempt, static_cast<int>(task.phase));
   return out;
 }
 
 std::string text_of(const ControllerView& controller) {
-  std::string out = "|" + numbers(controller.leads, controller.waits, controller.fencing_token, controller.ledger_read);
-  for (const auto& learned : controller.since) {
-    if (const auto* record = std::get_if<Record>(&learned)) out += encode_record(*record, 1).text;
-    if (const auto* heartbeat = std::get_if<Heartbeat>(&learned)) out += text_of(*heartbeat);
+  std::string out =
+      "|" + text_of_numbers(controller.leads, controller.awaits_transaction, controller.fencing_token, controller.ledger_size_at_takeover);
+  for (const auto& applied : controller.applied) {
+    if (const auto* record = std::get_if<Record>(&applied)) out += encode_record(*record, 1).text;
+    if (const auto* heartbeat = std::get_if<Heartbeat>(&applied)) out += text_of(*heartbeat);
   }
   return out;
 }
 
-struct World {
-  std::uint64_t lead = 0, revision = 0;
-  bool cancels = false;
+// The state of the whole system.
+struct SystemState {
+  std::uint64_t leader_token = 0, revision = 0;  // leader_token 0: the session lease has expired
+  bool users_cancel = false;
   std::vector<Record> ledger;
   std::vector<ControllerView> controllers{2};
   std::vector<Transaction> transactions;
   std::vector<CommandInFlight> commands_in_flight;
   std::vector<NodeState> nodes{2};
 
-  // Equal for worlds that differ only in the serials of heartbeats.
+  // Equal for states that differ only in the serials of heartbeats.
   [[nodiscard]] std::string text() const {
-    std::string out = std::to_string(lead) + "," + std::to_string(revision);
+    std::string out = std::to_string(leader_token) + "," + std::to_string(revision);
     for (const auto& record : ledger) out += encode_record(record, 1).text;
     for (const auto& controller : controllers) out += text_of(controller);
     for (const auto& transaction : transactions)
-      out += "/" + numbers(transaction.from, transaction.fencing_token) + encode_record(transaction.record, 1).text;
+      out += "/" + text_of_numbers(transaction.sender, transaction.fencing_token) + encode_record(transaction.record, 1).text;
     for (const auto& [fencing_token, node, command] : commands_in_flight)
-      out += ">" + numbers(fencing_token, node) + command.id.uid + numbers(command.attempt, static_cast<int>(command.type));
+      out += ">" + text_of_numbers(fencing_token, node) + command.id.uid + text_of_numbers(command.attempt, static_cast<int>(command.type));
     for (const auto& node : nodes) {
-      out += "m" + numbers(node.fencing_token);
-      for (const auto& [task, ended] : node.tasks) out += task.first + numbers(task.second, ended);
+      out += "m" + text_of_numbers(node.fencing_token);
+      for (const auto& [task, exited] : node.tasks) out += task.first + text_of_numbers(task.second, exited);
     }
     return out;
   }
-  [[nodiscard]] Heartbeat heartbeat(std::size_t m) {
-    NodeState& node = nodes[m];
-    Heartbeat out = heartbeat_of_node("m-" + std::to_string(m), 1, ++node.serial, node.fencing_token);
-    for (const auto& [task, ended] : node.tasks) out.tasks.push_back(running_or_completed(task.first, 0, task.second, ended));
+  [[nodiscard]] Heartbeat heartbeat(std::size_t node_number) {
+    NodeState& node = nodes[node_number];
+    Heartbeat out = heartbeat_of_node("m-" + std::to_string(node_number), 1, ++node.serial, node.fencing_token);
+    for (const auto& [task, exited] : node.tasks) out.tasks.push_back(running_or_completed(task.first, 0, task.second, exited));
     return out;
   }
   [[nodiscard]] std::string violation() const {
-    std::map<std::string, int> by_team, by_job;
-    for (const auto& m : nodes)
-      for (const auto& [p, ended] : m.tasks) {
-        if (ended) continue;
-        const auto job = std::find_if(kJobs.begin(), kJobs.end(), [&](const auto& j) { return j.first == p.first; });
-        if (++by_team[job->second] > 1) return "quota: " + job->second;
-        if (++by_job[p.first] > 1) return "ran_twice: " + p.first;
+    std::map<std::string, int> running_by_team, running_by_job;
+    for (const auto& node : nodes)
+      for (const auto& [task, exited] : node.tasks) {
+        if (exited) continue;
+        const auto job = std::find_if(kJobTeams.begin(), kJobTeams.end(), [&](const auto& entry) { return entry.first == task.first; });
+        if (++running_by_team[job->second] > 1) return "quota: " + job->second;
+        if (++running_by_job[task.first] > 1) return "two attempts running: " + task.first;
       }
     return "";
   }
 };
 
-// A safety guard that is removed.
-enum class Fault : std::uint8_t { none, no_mod_revision, sends_before_it_is_durable, uses_are_not_counted, cancelled_is_not_counted };
+// The safety guard that is removed.
+enum class RemovedGuard : std::uint8_t { none, mod_revision_check, durability_before_commands, quota_check, cancelled_tasks_in_quota };
 
 class Explorer {
  public:
-  explicit Explorer(Fault fault) : fault_(fault) {}
-  std::string run(World first, std::size_t most) {
-    std::deque<std::pair<World, std::string>> queue;
-    std::deque<std::size_t> depth{0};
-    seen_.insert(first.text());
-    queue.push_back({std::move(first), ""});
+  explicit Explorer(RemovedGuard removed) : removed_(removed) {}
+  // Explores all states up to `max_events` events away. Returns the events that lead to a violation, or an empty string.
+  std::string run(SystemState initial, std::size_t max_events) {
+    std::deque<std::pair<SystemState, std::string>> queue;
+    std::deque<std::size_t> event_counts{0};
+    visited_.insert(initial.text());
+    queue.push_back({std::move(initial), ""});
     while (!queue.empty()) {
-      auto [world, path] = std::move(queue.front());
+      auto [state, path] = std::move(queue.front());
       queue.pop_front();
-      const auto events = depth.front();
-      depth.pop_front();
-      if (events >= most) continue;
-      std::string found;
-      each(world, [&](World next, const std::string& event) {
-        if (const auto violation = next.violation(); found.empty() && !violation.empty()) found = path + event + "; " + violation;
-        if (!seen_.insert(next.text()).second) return;
+      const auto events = event_counts.front();
+      event_counts.pop_front();
+      if (events >= max_events) continue;
+      std::string violation_path;
+      for_each_successor(state, [&](SystemState next, const std::string& event) {
+        if (const auto violation = next.violation(); violation_path.empty() && !violation.empty())
+          violation_path = path + event + "; " + violation;
+        if (!visited_.insert(next.text()).second) return;
         queue.push_back({std::move(next), path + event + "; "});
-        depth.push_back(events + 1);
+        event_counts.push_back(events + 1);
       });
-      if (!found.empty()) return found;
+      if (!violation_path.empty()) return violation_path;
     }
     return "";
   }
-  [[nodiscard]] std::size_t worlds() const { return seen_.size(); }
+  [[nodiscard]] std::size_t state_count() const { return visited_.size(); }
 
  private:
-  static ClusterState fresh() { return ClusterState({Team{"red", {}, {1, 0, 0}}, Team{"blue", {}, {1, 0, 0}}}); }
-  // What the controller believes, and which records its last heartbeat led to.
-  static ClusterState state_of(const World& w, const ControllerView& d, std::vector<Record>* last = nullptr) {
-    ClusterState cluster_state = fresh();
-    for (std::size_t i = 0; i < d.ledger_read; ++i) cluster_state.apply(w.ledger[i]);
-    for (const auto& s : d.since) {
-      if (const auto* r = std::get_if<Record>(&s)) cluster_state.apply(*r);
-      if (const auto* r = std::get_if<Heartbeat>(&s)) {
-        auto out = apply_heartbeat(cluster_state, *r, {1, 1}, true, d.fencing_token);
-        if (last) *last = std::move(out.records);
+  static ClusterState initial_cluster_state() { return ClusterState({Team{"red", {}, {1, 0, 0}}, Team{"blue", {}, {1, 0, 0}}}); }
+  // Returns the controller's cluster state. `last_records`, if given, receives the records that its last heartbeat produced.
+  static ClusterState cluster_state_of(const SystemState& state, const ControllerView& controller,
+                                       std::vector<Record>* last_records = nullptr) {
+    ClusterState cluster_state = initial_cluster_state();
+    for (std::size_t i = 0; i < controller.ledger_size_at_takeover; ++i) cluster_state.apply(state.ledger[i]);
+    for (const auto& applied : controller.applied) {
+      if (const auto* record = std::get_if<Record>(&applied)) cluster_state.apply(*record);
+      if (const auto* heartbeat = std::get_if<Heartbeat>(&applied)) {
+        auto outcome = apply_heartbeat(cluster_state, *heartbeat, {1, 1}, true, controller.fencing_token);
+        if (last_records) *last_records = std::move(outcome.records);
       }
     }
     return cluster_state;
   }
 
-  // Calls `found` with each world that one event leads to.
-  template <class Found>
-  void each(const World& world, const Found& found) {
-    for (std::size_t t = 0; t < world.transactions.size(); ++t) transaction_events(world, t, found);
-    for (std::size_t c = 0; c < world.commands_in_flight.size(); ++c) command_events(world, c, found);
-    task_end_events(world, found);
-    if (world.lead != 0) {
-      World w = world;
-      w.lead = 0;
-      found(std::move(w), "the session lease expires");
+  // Calls `visit` with each state that one event leads to.
+  template <class Visit>
+  void for_each_successor(const SystemState& state, const Visit& visit) {
+    for (std::size_t transaction_index = 0; transaction_index < state.transactions.size(); ++transaction_index)
+      transaction_events(state, transaction_index, visit);
+    for (std::size_t command_index = 0; command_index < state.commands_in_flight.size(); ++command_index)
+      command_events(state, command_index, visit);
+    task_exit_events(state, visit);
+    if (state.leader_token != 0) {
+      SystemState next = state;
+      next.leader_token = 0;
+      visit(std::move(next), "the session lease expires");
     }
-    for (std::size_t i = 0; i < world.controllers.size(); ++i) controller_events(world, i, found);
+    for (std::size_t i = 0; i < state.controllers.size(); ++i) controller_events(state, i, visit);
   }
 
-  // The transaction is applied or refused, and its sender hears of that or not; or it is lost.
-  template <class Found>
-  void transaction_events(const World& world, std::size_t t, const Found& found) {
+  // The transaction is applied or refused, and its sender receives the answer or not; or the transaction is lost.
+  template <class Visit>
+  void transaction_events(const SystemState& state, std::size_t transaction_index, const Visit& visit) {
     for (const bool answered : {true, false}) {
-      World w = world;
-      const Transaction transaction = w.transactions[t];
-      w.transactions.erase(w.transactions.begin() + static_cast<long>(t));
-      ControllerView& d = w.controllers[transaction.from];
-      const bool done = transaction.fencing_token == w.lead || fault_ == Fault::no_mod_revision;
-      if (done) w.ledger.push_back(transaction.record);
-      if (answered && d.leads && d.fencing_token == transaction.term) {
-        d.waits = false;
-        if (!done) d.leads = false;
-        if (done && fault_ != Fault::sends_before_it_is_durable) d.since.emplace_back(transaction.record);
+      SystemState next = state;
+      const Transaction transaction = next.transactions[transaction_index];
+      next.transactions.erase(next.transactions.begin() + static_cast<long>(transaction_index));
+      ControllerView& controller = next.controllers[transaction.sender];
+      const bool committed = transaction.fencing_token == next.leader_token || removed_ == RemovedGuard::mod_revision_check;
+      if (committed) next.ledger.push_back(transaction.record);
+      if (answered && controller.leads && controller.fencing_token == transaction.term) {
+        controller.awaits_transaction = false;
+        if (!committed) controller.leads = false;
+        if (committed && removed_ != RemovedGuard::durability_before_commands) controller.applied.emplace_back(transaction.record);
       }
-      found(std::move(w), done ? "applied" : "refused");
+      visit(std::move(next), committed ? "applied" : "refused");
     }
-    World lost = world;
-    lost.transactions.erase(lost.transactions.begin() + static_cast<long>(t));
-    found(std::move(lost), "lost");
+    SystemState lost = state;
+    lost.transactions.erase(lost.transactions.begin() + static_cast<long>(transaction_index));
+    visit(std::move(lost), "lost");
   }
 
-  // The command is lost, or arrives.
-  template <class Found>
-  void command_events(const World& world, std::size_t c, const Found& found) {
-    World w = world;
-    const CommandInFlight in_flight = w.commands_in_flight[c];
-    w.commands_in_flight.erase(w.commands_in_flight.begin() + static_cast<long>(c));
-    found(w, "command lost");
-    NodeState& m = w.nodes[in_flight.node];
-    if (in_flight.fencing_token < m.fencing_token) return;
-    m.fencing_token = in_flight.fencing_token;
+  // The command is lost or arrives.
+  template <class Visit>
+  void command_events(const SystemState& state, std::size_t command_index, const Visit& visit) {
+    SystemState next = state;
+    const CommandInFlight in_flight = next.commands_in_flight[command_index];
+    next.commands_in_flight.erase(next.commands_in_flight.begin() + static_cast<long>(command_index));
+    visit(next, "command lost");
+    NodeState& node = next.nodes[in_flight.node];
+    if (in_flight.fencing_token < node.fencing_token) return;
+    node.fencing_token = in_flight.fencing_token;
     const std::pair key{in_flight.command.id.uid, in_flight.command.attempt};
-    if (in_flight.command.type == CommandType::run) m.tasks.emplace(key, false);
-    if (in_flight.command.type == CommandType::acknowledge_exit) m.tasks.erase(key);
-    if (in_flight.command.type == CommandType::kill && m.tasks.contains(key)) m.tasks[key] = true;
-    found(std::move(w), "executed on m-" + std::to_string(in_flight.node));
+    if (in_flight.command.type == CommandType::run) node.tasks.emplace(key, false);
+    if (in_flight.command.type == CommandType::acknowledge_exit) node.tasks.erase(key);
+    if (in_flight.command.type == CommandType::kill && node.tasks.contains(key)) node.tasks[key] = true;
+    visit(std::move(next), "executed on m-" + std::to_string(in_flight.node));
   }
 
-  template <class Found>
-  void task_end_events(const World& world, const Found& found) {
-    for (std::size_t m = 0; m < world.nodes.size(); ++m)
-      for (const auto& [task, ended] : world.nodes[m].tasks) {
-        if (ended) continue;
-        World w = world;
-        w.nodes[m].tasks[task] = true;
-        found(std::move(w), task.first + " ends");
+  template <class Visit>
+  void task_exit_events(const SystemState& state, const Visit& visit) {
+    for (std::size_t node_number = 0; node_number < state.nodes.size(); ++node_number)
+      for (const auto& [task, exited] : state.nodes[node_number].tasks) {
+        if (exited) continue;
+        SystemState next = state;
+        next.nodes[node_number].tasks[task] = true;
+        visit(std::move(next), task.first + " exits");
       }
   }
 
-  // What the controller may do next.
-  template <class Found>
-  void controller_events(const World& world, std::size_t i, const Found& found) {
+  // The controller takes over, receives a heartbeat, sends a command, or decides a cancellation or start.
+  template <class Visit>
+  void controller_events(const SystemState& state, std::size_t i, const Visit& visit) {
     const std::string name = "controller " + std::to_string(i);
-    if (world.lead == 0) {
-      World w = world;
-      w.lead = ++w.revision;
-      w.controllers[i] = {true, false, w.lead, w.ledger.size(), {}};
-      found(std::move(w), name + " takes over");
+    if (state.leader_token == 0) {
+      SystemState next = state;
+      next.leader_token = ++next.revision;
+      next.controllers[i] = {true, false, next.leader_token, next.ledger.size(), {}};
+      visit(std::move(next), name + " takes over");
     }
-    const ControllerView& d = world.controllers[i];
-    if (!d.leads) return;
-    heartbeat_events(world, i, found);
-    const ClusterState cluster_state = state_of(world, d);
-    send_events(world, i, cluster_state, found);
-    if (d.waits || world.transactions.size() >= 2) return;
-    // Users cancel what runs, in worlds in which something does from the beginning.
-    if (const JobIndex j = cluster_state.find(kJobs[0].first); world.cancels && !cluster_state.job(j).ended()) {
-      World w = world;
-      w.transactions.push_back({i, d.fencing_token, d.fencing_token, JobCancelledRecord{kJobs[0].first}});
-      w.controllers[i].waits = true;
-      found(std::move(w), name + " cancels " + kJobs[0].first);
+    const ControllerView& controller = state.controllers[i];
+    if (!controller.leads) return;
+    heartbeat_events(state, i, visit);
+    const ClusterState cluster_state = cluster_state_of(state, controller);
+    send_events(state, i, cluster_state, visit);
+    if (controller.awaits_transaction || state.transactions.size() >= 2) return;
+    // Users cancel only in scenarios that begin with running tasks.
+    if (const JobIndex job_index = cluster_state.find(kJobTeams[0].first); state.users_cancel && !cluster_state.job(job_index).ended()) {
+      SystemState next = state;
+      next.transactions.push_back({i, controller.fencing_token, controller.fencing_token, JobCancelledRecord{kJobTeams[0].first}});
+      next.controllers[i].awaits_transaction = true;
+      visit(std::move(next), name + " cancels " + kJobTeams[0].first);
     }
-    for (const auto& [uid, team] : kJobs) start_events(world, i, cluster_state, uid, found);
+    for (const auto& [uid, team] : kJobTeams) start_events(state, i, cluster_state, uid, visit);
   }
 
-  // It hears a heartbeat of a node, and writes what follows from it.
-  template <class Found>
-  void heartbeat_events(const World& world, std::size_t i, const Found& found) {
-    const ControllerView& d = world.controllers[i];
-    for (std::size_t m = 0; m < world.nodes.size() && d.since.size() < 4; ++m) {
-      World w = world;
-      const Heartbeat heartbeat = w.heartbeat(m);
-      w.controllers[i].since.emplace_back(heartbeat);
+  // The controller receives a heartbeat of a node, and commits the records that follow from it.
+  template <class Visit>
+  void heartbeat_events(const SystemState& state, std::size_t i, const Visit& visit) {
+    const ControllerView& controller = state.controllers[i];
+    for (std::size_t node_number = 0; node_number < state.nodes.size() && controller.applied.size() < 4; ++node_number) {
+      SystemState next = state;
+      const Heartbeat heartbeat = next.heartbeat(node_number);
+      next.controllers[i].applied.emplace_back(heartbeat);
       std::vector<Record> records;
-      state_of(w, w.controllers[i], &records);
-      for (auto& r : records) w.transactions.push_back({i, d.fencing_token, d.fencing_token, std::move(r)});
-      if (w.transactions.size() <= 2) found(std::move(w), "controller " + std::to_string(i) + " hears m-" + std::to_string(m));
+      cluster_state_of(next, next.controllers[i], &records);
+      for (auto& record : records) next.transactions.push_back({i, controller.fencing_token, controller.fencing_token, std::move(record)});
+      if (next.transactions.size() <= 2)
+        visit(std::move(next), "controller " + std::to_string(i) + " receives a heartbeat of m-" + std::to_string(node_number));
     }
   }
 
-  // It sends a command that a node is due.
-  template <class Found>
-  void send_events(const World& world, std::size_t i, const ClusterState& cluster_state, const Found& found) {
-    const ControllerView& d = world.controllers[i];
-    for (std::uint32_t n = 0; n < cluster_state.node_count() && world.commands_in_flight.size() < 2; ++n) {
-      const Node& node = cluster_state.node(NodeIndex{n});
-      for (const auto& command : pending_commands(cluster_state, NodeIndex{n}, d.fencing_token)) {
-        World w = world;
-        w.commands_in_flight.push_back({d.fencing_token, static_cast<std::size_t>(node.name.back() - '0'), command});
-        found(std::move(w), "controller " + std::to_string(i) + " sends to " + node.name);
+  // The controller sends a pending command of a node.
+  template <class Visit>
+  void send_events(const SystemState& state, std::size_t i, const ClusterState& cluster_state, const Visit& visit) {
+    const ControllerView& controller = state.controllers[i];
+    for (std::uint32_t index = 0; index < cluster_state.node_count() && state.commands_in_flight.size() < 2; ++index) {
+      const Node& node = cluster_state.node(NodeIndex{index});
+      for (const auto& command : pending_commands(cluster_state, NodeIndex{index}, controller.fencing_token)) {
+        SystemState next = state;
+        next.commands_in_flight.push_back({controller.fencing_token, static_cast<std::size_t>(node.name.back() - '0'), command});
+        visit(std::move(next), "controller " + std::to_string(i) + " sends to " + node.name);
       }
     }
   }
 
-  // It decides to start the job on some node.
-  template <class Found>
-  void start_events(const World& world, std::size_t i, const ClusterState& cluster_state, const std::string& uid, const Found& found) {
-    const ControllerView& d = world.controllers[i];
+  // The controller decides to start the job on a node.
+  template <class Visit>
+  void start_events(const SystemState& state, std::size_t i, const ClusterState& cluster_state, const std::string& uid,
+                    const Visit& visit) {
+    const ControllerView& controller = state.controllers[i];
     const Job& job = cluster_state.job(cluster_state.find(uid));
     if (job.ended() || job.pending == 0) return;
-    double left = cluster_state.quota_accounts().headroom(job.team, 1e9).cores;
-    if (fault_ == Fault::cancelled_is_not_counted)
-      for (JobIndex c : cluster_state.live())
-        left += cluster_state.job(c).ended() && cluster_state.job(c).team == job.team ? cluster_state.job(c).placed.size() : 0;
-    if (left < 1 && fault_ != Fault::uses_are_not_counted) return;
-    for (std::size_t m = 0; m < world.nodes.size(); ++m) {
-      World w = world;
-      const TasksStartedRecord start{uid, job.attempts + 1, 1, {{"m-" + std::to_string(m), 1, {{0, 1}}}}};
-      w.transactions.push_back({i, d.fencing_token, d.fencing_token, start});
-      w.controllers[i].waits = true;
-      if (fault_ == Fault::sends_before_it_is_durable) w.controllers[i].since.emplace_back(Record{start});
-      found(std::move(w), "controller " + std::to_string(i) + " starts " + uid + " on m-" + std::to_string(m));
+    double free_cores = cluster_state.quota_accounts().headroom(job.team, 1e9).cores;
+    if (removed_ == RemovedGuard::cancelled_tasks_in_quota)
+      for (JobIndex job_index : cluster_state.live())
+        free_cores += cluster_state.job(job_index).ended() && cluster_state.job(job_index).team == job.team
+                          ? cluster_state.job(job_index).placed.size()
+                          : 0;
+    if (free_cores < 1 && removed_ != RemovedGuard::quota_check) return;
+    for (std::size_t node_number = 0; node_number < state.nodes.size(); ++node_number) {
+      SystemState next = state;
+      const TasksStartedRecord start{uid, job.attempts + 1, 1, {{"m-" + std::to_string(node_number), 1, {{0, 1}}}}};
+      next.transactions.push_back({i, controller.fencing_token, controller.fencing_token, start});
+      next.controllers[i].awaits_transaction = true;
+      if (removed_ == RemovedGuard::durability_before_commands) next.controllers[i].applied.emplace_back(Record{start});
+      visit(std::move(next), "controller " + std::to_string(i) + " starts " + uid + " on m-" + std::to_string(node_number));
     }
   }
 
-  Fault fault_;
-  std::unordered_set<std::string> seen_;
+  RemovedGuard removed_;
+  std::unordered_set<std::string> visited_;
 };
 
-World accepted() {
-  World w;
-  w.ledger.emplace_back(big_machine_type());
-  for (const auto& [uid, team] : kJobs) {
-    auto s = submission(uid, 1, 1);
-    s.owner = team;
-    w.ledger.emplace_back(JobAcceptedRecord{s, 0.5, 1});
+// All jobs are accepted and no controller leads.
+SystemState accepted_jobs() {
+  SystemState state;
+  state.ledger.emplace_back(big_machine_type());
+  for (const auto& [uid, team] : kJobTeams) {
+    auto spec = submission(uid, 1, 1);
+    spec.owner = team;
+    state.ledger.emplace_back(JobAcceptedRecord{spec, 0.5, 1});
   }
-  return w;
+  return state;
 }
 
-// One led, was suspended, and believes that it still leads; the other took over. Both have heard from all nodes.
-World two_leaders(std::size_t nodes) {
-  World w = accepted();
-  w.nodes.resize(nodes);
-  for (auto& d : w.controllers) {
-    w.lead = ++w.revision;
-    d = {true, false, w.lead, w.ledger.size(), {}};
-    for (std::size_t m = 0; m < nodes; ++m) d.since.emplace_back(w.heartbeat(m));
+// One controller led, was suspended, and believes that it still leads; the other took over. Both have received heartbeats of all nodes.
+SystemState two_leaders(std::size_t nodes) {
+  SystemState state = accepted_jobs();
+  state.nodes.resize(nodes);
+  for (auto& controller : state.controllers) {
+    state.leader_token = ++state.revision;
+    controller = {true, false, state.leader_token, state.ledger.size(), {}};
+    for (std::size_t node_number = 0; node_number < nodes; ++node_number) controller.applied.emplace_back(state.heartbeat(node_number));
   }
-  return w;
+  return state;
 }
 
-// Each team is at its quota: one job of each runs, all on one node, and another job of the first team waits. What runs of that team is
-// cancelled by either of two controllers that believe they lead; commands and answers are late or lost.
-World quotas_used_up() {
-  World w = accepted();
-  w.cancels = true;
-  w.nodes.resize(1);
-  for (const std::size_t j : {0, 2}) {
-    w.ledger.emplace_back(TasksStartedRecord{kJobs[j].first, 1, 1, {{"m-0", 1, {{0, 1}}}}});
-    w.nodes[0].tasks[{kJobs[j].first, 1}] = false;
+// Each team is at its quota: one job of each team runs, both on one node, and another job of the first team waits. Either of two
+// controllers that believe they lead cancels the running job of that team; commands and answers are delayed or lost.
+SystemState quotas_used_up() {
+  SystemState state = accepted_jobs();
+  state.users_cancel = true;
+  state.nodes.resize(1);
+  for (const std::size_t job_index : {0, 2}) {
+    state.ledger.emplace_back(TasksStartedRecord{kJobTeams[job_index].first, 1, 1, {{"m-0", 1, {{0, 1}}}}});
+    state.nodes[0].tasks[{kJobTeams[job_index].first, 1}] = false;
   }
-  for (auto& d : w.controllers) {
-    w.lead = ++w.revision;
-    d = {true, false, w.lead, w.ledger.size(), {}};
-    d.since.emplace_back(w.heartbeat(0));
+  for (auto& controller : state.controllers) {
+    state.leader_token = ++state.revision;
+    controller = {true, false, state.leader_token, state.ledger.size(), {}};
+    controller.applied.emplace_back(state.heartbeat(0));
   }
-  return w;
+  return state;
 }
 
-TEST(ConcurrentLeaders, CancelledTasksCountAgainstTheQuotaUntilTheyHaveEnded) {
-  Explorer e(Fault::none);
-  EXPECT_EQ(e.run(quotas_used_up(), 8), "");
-  std::printf("%zu worlds\n", e.worlds());
-  EXPECT_GT(e.worlds(), 10000u);
-  const auto found = Explorer(Fault::cancelled_is_not_counted).run(quotas_used_up(), 8);
-  EXPECT_NE(found.find("quota: red"), std::string::npos) << found;
-  std::printf("%s\n", found.c_str());
+TEST(ConcurrentLeaders, CancelledTasksCountAgainstTheQuotaUntilTheyHaveExited) {
+  Explorer explorer(RemovedGuard::none);
+  EXPECT_EQ(explorer.run(quotas_used_up(), 8), "");
+  std::printf("%zu states\n", explorer.state_count());
+  EXPECT_GT(explorer.state_count(), 10000u);
+  const auto violation_path = Explorer(RemovedGuard::cancelled_tasks_in_quota).run(quotas_used_up(), 8);
+  EXPECT_NE(violation_path.find("quota: red"), std::string::npos) << violation_path;
+  std::printf("%s\n", violation_path.c_str());
 }
 
 TEST(ConcurrentLeaders, NoInterleavingExceedsAQuota) {
-  Explorer from_nothing(Fault::none), two(Fault::none), one(Fault::none);
-  EXPECT_EQ(from_nothing.run(accepted(), 6), "");
-  EXPECT_EQ(two.run(two_leaders(2), 5), "");
-  EXPECT_EQ(one.run(two_leaders(1), 8), "");
-  std::printf("%zu + %zu + %zu worlds\n", from_nothing.worlds(), two.worlds(), one.worlds());
-  EXPECT_GT(one.worlds(), 10000u);
+  Explorer without_leader(RemovedGuard::none), two_nodes(RemovedGuard::none), one_node(RemovedGuard::none);
+  EXPECT_EQ(without_leader.run(accepted_jobs(), 6), "");
+  EXPECT_EQ(two_nodes.run(two_leaders(2), 5), "");
+  EXPECT_EQ(one_node.run(two_leaders(1), 8), "");
+  std::printf("%zu + %zu + %zu states\n", without_leader.state_count(), two_nodes.state_count(), one_node.state_count());
+  EXPECT_GT(one_node.state_count(), 10000u);
 }
 
-class RemovedGuard : public testing::TestWithParam<Fault> {};
-TEST_P(RemovedGuard, LeadsToAViolation) {
-  const auto found = Explorer(GetParam()).run(two_leaders(1), 8);
-  EXPECT_NE(found, "");
-  std::printf("%s\n", found.c_str());
+class RemovedGuardTest : public testing::TestWithParam<RemovedGuard> {};
+TEST_P(RemovedGuardTest, LeadsToAViolation) {
+  const auto violation_path = Explorer(GetParam()).run(two_leaders(1), 8);
+  EXPECT_NE(violation_path, "");
+  std::printf("%s\n", violation_path.c_str());
 }
-INSTANTIATE_TEST_SUITE_P(ConcurrentLeaders, RemovedGuard,
-                         testing::Values(Fault::no_mod_revision, Fault::sends_before_it_is_durable, Fault::uses_are_not_counted));
+INSTANTIATE_TEST_SUITE_P(ConcurrentLeaders, RemovedGuardTest,
+                         testing::Values(RemovedGuard::mod_revision_check, RemovedGuard::durability_before_commands,
+                                         RemovedGuard::quota_check));
 
 }  // namespace
 }  // namespace thistlefront
--- a/tests/heartbeat_builders.hpp
+++ b/tests/heartbeat_builders.hpp
@@ -1,4 +1,4 @@
-// Heartbeats, task reports, accepted jobs and machine types for tests of what heartbeats mean.
+// Builders of heartbeats, task reports, accepted jobs and machine types for tests that apply heartbeats.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace thistlefront {
 
-// A heartbeat of an agent on a machine of type "big" at the address "a" in the zone "x".
+// A heartbeat of an agent on a node of machine type "big" at the address "a" in the zone "x".
 inline Heartbeat heartbeat_of_node(const std::string& node, std::uint64_t agent_incarnation, std::uint64_t serial,
                                    std::uint64_t fencing_token, std::vector<TaskReport> tasks = {}) {
   return {node, "a", "big", "x", false, agent_incarnation, serial, fencing_token, std::nullopt, std::move(tasks)};
@@ -25,13 +25,13 @@
   return {{uid, task}, attempt, phase, exit_reason, false};
 }
 
-// A task that runs, or has completed.
+// A report of a task that is running or, if `completed`, has completed.
 inline TaskReport running_or_completed(const std::string& uid, std::uint32_t task, std::uint64_t attempt, bool completed) {
   return completed ? task_report(uid, task, attempt, TaskPhase::exited, ExitReason::completed)
                    : task_report(uid, task, attempt, TaskPhase::running);
 }
 
-// An accepted job of the team red, with tasks of one core each.
+// The record of an accepted job of team "red" with tasks of one core each.
 inline JobAcceptedRecord accepted_job(const std::string& uid, std::uint32_t tasks, JobType job_type = JobType::array) {
   JobAcceptedRecord record;
   record.job.uid = uid;
@@ -44,7 +44,7 @@
   return record;
 }
 
-// The only machine type is "big".
+// The record of machine types with "big" as the only one.
 inline MachineTypesRecord big_machine_type(double cores = 8, double ram_gb = 32) {
   MachineType big;
   big.name = "big";
--- a/tests/old_heartbeats_test.cpp
+++ b/tests/old_heartbeats_test.cpp
@@ -1,7 +1,7 @@
-// An old heartbeat reaches a leader just after its takeover, when it has heard nothing else and remembers no serial. Explores every
-// history of one node up to a length (starts, commands, ends, heartbeats, acknowledged exits, a cancellation, leases that expire),
-// then a new leader that has read the ledger and first hears every copy of an earlier heartbeat, of the same incarnation or an earlier
-// one; then its commands, and then the node's own heartbeat. What the leader concludes must be true of the node.
+// A copy of an old heartbeat reaches a leader just after its takeover, when the leader has received nothing else from the node and knows
+// no serial. Explores every history of one node up to a given length: starts, commands, completions, heartbeats, acknowledged exits, a
+// cancellation, expired leases. Then a new leader reads the ledger, receives one or two copies of earlier heartbeats, of the same or an
+// earlier incarnation, sends its commands, and receives current heartbeats of the node. Its records must match the state of the node.
 #include <gtest/gtest.h>
 
 #include "heartbeat_builders.hpp"
@@ -16,23 +16,24 @@
 namespace thistlefront {
 namespace {
 
-constexpr std::uint64_t kOld = 10, kNew = 20;  // fencing tokens of the two leaders
+constexpr std::uint64_t kOldToken = 10, kNewToken = 20;  // fencing tokens of the two leaders
 constexpr std::uint32_t kTasks = 2;
 
-struct World {
+// The ledger, the messages that the old leader has received, and the state of the node.
+struct Scenario {
   std::vector<Record> ledger;
-  std::vector<Heartbeat> heard;  // by the old leader, in order, each with the number of records in the ledger then
-  std::vector<std::size_t> ledger_then;
-  std::map<std::pair<std::uint32_t, std::uint64_t>, bool> tasks;  // task, attempt: ended
+  std::vector<Heartbeat> received;                                // by the old leader, in order
+  std::vector<std::size_t> ledger_size_at_receipt;                // for each received heartbeat
+  std::map<std::pair<std::uint32_t, std::uint64_t>, bool> tasks;  // by task and attempt: whether it has completed
   std::set<std::pair<std::uint32_t, std::uint64_t>> started, acknowledged;
-  std::set<std::uint32_t> finished;
-  std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = kOld;
+  std::set<std::uint32_t> completed_tasks;
+  std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = kOldToken;
   bool cancelled = false;
-  std::string wrong;
+  std::string violation;
 
   Heartbeat heartbeat() {
     Heartbeat out = heartbeat_of_node("m-1", agent_incarnation, ++serial, fencing_token);
-    for (const auto& [key, ended] : tasks) out.tasks.push_back(running_or_completed("j-1", key.first, key.second, ended));
+    for (const auto& [key, completed] : tasks) out.tasks.push_back(running_or_completed("j-1", key.first, key.second, completed));
     return out;
   }
   void execute(const std::vector<Command>& commands, std::uint64_t command_token, std::uint64_t command_incarnation) {
@@ -41,9 +42,9 @@
     for (const auto& command : commands) {
       const std::pair key{command.id.task, command.attempt};
       if (command.type == CommandType::run && !tasks.contains(key)) {
-        if (!started.insert(key).second) wrong = "ran_again";
-        for (const auto& [other, ended] : tasks)
-          if (other.first == key.first && !ended) wrong = "ran_twice";
+        if (!started.insert(key).second) violation = "attempt started again";
+        for (const auto& [other_key, completed] : tasks)
+          if (other_key.first == key.first && !completed) violation = "two attempts running";
         tasks[key] = false;
       } else if (command.type == CommandType::kill && tasks.contains(key)) {
         tasks.erase(key);
@@ -55,120 +56,127 @@
   }
 };
 
-ClusterState fresh() {
+ClusterState initial_cluster_state() {
   ClusterState cluster_state = book_of_red(8);
   cluster_state.apply(big_machine_type());
   cluster_state.apply(JobAcceptedRecord{submission("j-1", kTasks, 1), 0.5, 1});
   return cluster_state;
 }
-ClusterState read(const World& w, std::size_t records) {
-  ClusterState cluster_state = fresh();
-  for (std::size_t i = 0; i < records; ++i) cluster_state.apply(w.ledger[i]);
+// The cluster state after the first `records` records of the ledger.
+ClusterState replay_ledger(const Scenario& scenario, std::size_t records) {
+  ClusterState cluster_state = initial_cluster_state();
+  for (std::size_t i = 0; i < records; ++i) cluster_state.apply(scenario.ledger[i]);
   return cluster_state;
 }
-// The old leader as it is now: it applied what it heard and the ledger in their order.
-ClusterState old_leader(const World& w) {
-  ClusterState cluster_state = fresh();
+// The present cluster state of the old leader, which applied its received heartbeats and the ledger in order.
+ClusterState old_leader_state(const Scenario& scenario) {
+  ClusterState cluster_state = initial_cluster_state();
   std::size_t applied = 0;
-  for (std::size_t k = 0; k < w.heard.size(); ++k) {
-    for (; applied < w.ledger_then[k]; ++applied) cluster_state.apply(w.ledger[applied]);
-    apply_heartbeat(cluster_state, w.heard[k], {1, 1}, true, kOld);
+  for (std::size_t i = 0; i < scenario.received.size(); ++i) {
+    for (; applied < scenario.ledger_size_at_receipt[i]; ++applied) cluster_state.apply(scenario.ledger[applied]);
+    apply_heartbeat(cluster_state, scenario.received[i], {1, 1}, true, kOldToken);
   }
-  for (; applied < w.ledger.size(); ++applied) cluster_state.apply(w.ledger[applied]);
+  for (; applied < scenario.ledger.size(); ++applied) cluster_state.apply(scenario.ledger[applied]);
   return cluster_state;
 }
-// What a leader concludes from a heartbeat gets into the ledger, and must be true.
-void conclude(World& w, ClusterState& cluster_state, const Heartbeat& heartbeat, std::uint64_t takeover_token, bool is_heartbeat) {
-  for (auto& r : apply_heartbeat(cluster_state, heartbeat, {1, 1}, is_heartbeat, takeover_token).records) {
-    if (const auto* done = std::get_if<TasksCompletedRecord>(&r))
-      for (const auto& range : done->tasks)
-        for (auto t = range.first; t < range.last; ++t)
-          if (!w.finished.contains(t)) w.wrong = "not_done";
-    if (const auto* off = std::get_if<TasksRemovedRecord>(&r))
-      for (const auto& range : off->tasks)
-        for (auto t = range.first; t < range.last; ++t)
-          if (const auto it = w.tasks.find({t, off->attempt}); it != w.tasks.end() && !it->second) w.wrong = "given up while it runs";
-    cluster_state.apply(r);
-    w.ledger.push_back(std::move(r));
+// Applies the heartbeat and commits its records to the ledger. The records must match the state of the node.
+void apply_and_commit(Scenario& scenario, ClusterState& cluster_state, const Heartbeat& heartbeat, std::uint64_t takeover_token,
+                      bool is_heartbeat) {
+  for (auto& record : apply_heartbeat(cluster_state, heartbeat, {1, 1}, is_heartbeat, takeover_token).records) {
+    if (const auto* completed = std::get_if<TasksCompletedRecord>(&record))
+      for (const auto& range : completed->tasks)
+        for (auto task = range.first; task < range.last; ++task)
+          if (!scenario.completed_tasks.contains(task)) scenario.violation = "recorded as completed, but not completed";
+    if (const auto* removed = std::get_if<TasksRemovedRecord>(&record))
+      for (const auto& range : removed->tasks)
+        for (auto task = range.first; task < range.last; ++task)
+          if (const auto it = scenario.tasks.find({task, removed->attempt}); it != scenario.tasks.end() && !it->second)
+            scenario.violation = "recorded as removed, but still running";
+    cluster_state.apply(record);
+    scenario.ledger.push_back(std::move(record));
   }
 }
 
 class OldHeartbeats : public testing::Test {
  protected:
-  void explore(const World& w, std::size_t left, const std::string& path) {
-    new_leader(w, path);
-    if (left == 0 || !found.empty()) return;
-    for (std::uint32_t t = 0; t < kTasks; ++t) {
-      const ClusterState cluster_state = old_leader(w);
+  void explore(const Scenario& scenario, std::size_t remaining_events, const std::string& path) {
+    take_over(scenario, path);
+    if (remaining_events == 0 || !first_violation.empty()) return;
+    for (std::uint32_t task = 0; task < kTasks; ++task) {
+      const ClusterState cluster_state = old_leader_state(scenario);
       const Job& job = cluster_state.job(cluster_state.find("j-1"));
-      if (!job.ended() && job.tasks[t] == TaskState::pending && !w.heard.empty()) {
-        World next = w;
+      if (!job.ended() && job.tasks[task] == TaskState::pending && !scenario.received.empty()) {
+        Scenario next = scenario;
         next.ledger.emplace_back(
-            TasksStartedRecord{"j-1", job.attempts + 1, 1, {{"m-1", next.heard.back().agent_incarnation, {{t, t + 1}}}}});
-        explore(next, left - 1, path + "start " + std::to_string(t) + "; ");
+            TasksStartedRecord{"j-1", job.attempts + 1, 1, {{"m-1", next.received.back().agent_incarnation, {{task, task + 1}}}}});
+        explore(next, remaining_events - 1, path + "start " + std::to_string(task) + "; ");
       }
-      for (const auto& [key, ended] : w.tasks) {
-        if (key.first != t || ended) continue;
-        World next = w;
+      for (const auto& [key, completed] : scenario.tasks) {
+        if (key.first != task || completed) continue;
+        Scenario next = scenario;
         next.tasks[key] = true;
-        next.finished.insert(t);
-        explore(next, left - 1, path + "end " + std::to_string(t) + "; ");
+        next.completed_tasks.insert(task);
+        explore(next, remaining_events - 1, path + "complete " + std::to_string(task) + "; ");
       }
     }
-    if (!w.cancelled) {
-      World next = w;
+    if (!scenario.cancelled) {
+      Scenario next = scenario;
       next.cancelled = true;
       next.ledger.emplace_back(JobCancelledRecord{"j-1"});
-      explore(next, left - 1, path + "cancel; ");
+      explore(next, remaining_events - 1, path + "cancel; ");
     }
-    World after_heartbeat = w;
-    ClusterState cluster_state = old_leader(after_heartbeat);
+    Scenario after_heartbeat = scenario;
+    ClusterState cluster_state = old_leader_state(after_heartbeat);
     const Heartbeat message = after_heartbeat.heartbeat();
-    after_heartbeat.heard.push_back(message);
-    after_heartbeat.ledger_then.push_back(after_heartbeat.ledger.size());
-    conclude(after_heartbeat, cluster_state, message, kOld, true);
-    // The answer to it.
-    const auto commands = pending_commands(cluster_state, cluster_state.find_node("m-1"), kOld);
-    after_heartbeat.execute(commands, kOld, message.agent_incarnation);
-    explore(after_heartbeat, left - 1, path + "heartbeat; ");
-    World expired = w;
+    after_heartbeat.received.push_back(message);
+    after_heartbeat.ledger_size_at_receipt.push_back(after_heartbeat.ledger.size());
+    apply_and_commit(after_heartbeat, cluster_state, message, kOldToken, true);
+    // The reply to the heartbeat.
+    const auto commands = pending_commands(cluster_state, cluster_state.find_node("m-1"), kOldToken);
+    after_heartbeat.execute(commands, kOldToken, message.agent_incarnation);
+    explore(after_heartbeat, remaining_events - 1, path + "heartbeat; ");
+    Scenario expired = scenario;
     expired.tasks.clear();
     ++expired.agent_incarnation;
-    explore(expired, left - 1, path + "lease expires; ");
+    explore(expired, remaining_events - 1, path + "lease expires; ");
   }
-  // The new leader first hears every copy of what the old one heard, alone and two of them in either order.
-  void new_leader(const World& w, const std::string& path) {
-    for (std::size_t a = 0; a < w.heard.size() && found.empty(); ++a) {
-      for (std::size_t b = 0; b <= w.heard.size() && found.empty(); ++b) {
-        World now = w;
-        ClusterState cluster_state = read(now, now.ledger.size());
-        const auto hear = [&](const Heartbeat& message) {
-          conclude(now, cluster_state, message, kNew, true);
+  // A new leader takes over and receives each copy of the old leader's heartbeats, alone and followed by a second copy.
+  void take_over(const Scenario& scenario, const std::string& path) {
+    for (std::size_t first_copy = 0; first_copy < scenario.received.size() && first_violation.empty(); ++first_copy) {
+      for (std::size_t second_copy = 0; second_copy <= scenario.received.size() && first_violation.empty(); ++second_copy) {
+        Scenario after_takeover = scenario;
+        ClusterState cluster_state = replay_ledger(after_takeover, after_takeover.ledger.size());
+        const auto receive = [&](const Heartbeat& message) {
+          apply_and_commit(after_takeover, cluster_state, message, kNewToken, true);
           const NodeIndex node_index = cluster_state.find_node("m-1");
-          now.execute(pending_commands(cluster_state, node_index, kNew), kNew, cluster_state.node(node_index).agent.incarnation);
+          after_takeover.execute(pending_commands(cluster_state, node_index, kNewToken), kNewToken,
+                                 cluster_state.node(node_index).agent.incarnation);
         };
-        hear(w.heard[a]);
-        if (b < w.heard.size()) hear(w.heard[b]);
-        for (int k = 0; k < 2; ++k) hear(now.heartbeat());
+        receive(scenario.received[first_copy]);
+        if (second_copy < scenario.received.size()) receive(scenario.received[second_copy]);
+        for (int i = 0; i < 2; ++i) receive(after_takeover.heartbeat());
         // An exit that is not in the ledger must not have been acknowledged.
         const Job& job = cluster_state.job(cluster_state.find("j-1"));
-        for (const auto& key : now.acknowledged)
-          if (now.finished.contains(key.first) && !job.ended() && job.tasks[key.first] == TaskState::pending) now.wrong = "an end is lost";
-        ++worlds;
-        if (!now.wrong.empty())
-          found = path + "copy " + std::to_string(a) + (b < w.heard.size() ? ", copy " + std::to_string(b) : "") + ": " + now.wrong;
+        for (const auto& key : after_takeover.acknowledged)
+          if (after_takeover.completed_tasks.contains(key.first) && !job.ended() && job.tasks[key.first] == TaskState::pending)
+            after_takeover.violation = "exit acknowledged, but not in the ledger";
+        ++scenarios;
+        if (!after_takeover.violation.empty())
+          first_violation = path + "copy " + std::to_string(first_copy) +
+                            (second_copy < scenario.received.size() ? ", copy " + std::to_string(second_copy) : "") + ": " +
+                            after_takeover.violation;
       }
     }
   }
-  std::string found;
-  std::size_t worlds = 0;
+  std::string first_violation;
+  std::size_t scenarios = 0;
 };
 
-TEST_F(OldHeartbeats, WhatANewLeaderConcludesFromACopyIsTrue) {
-  explore(World(), 8, "");
-  EXPECT_EQ(found, "");
-  std::cout << worlds << " worlds\n";
-  EXPECT_GT(worlds, 20000u);
+TEST_F(OldHeartbeats, NewLeaderRecordsTheTrueStateOfTheNode) {
+  explore(Scenario(), 8, "");
+  EXPECT_EQ(first_violation, "");
+  std::cout << scenarios << " scenarios\n";
+  EXPECT_GT(scenarios, 20000u);
 }
 
 }  // namespace
--- a/tests/quorum_tracker_test.cpp
+++ b/tests/quorum_tracker_test.cpp
@@ -1,5 +1,5 @@
-// What the answers of peers prove, explored exhaustively: an earlier leader that is separated from the key-value store and from its
-// successor, and a third controller that hears either, both or none of them and may restart at any time.
+// Explores the quorum tracker exhaustively: an earlier leader that is partitioned from the key-value store and from its successor, and a
+// third controller that receives heartbeats of either, both or none of them and may restart at any time.
 #include "leadership/quorum_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -12,111 +12,118 @@
 namespace thistlefront {
 namespace {
 
-constexpr double kGrace = 2;
-constexpr std::uint64_t kEarlier = 5, kLater = 9;  // fencing tokens
+constexpr double kGraceS = 2;
+constexpr std::uint64_t kEarlierToken = 5, kLaterToken = 9;
 
-struct World {
-  // The earlier leader's session lease was certainly alive until 0. It is one of three controllers, as its successor is.
-  QuorumTracker earlier{2, -10, kGrace}, later{2, 0, kGrace};
+struct Scenario {
+  // Trackers of the earlier leader, whose session lease was certainly valid until time 0, and of its successor.
+  QuorumTracker earlier_leader{2, -10, kGraceS}, later_leader{2, 0, kGraceS};
   std::uint64_t process = 1, known_token = 0;  // of the third controller
   bool stepped_down = false;
 
-  void hear(bool from_earlier, bool from_later, bool restarts, double now, bool guarded) {
+  // `with_process_check`: answers count only if the process answered before, while the session lease was valid.
+  void third_controller_step(bool receives_from_earlier, bool receives_from_later, bool restarts, double now, bool with_process_check) {
     if (restarts) ++process, known_token = 0;
-    if (from_later) {
-      known_token = kLater;
-      later.record_ack(0, process, now, known_token, true);
+    if (receives_from_later) {
+      known_token = kLaterToken;
+      later_leader.record_ack(0, process, now, known_token, true);
     }
-    if (from_earlier && !stepped_down) {
-      if (known_token > kEarlier) {
+    if (receives_from_earlier && !stepped_down) {
+      if (known_token > kEarlierToken) {
         stepped_down = true;
       } else {
-        known_token = kEarlier;
-        earlier.record_ack(0, process, now, known_token, !guarded || now < 0);
+        known_token = kEarlierToken;
+        earlier_leader.record_ack(0, process, now, known_token, !with_process_check || now < 0);
       }
     }
   }
-  // No agent may be answered under the earlier leader once the later one relies on that.
-  bool is_safe(double now) { return later.sole_leader_since(kLater, now) < 0 || stepped_down || !earlier.has_quorum(now); }
+  // Once the later leader relies on being the sole leader, the earlier one must not reply to agents.
+  bool is_safe(double now) {
+    return later_leader.sole_leader_since(kLaterToken, now) < 0 || stepped_down || !earlier_leader.has_quorum(now);
+  }
 };
 
-std::size_t explore(const World& at, int step, int steps, bool guarded, std::string& how) {
+std::size_t explore(const Scenario& scenario, int step, int steps, bool with_process_check, std::string& violation_path) {
   if (step == steps) return 0;
-  std::size_t broken = 0;
-  for (int choice = 0; choice < 8 && broken == 0; ++choice) {
-    World next = at;
-    next.hear(choice & 1, choice & 2, choice & 4, step, guarded);
+  std::size_t violations = 0;
+  for (int choice = 0; choice < 8 && violations == 0; ++choice) {
+    Scenario next = scenario;
+    next.third_controller_step(choice & 1, choice & 2, choice & 4, step, with_process_check);
     if (!next.is_safe(step)) {
-      how = std::to_string(step) + ":" + std::to_string(choice);
+      violation_path = std::to_string(step) + ":" + std::to_string(choice);
       return 1;
     }
-    broken += explore(next, step + 1, steps, guarded, how);
-    if (broken) how = std::to_string(step) + ":" + std::to_string(choice) + " " + how;
+    violations += explore(next, step + 1, steps, with_process_check, violation_path);
+    if (violations) violation_path = std::to_string(step) + ":" + std::to_string(choice) + " " + violation_path;
   }
-  return broken;
+  return violations;
 }
 
-World before() {
-  World w;
-  w.hear(true, false, false, -1, true);  // the third one answered the earlier leader while its hold was alive
-  return w;
+// The third controller has answered the earlier leader while its session lease was valid.
+Scenario initial_scenario() {
+  Scenario scenario;
+  scenario.third_controller_step(true, false, false, -1, true);
+  return scenario;
 }
 
-TEST(QuorumTracker, ASuccessorNeverReliesOnSilenceThatARestartedPeerCouldBreak) {
-  std::string how;
-  EXPECT_EQ(explore(before(), 0, 7, true, how), 0u) << how;
+TEST(QuorumTracker, EarlierLeaderHasNoQuorumOnceItsSuccessorIsTheSoleLeader) {
+  std::string violation_path;
+  EXPECT_EQ(explore(initial_scenario(), 0, 7, true, violation_path), 0u) << violation_path;
 }
 
-// If it did not matter which process of a controller answered: the third one acknowledges the later leader, forgets it in a restart,
-// and the earlier leader has a majority again. Bits of a step: 1 hears the earlier leader, 2 the later one, 4 restarts before.
-TEST(QuorumTracker, WithoutTheCheckOfTheProcessAViolationIsFound) {
-  std::string how;
-  EXPECT_EQ(explore(before(), 0, 7, false, how), 1u);
-  EXPECT_NE(how.find(":5"), std::string::npos) << how;
+// Without the process check, the third controller acknowledges the later leader, forgets it in a restart, and gives the earlier leader a
+// quorum again. Bits of a step: 1 receives from the earlier leader, 2 receives from the later one, 4 restarts before.
+TEST(QuorumTracker, ViolatesSafetyWithoutTheProcessCheck) {
+  std::string violation_path;
+  EXPECT_EQ(explore(initial_scenario(), 0, 7, false, violation_path), 1u);
+  EXPECT_NE(violation_path.find(":5"), std::string::npos) << violation_path;
 }
 
-TEST(QuorumTracker, TheQuorumIsLostAfterTheGraceAndKeptByPeersKnownBefore) {
-  QuorumTracker b(2, 0, kGrace);
-  b.record_ack(0, 1, 10, kEarlier, true);
-  EXPECT_TRUE(b.has_quorum(11));
-  EXPECT_FALSE(b.has_quorum(12.5));
-  b.record_ack(0, 1, 13, kEarlier, false);
-  EXPECT_TRUE(b.has_quorum(14)) << "the same process would have told of a later leader";
-  b.record_ack(0, 2, 16, kEarlier, false);
-  EXPECT_FALSE(b.has_quorum(16.5)) << "it restarted, and may have forgotten a later leader";
-  EXPECT_TRUE(b.is_isolated(40, 3));
+TEST(QuorumTracker, LosesTheQuorumAfterTheGracePeriodUnlessAKnownProcessAnswers) {
+  QuorumTracker tracker(2, 0, kGraceS);
+  tracker.record_ack(0, 1, 10, kEarlierToken, true);
+  EXPECT_TRUE(tracker.has_quorum(11));
+  EXPECT_FALSE(tracker.has_quorum(12.5));
+  tracker.record_ack(0, 1, 13, kEarlierToken, false);
+  EXPECT_TRUE(tracker.has_quorum(14)) << "the same process would have reported a later leader";
+  tracker.record_ack(0, 2, 16, kEarlierToken, false);
+  EXPECT_FALSE(tracker.has_quorum(16.5)) << "it restarted, and may have forgotten a later leader";
+  EXPECT_TRUE(tracker.is_isolated(40, 3));
 }
 
-TEST(QuorumTracker, AControllerWithoutPeersIsTheSoleLeaderFromTheStart) {
-  QuorumTracker b(0, 7, kGrace);
-  EXPECT_EQ(b.sole_leader_since(kLater, 9), 7);
-  EXPECT_TRUE(b.has_quorum(1e6));
+TEST(QuorumTracker, IsTheSoleLeaderFromTheTakeoverWithoutPeers) {
+  QuorumTracker tracker(0, 7, kGraceS);
+  EXPECT_EQ(tracker.sole_leader_since(kLaterToken, 9), 7);
+  EXPECT_TRUE(tracker.has_quorum(1e6));
 }
 
-// An earlier leader needs more than half: so half that know of the later one are enough, and of two controllers the successor alone is.
-TEST(QuorumTracker, ATakeoverIsKnownWhenTheOthersAreNoMajorityAnyMore) {
-  for (std::size_t n = 1; n <= 6; ++n) {
-    QuorumTracker b(n - 1, 0, kGrace);
-    for (std::size_t aware = 1; aware <= n; ++aware) {
-      EXPECT_EQ(b.is_takeover_known(kLater), 2 * (n - aware) <= n) << aware << " of " << n;
-      if (aware < n) b.record_ack(aware - 1, 1, 0, kLater, true);
+// An earlier leader needs more than half of the controllers, so it is enough if half of them know of the later leader. Of two controllers,
+// the successor alone is enough.
+TEST(QuorumTracker, KnowsTheTakeoverWhenTheUnawareControllersAreNoMajority) {
+  for (std::size_t controllers = 1; controllers <= 6; ++controllers) {
+    QuorumTracker tracker(controllers - 1, 0, kGraceS);
+    for (std::size_t aware = 1; aware <= controllers; ++aware) {
+      EXPECT_EQ(tracker.is_takeover_known(kLaterToken), 2 * (controllers - aware) <= controllers) << aware << " of " << controllers;
+      if (aware < controllers) tracker.record_ack(aware - 1, 1, 0, kLaterToken, true);
     }
   }
-  QuorumTracker two(1, 0, kGrace);
-  EXPECT_LT(two.sole_leader_since(kLater, 1), 0) << "the earlier leader relies on this one's last answer for a grace period";
-  EXPECT_GT(two.sole_leader_since(kLater, 1 + kGrace + 1.1), 0);
+  QuorumTracker of_two_controllers(1, 0, kGraceS);
+  EXPECT_LT(of_two_controllers.sole_leader_since(kLaterToken, 1), 0)
+      << "the last answer of this controller counts for the earlier leader for one grace period";
+  EXPECT_GT(of_two_controllers.sole_leader_since(kLaterToken, 1 + kGraceS + 1.1), 0);
 }
 
-// The time between lease_s and cancel_s bounds it; with none left, an uncertain leader renews nothing.
-TEST(QuorumTracker, TheGraceLeavesTimeForALease) {
+// The grace period is bounded by the time between lease_s and cancel_s. If none is left, a leader whose leadership is uncertain renews
+// no lease.
+TEST(QuorumTracker, GracePeriodLeavesTimeForALease) {
   EXPECT_EQ(quorum_grace_s(40, 10), 5);
-  for (double cancel : {42.0, 24.0, 23.0, 22.2, 22.0, 10.0}) {
-    const double grace = quorum_grace_s(cancel, 22);
-    EXPECT_GE(grace, 0);
-    EXPECT_LE(grace + 22, std::max(cancel, 22.0));
-    QuorumTracker b(2, 0, grace);
-    b.record_ack(0, 1, 10, kEarlier, true);
-    EXPECT_EQ(b.has_quorum(10), grace > 0) << cancel;
+  for (double cancel_s : {42.0, 24.0, 23.0, 22.2, 22.0, 10.0}) {
+    const double grace_s = quorum_grace_s(cancel_s, 22);
+    EXPECT_GE(grace_s, 0);
+    EXPECT_LE(grace_s + 22, std::max(cancel_s, 22.0));
+    QuorumTracker tracker(2, 0, grace_s);
+    tracker.record_ack(0, 1, 10, kEarlierToken, true);
+    EXPECT_EQ(tracker.has_quorum(10), grace_s > 0) << cancel_s;
   }
 }
 
--- a/tests/task_records_test.cpp
+++ b/tests/task_records_test.cpp
@@ -1,4 +1,4 @@
-// Records of task starts and ends fit into ledger entries, however scattered their tasks are.
+// Records of started and removed tasks fit into ledger entries, even if their task numbers are not contiguous.
 #include "worker_control/task_records.hpp"
 
 #include <gtest/gtest.h>
@@ -12,37 +12,37 @@
 namespace thistlefront {
 namespace {
 
-// Tasks that came back scattered after a partition once made the record of their start too large for a ledger entry: the store
-// refused it, and every leader in turn stepped down.
-TEST(RecordSplitting, ScatteredStartsAndEndsFitIntoLedgerEntries) {
+// Guards against start records that are too large for a ledger entry. After a partition, tasks without contiguous numbers made one so
+// large that the key-value store refused it, and every leader in turn stepped down.
+TEST(RecordSplitting, RecordsOfNonContiguousTasksFitIntoLedgerEntries) {
   TasksStartedRecord started{"j-000001", 3, 1234567.891, {}};
-  std::size_t tasks = 0;
+  std::size_t started_tasks = 0;
   for (int node = 0; node < 40; ++node) {
     TasksStartedRecord::NodeAssignment assignment{"m-" + std::to_string(100000 + node), 12, {}};
-    for (int i = 0; i < 256; ++i, ++tasks) append_task(assignment.tasks, 20000 + static_cast<std::uint32_t>(2 * tasks));
+    for (int i = 0; i < 256; ++i, ++started_tasks) append_task(assignment.tasks, 20000 + static_cast<std::uint32_t>(2 * started_tasks));
     started.assignments.push_back(std::move(assignment));
   }
-  std::size_t found = 0;
+  std::size_t tasks_in_parts = 0;
   for (const auto& part : split_by_size(started)) {
     EXPECT_LT(encoded_size(part), 4000u);
     EXPECT_EQ(part.attempt, 3u);
     for (const auto& assignment : part.assignments)
-      for (const auto& range : assignment.tasks) found += range.last - range.first;
+      for (const auto& range : assignment.tasks) tasks_in_parts += range.last - range.first;
   }
-  EXPECT_EQ(found, tasks);
+  EXPECT_EQ(tasks_in_parts, started_tasks);
 
   ClusterState cluster_state = book_of_red(1e6);
   cluster_state.apply(JobAcceptedRecord{submission("j-1", 4000, 0.01), 0.5, 1});
-  TasksStartedRecord all{"j-1", 1, 1, {{"m-1", 1, {}}}};
-  for (std::uint32_t t = 0; t < 4000; t += 2) append_task(all.assignments[0].tasks, t);
-  for (const auto& part : split_by_size(all)) cluster_state.apply(part);
+  TasksStartedRecord scattered_start{"j-1", 1, 1, {{"m-1", 1, {}}}};
+  for (std::uint32_t task = 0; task < 4000; task += 2) append_task(scattered_start.assignments[0].tasks, task);
+  for (const auto& part : split_by_size(scattered_start)) cluster_state.apply(part);
   ASSERT_EQ(cluster_state.job(cluster_state.find("j-1")).placed.size(), 2000u);
-  std::size_t removed = 0;
-  for (const auto& end : evict_all_tasks(cluster_state, cluster_state.find_node("m-1"))) {
-    EXPECT_LT(encoded_size(end), 4000u);
-    for (const auto& range : std::get<TasksRemovedRecord>(end).tasks) removed += range.last - range.first;
+  std::size_t removed_tasks = 0;
+  for (const auto& record : evict_all_tasks(cluster_state, cluster_state.find_node("m-1"))) {
+    EXPECT_LT(encoded_size(record), 4000u);
+    for (const auto& range : std::get<TasksRemovedRecord>(record).tasks) removed_tasks += range.last - range.first;
   }
-  EXPECT_EQ(removed, 2000u);
+  EXPECT_EQ(removed_tasks, 2000u);
 }
 
 }  // namespace
