--- a/src/scheduling/capacity_release_rate.hpp
+++ b/src/scheduling/capacity_release_rate.hpp
@@ -1,5 +1,5 @@
-// The rate at which tasks give back cores by ending, on machines without accelerators: an average that fades with time. Fed
-// by the leader as tasks end, read in each pass. Pure; times are steady seconds.
+// Rate at which completed tasks release cores on nodes without accelerators, as an exponentially decaying average. The leader
+// updates it as tasks complete and reads it in each pass. Pure; times are steady seconds.
 #pragma once
 #include <cmath>
 
@@ -7,18 +7,18 @@
 
 class CapacityReleaseRate {
  public:
-  // Cores in a second, recently.
-  [[nodiscard]] double rate(double now) const { return faded(now) / kMemorySeconds; }
-  // A task ended and gave these back.
+  // Cores per second, recently.
+  [[nodiscard]] double rate(double now) const { return decayed_cores(now) / kDecaySeconds; }
+  // Counts the cores of a completed task.
   void add(double cores, double now) {
-    cores_ = faded(now) + cores;
-    at_ = now;
+    cores_ = decayed_cores(now) + cores;
+    updated_at_ = now;
   }
 
  private:
-  static constexpr double kMemorySeconds = 8.0;
-  [[nodiscard]] double faded(double now) const { return cores_ * std::exp((at_ - now) / kMemorySeconds); }
-  double cores_ = 0, at_ = 0;
+  static constexpr double kDecaySeconds = 8.0;
+  [[nodiscard]] double decayed_cores(double now) const { return cores_ * std::exp((updated_at_ - now) / kDecaySeconds); }
+  double cores_ = 0, updated_at_ = 0;
 };
 
 }  // namespace thistlefront
--- a/src/scheduling/pass_pacing.cpp
+++ b/src/scheduling/pass_pacing.cpp
@@ -5,16 +5,16 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRestPerElapsed = 4.0;    // seconds of rest for each second that a pass took
-constexpr double kMostOfProcessor = 0.25;  // of the process's share, for planning
+constexpr double kRestPerElapsedSecond = 4.0;  // seconds of rest for each second of a pass
+constexpr double kMaxPlanningFraction = 0.25;  // of the process's share of a core
 }  // namespace
 
 double rest_after_pass(const PassCost& cost, const PassPacing& pacing) {
   const double share = pacing.processor_share > 0 ? std::min(pacing.processor_share, 1.0) : 1.0;
-  const double for_elapsed = kRestPerElapsed * cost.elapsed_s;
-  const double for_processor = cost.processor_s / (share * kMostOfProcessor);
-  const double wanted = std::max({pacing.shortest_rest_s, for_elapsed, for_processor});
-  return std::min(wanted, std::max(kLongestPassRest, pacing.shortest_rest_s));
+  const double rest_for_elapsed_s = kRestPerElapsedSecond * cost.elapsed_s;
+  const double rest_for_processor_s = cost.processor_s / (share * kMaxPlanningFraction);
+  const double wanted_s = std::max({pacing.min_rest_s, rest_for_elapsed_s, rest_for_processor_s});
+  return std::min(wanted_s, std::max(kMaxPassRestSeconds, pacing.min_rest_s));
 }
 
 }  // namespace thistlefront
--- a/src/scheduling/pass_pacing.hpp
+++ b/src/scheduling/pass_pacing.hpp
@@ -1,24 +1,25 @@
-// How long the leader rests after a pass, so that planning leaves the processor to requests and lease renewals. Called after
-// each pass. Pure.
+// Computes how long the leader rests after each pass, so that planning leaves processor time for requests and lease renewals.
+// Pure.
 #pragma once
 
 namespace thistlefront {
 
 // What one pass cost.
 struct PassCost {
-  double elapsed_s = 0;    // steady seconds for which it kept the controller's lock
+  double elapsed_s = 0;    // time for which the pass held the controller's lock
   double processor_s = 0;  // processor seconds of the planning thread
 };
 
 struct PassPacing {
-  double shortest_rest_s = 0.1;  // the operator's pass period
-  double processor_share = 1;    // of one core that this process may use; 0: not known, taken as a whole one
+  double min_rest_s = 0.1;     // the configured pass period
+  double processor_share = 1;  // fraction of a core that this process may use; 0 is unknown and treated as 1
 };
 
-// Seconds to rest before the next pass may begin. Planning is kept to a fixed part of the elapsed time and to a fixed part of
-// the process's share of a core; the rest never exceeds kLongestPassRest, so that planning goes on under any load.
+// Seconds to rest before the next pass. Planning is limited to a fixed fraction of the elapsed time and to a fixed fraction of the
+// process's share of a core. The rest never exceeds kMaxPassRestSeconds, unless the pass period is longer, so that planning goes
+// on under any load.
 double rest_after_pass(const PassCost& cost, const PassPacing& pacing);
 
-inline constexpr double kLongestPassRest = 1.0;  // seconds
+inline constexpr double kMaxPassRestSeconds = 1.0;
 
 }  // namespace thistlefront
--- a/tests/pass_pacing_test.cpp
+++ b/tests/pass_pacing_test.cpp
@@ -1,4 +1,4 @@
-// Planning leaves most of the processor to requests and lease renewals.
+// Planning leaves most processor time to requests and lease renewals.
 #include "scheduling/pass_pacing.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace thistlefront {
 namespace {
 
-TEST(PassPacing, RestsForThePassPeriodWhereAPassCostsNothing) {
+TEST(PassPacing, RestsForThePassPeriodAfterAPassThatCostsNothing) {
   EXPECT_DOUBLE_EQ(rest_after_pass({0, 0}, {0.1, 0.038}), 0.1);
 }
 
@@ -14,19 +14,19 @@
   EXPECT_DOUBLE_EQ(rest_after_pass({0.05, 0}, {0.1, 1}), 0.2);
 }
 
-// Once, passes of 3 ms ten times a second took 0.8 of a share of 3.8% of a core, and renewals came late.
-TEST(PassPacing, TakesNoMoreThanAQuarterOfTheProcessorShare) {
+// Guards against late lease renewals: ten passes of 3 ms per second took 0.8 of a processor share of 3.8% of a core.
+TEST(PassPacing, UsesNoMoreThanAQuarterOfTheProcessorShare) {
   const double processor_s = 0.003, share = 0.038;
-  const double rest = rest_after_pass({0, processor_s}, {0.1, share});
-  EXPECT_NEAR(processor_s / rest, share / 4, 1e-12);
+  const double rest_s = rest_after_pass({0, processor_s}, {0.1, share});
+  EXPECT_NEAR(processor_s / rest_s, share / 4, 1e-12);
 }
 
 TEST(PassPacing, RestsNoLongerThanASecondUnderAnyLoad) {
-  EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {0.1, 0.001}), kLongestPassRest);
-  EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {30, 0.001}), 30) << "the operator's own period is kept";
+  EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {0.1, 0.001}), kMaxPassRestSeconds);
+  EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {30, 0.001}), 30) << "a longer pass period is kept";
 }
 
-TEST(PassPacing, TakesAnUnknownShareAsAWholeCore) {
+TEST(PassPacing, TreatsAnUnknownProcessorShareAsAWholeCore) {
   EXPECT_DOUBLE_EQ(rest_after_pass({0, 0.05}, {0.1, 0}), rest_after_pass({0, 0.05}, {0.1, 1}));
   EXPECT_DOUBLE_EQ(rest_after_pass({0, 0.05}, {0.1, 8}), rest_after_pass({0, 0.05}, {0.1, 1}));
 }
