--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -62,14 +62,15 @@
   Term& term = *shared_.term;
   const ClusterState& cluster_state = *term.cluster_state;
   std::erase_if(term.refused_offers, [&](const auto& refused) { return refused.second <= now; });
-  std::set<MachineOffer> refused;
+  std::set<InstanceOffer> refused;
   for (const auto& [offer, until] : term.refused_offers) refused.insert(offer);
   ScaleOutInput input{cluster_state, {}, refused, now, kMaxMachinesPerRequest};
   // Worth it is only what has no slot before a machine is up.
   for (const auto& unserved : term.unserved)
-    if (unserved.late > 0 && is_worth_it(cluster_state.job(unserved.job), wall_now())) input.unmet.push_back({unserved.job, unserved.late});
+    if (unserved.after_horizon > 0 && is_worth_it(cluster_state.job(unserved.job), wall_now()))
+      input.unmet_demands.push_back({unserved.job, unserved.after_horizon});
   // Machines with accelerators first: nothing else serves the work that needs them, and they take the longest to boot.
-  std::stable_partition(input.unmet.begin(), input.unmet.end(),
+  std::stable_partition(input.unmet_demands.begin(), input.unmet_demands.end(),
                         [&](const auto& demand) { return cluster_state.job(demand.job).spec.demand.accelerators > 0; });
   return choose_scale_out(input);
 }
@@ -97,7 +98,7 @@
   const auto& request = sent.request;
   const auto& offer = request.offer;
   spdlog::info("scale-out: {} of {} {} in {}{}{}", names.size(), request.count, sent.machine_type, offer.zone, offer.spot ? ", spot" : "",
-               request.late > 0 ? ", " + std::to_string(request.late) + " requested earlier are late" : "");
+               request.late_instances > 0 ? ", " + std::to_string(request.late_instances) + " requested earlier are late" : "");
   ClusterState& cluster_state = *shared_.term->cluster_state;
   const double now = steady_now();
   for (const auto& name : names) {
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -29,7 +29,7 @@
 }
 
 double shortest_boot_s(const ClusterState& cluster_state) {
-  double out = kForever;
+  double out = kInfinity;
   for (const auto& type : cluster_state.machine_types()) out = std::min(out, type.boot_s);
   return out;
 }
@@ -63,17 +63,17 @@
   const double processor_before = thread_processor_seconds();
   const PassContext context = pass_context();
   const auto term = shared_.term_number;
-  expire_leases(context.steady);
-  fence_uncertain_starts(context.steady);
+  expire_leases(context.steady_now);
+  fence_uncertain_starts(context.steady_now);
   std::set<NodeIndex> touched;
   mark_stops(context, touched);
-  update_idle_times(context.steady);
+  update_idle_times(context.steady_now);
   const Decision decision = plan(context, touched);
-  const PlannedStarts starts = assign_tasks(*shared_.term->cluster_state, decision.plan.starts, context.wall);
+  const PlannedStarts starts = assign_tasks(*shared_.term->cluster_state, decision.plan.starts, context.wall_now);
   touched.insert(starts.nodes.begin(), starts.nodes.end());
   charge_promoted(decision);
-  const PassCost cost = record_cost(decision, context.steady, processor_before);
-  if (!commit_starts(lock, starts, decision.plan.starts, context.steady)) return cost;
+  const PassCost cost = record_cost(decision, context.steady_now, processor_before);
+  if (!commit_starts(lock, starts, decision.plan.starts, context.steady_now)) return cost;
   // Where leadership is uncertain by now, the answers to heartbeats carry the starts once it is certain again.
   if (!starts.records.empty() && !shared_.may_decide()) return cost;
   if (shared_.is_term(term))
@@ -84,8 +84,8 @@
 PassContext SchedulingLoop::pass_context() const {
   const Term& term = *shared_.term;
   PassContext out;
-  out.steady = steady_now();
-  out.wall = wall_now();
+  out.steady_now = steady_now();
+  out.wall_now = wall_now();
   out.takeover_token = term.takeover_token;
   out.taken_over_at = term.taken_over_at;
   out.first_term_ever = term.first_term_ever;
@@ -121,7 +121,7 @@
 
 void SchedulingLoop::mark_stops(const PassContext& context, std::set<NodeIndex>& touched) {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady, context.wall})) touched.insert(node);
+  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady_now, context.wall_now})) touched.insert(node);
   for (const NodeIndex node : resume_inherited_stops(cluster_state)) touched.insert(node);
   if (!stop_broken_gangs(cluster_state)) return;
   for (const JobIndex job : cluster_state.live())
@@ -155,10 +155,10 @@
   term.within_guarantee = jobs_within_guarantee(cluster_state);
   Decision out;
   out.input = plan_input_builder_.build(cluster_state, context, term.within_guarantee);
-  out.promoted = promote_starving_jobs(out.input, cluster_state, term.starvation_guard, shared_.release_rate.rate(context.steady), context,
-                                       term.within_guarantee);
+  out.promoted = promote_starving_jobs(out.input, cluster_state, term.starvation_guard, shared_.release_rate.rate(context.steady_now),
+                                       context, term.within_guarantee);
   // Units without a slot before a node requested now could be up.
-  out.input.horizon = context.wall + shortest_boot_s(cluster_state);
+  out.input.horizon = context.wall_now + shortest_boot_s(cluster_state);
   out.plan = make_plan(out.input);
   term.unserved = out.plan.unserved;
   out.preempted_tasks = preempt(out.input, out.plan, context, touched);
@@ -173,14 +173,14 @@
                                          input,
                                          plan,
                                          term.within_guarantee,
-                                         context.wall,
-                                         shared_.release_rate.rate(context.steady),
+                                         context.wall_now,
+                                         shared_.release_rate.rate(context.steady_now),
                                          classes_with_start_targets_,
                                          term.starvation_guard.protected_jobs()};
   const PreemptionPlan preemption = choose_victims(preemption_input);
-  for (const auto& waived : preemption.waived)
+  for (const auto& waived : preemption.cancelled_starts)
     std::erase_if(plan.starts,
-                  [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.at == waived.at; });
+                  [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.start_at == waived.start_at; });
   for (const auto& victim : preemption.victims) {
     Placement* placement = cluster_state.placement(victim.ref);
     mark_for_stop(*placement, victim.grace_period_s);
@@ -194,7 +194,7 @@
   Term& term = *shared_.term;
   for (const auto& slot : decision.plan.starts) {
     if (!decision.promoted.contains(slot.job)) continue;
-    term.starvation_guard.charge(slot.job, term.cluster_state->job(slot.job).spec.demand.cores * slot.count);
+    term.starvation_guard.charge(slot.job, term.cluster_state->job(slot.job).spec.demand.cores * slot.units);
   }
 }
 
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -51,10 +51,10 @@
   // ---- scheduling
   std::set<JobIndex> within_guarantee;  // as the last pass found them
   StarvationGuard starvation_guard;
-  std::vector<Plan::Unserved> unserved;           // by the last pass
-  std::set<NodeIndex> starting_nodes;             // a start on them is on its way into the ledger
-  double last_active_at = 0;                      // steady seconds: when work last waited or ended
-  std::map<MachineOffer, double> refused_offers;  // by the cloud; steady seconds at which to try again
+  std::vector<Plan::Unserved> unserved;            // by the last pass
+  std::set<NodeIndex> starting_nodes;              // a start on them is on its way into the ledger
+  double last_active_at = 0;                       // steady seconds: when work last waited or ended
+  std::map<InstanceOffer, double> refused_offers;  // by the cloud; steady seconds at which to try again
 
   // ---- agents
   // Heartbeats answered while the ledger was being read, by node, steady seconds: leases count from then.
--- a/src/scheduling/accelerator_reservation.cpp
+++ b/src/scheduling/accelerator_reservation.cpp
@@ -11,22 +11,23 @@
 
 namespace {
 
-constexpr double kDemandUnknownSeconds = 6.0;      // of a cluster's first term
-constexpr double kDemandMemorySeconds = 60.0;      // over which the demand for accelerators fades
-constexpr double kBorrowingTaskRunSeconds = 60.0;  // about how long a task without accelerators runs
-constexpr double kNegligibleMachines = 0.1;
+constexpr double kDemandUnknownSeconds = 6.0;     // at the start of a cluster's first term
+constexpr double kDemandDecaySeconds = 60.0;      // time constant of the recent demand
+constexpr double kBackfillTaskRunSeconds = 60.0;  // typical run time of a task without accelerators
+constexpr double kNegligibleNodes = 0.1;
 
-// A cluster's first leader knows no demand yet: what its first users send in the first seconds is not lent away before the
-// rest of them have sent theirs (measured on a restarted cluster: arrays held 50 machines for 80 s while gangs waited).
-void reserve_all(PlanInput& input) {
+// The first leader of a cluster knows no demand yet. It reserves all nodes with accelerators for the first seconds, so that the
+// first CPU-only jobs do not occupy them before accelerator jobs are submitted: on a restarted cluster, arrays occupied 50 of
+// these nodes for 80 s while gangs waited.
+void reserve_all_nodes(PlanInput& input) {
   for (auto& node : input.nodes) {
     if (node.capacity.accelerators <= 0) continue;
-    if (node.lending == PlanNode::Lending::all) node.lent = {};
-    node.lending = PlanNode::Lending::kept;
+    if (node.backfill_rule == PlanNode::BackfillRule::unrestricted) node.backfill_capacity = {};
+    node.backfill_rule = PlanNode::BackfillRule::reserved;
   }
 }
 
-// The job's tasks by the machine type that they run on or may run on.
+// The job's tasks by machine type. Pending tasks count for each type on which they may run.
 std::map<MachineTypeIndex, double> tasks_by_machine_type(const ClusterState& cluster_state, const Job& job) {
   std::map<MachineTypeIndex, double> tasks;
   for (const auto& [task, placement] : job.placed) tasks[cluster_state.node(placement.node).machine_type] += 1;
@@ -40,33 +41,34 @@
   return tasks;
 }
 
-// Those with the most room for other tasks already are kept first.
+// Reserves the nodes with the largest backfill capacity first.
 void reserve_nodes(PlanInput& input, MachineTypeIndex machine_type, std::size_t count) {
-  std::vector<PlanNode*> nodes;  // those that accelerator work may use
+  std::vector<PlanNode*> nodes;  // nodes that accelerator jobs may use
   for (auto& node : input.nodes)
-    if (node.machine_type == machine_type && node.lending != PlanNode::Lending::all) nodes.push_back(&node);
-  std::stable_sort(nodes.begin(), nodes.end(), [](const PlanNode* a, const PlanNode* b) { return a->lent.cores > b->lent.cores; });
-  for (std::size_t i = 0; i < nodes.size() && i < count; ++i) nodes[i]->lending = PlanNode::Lending::kept;
+    if (node.machine_type == machine_type && node.backfill_rule != PlanNode::BackfillRule::unrestricted) nodes.push_back(&node);
+  std::stable_sort(nodes.begin(), nodes.end(),
+                   [](const PlanNode* a, const PlanNode* b) { return a->backfill_capacity.cores > b->backfill_capacity.cores; });
+  for (std::size_t i = 0; i < nodes.size() && i < count; ++i) nodes[i]->backfill_rule = PlanNode::BackfillRule::reserved;
 }
 
 }  // namespace
 
 void AcceleratorReservation::apply(PlanInput& input, const ClusterState& cluster_state, const StartTargets& start_targets,
                                    const PassContext& context) {
-  if (context.first_term_ever && context.steady - context.taken_over_at < kDemandUnknownSeconds) {
-    reserve_all(input);
+  if (context.first_term_ever && context.steady_now - context.taken_over_at < kDemandUnknownSeconds) {
+    reserve_all_nodes(input);
     return;
   }
   CurrentDemand current = measure_demand(cluster_state, start_targets);
   for (const auto& machine_type : cluster_state.machine_types()) {
     if (machine_type.capacity.accelerators <= 0) continue;
     const MachineTypeIndex index = cluster_state.find_machine_type(machine_type.name);
-    const FadingDemand& demand = update(index, current, context.steady);
-    if (demand.machines < kNegligibleMachines) continue;
-    // A spare machine only where the target for the wait leaves no time for tasks that borrowed it to end. Gangs over
-    // several machines wait for the last of them: for these there is room for one more of the widest.
-    const double spare = demand.widest_gang > 1 ? demand.widest_gang : demand.start_target_s < kBorrowingTaskRunSeconds ? 1 : 0;
-    reserve_nodes(input, index, static_cast<std::size_t>(std::ceil(demand.machines + spare)));
+    const RecentDemand& demand = update_recent_demand(index, current, context.steady_now);
+    if (demand.nodes < kNegligibleNodes) continue;
+    // One spare node if the start target leaves no time for backfilling tasks to complete. Gangs of several nodes wait for the last
+    // of them, so another gang as wide as the widest is provided for.
+    const double spare = demand.widest_gang_nodes > 1 ? demand.widest_gang_nodes : demand.start_target_s < kBackfillTaskRunSeconds ? 1 : 0;
+    reserve_nodes(input, index, static_cast<std::size_t>(std::ceil(demand.nodes + spare)));
   }
 }
 
@@ -94,19 +96,19 @@
   for (const auto& [index, count] : tasks) {
     const MachineType* machine_type = cluster_state.machine_type(index);
     if (!machine_type || machine_type->capacity.accelerators <= 0) continue;
-    const double machines = count * job.spec.demand.accelerators / machine_type->capacity.accelerators;
-    demand.machines[index] += machines;
-    if (job.spec.job_type == JobType::gang) demand.widest_gang[index] = std::max(demand.widest_gang[index], machines);
+    const double nodes = count * job.spec.demand.accelerators / machine_type->capacity.accelerators;
+    demand.nodes[index] += nodes;
+    if (job.spec.job_type == JobType::gang) demand.widest_gang_nodes[index] = std::max(demand.widest_gang_nodes[index], nodes);
   }
 }
 
-const AcceleratorReservation::FadingDemand& AcceleratorReservation::update(MachineTypeIndex machine_type, CurrentDemand& current,
-                                                                           double steady) {
-  FadingDemand& demand = demand_[machine_type];
-  const double remaining = std::exp(-(steady - demand.updated_at) / kDemandMemorySeconds);
-  demand.widest_gang = std::max(demand.widest_gang * remaining, current.widest_gang[machine_type]);
-  demand.machines = std::max(demand.machines * remaining, current.machines[machine_type]);
-  demand.updated_at = steady;
+const AcceleratorReservation::RecentDemand& AcceleratorReservation::update_recent_demand(MachineTypeIndex machine_type,
+                                                                                         CurrentDemand& current, double steady_now) {
+  RecentDemand& demand = recent_demand_[machine_type];
+  const double decay = std::exp(-(steady_now - demand.updated_at) / kDemandDecaySeconds);
+  demand.widest_gang_nodes = std::max(demand.widest_gang_nodes * decay, current.widest_gang_nodes[machine_type]);
+  demand.nodes = std::max(demand.nodes * decay, current.nodes[machine_type]);
+  demand.updated_at = steady_now;
   if (auto it = current.start_target_s.find(machine_type); it != current.start_target_s.end()) demand.start_target_s = it->second;
   return demand;
 }
--- a/src/scheduling/accelerator_reservation.hpp
+++ b/src/scheduling/accelerator_reservation.hpp
@@ -1,5 +1,5 @@
-// Keeps nodes with accelerators free of tasks that need none, as many as the accelerator work has needed recently.
-// Called while the planner's input is built; it marks nodes there and never places or stops anything.
+// Reserves nodes with accelerators for accelerator jobs, as many as these needed recently; CPU-only tasks may only backfill them.
+// Called while the planner's input is built: it marks nodes there and neither places nor stops tasks.
 #pragma once
 #include <map>
 #include <vector>
@@ -13,28 +13,28 @@
 
 class AcceleratorReservation {
  public:
-  // Marks the nodes of `input` that are kept for accelerator work, and takes the present demand into account for later
-  // passes.
+  // Marks the reserved nodes in `input`, and updates the recent demand with the current one.
   void apply(PlanInput& input, const ClusterState& cluster_state, const StartTargets& start_targets, const PassContext& context);
 
  private:
-  // Of one machine type, fading with time. Machines are counted by their accelerators.
-  struct FadingDemand {
-    double machines = 0;
-    double widest_gang = 0;       // machines of the widest gang
+  // Recent demand for one machine type: the highest demand, decaying exponentially. Nodes are counted in fractions, by their
+  // accelerators.
+  struct RecentDemand {
+    double nodes = 0;
+    double widest_gang_nodes = 0;
     double updated_at = 0;        // steady seconds
-    double start_target_s = 1e9;  // the strictest target for the wait among its jobs
+    double start_target_s = 1e9;  // strictest start target among the jobs
   };
-  // What the jobs of this pass need of one machine type.
+  // Demand of the jobs of one pass, by machine type.
   struct CurrentDemand {
-    std::map<MachineTypeIndex, double> machines, widest_gang, start_target_s;
+    std::map<MachineTypeIndex, double> nodes, widest_gang_nodes, start_target_s;
   };
 
   static CurrentDemand measure_demand(const ClusterState& cluster_state, const StartTargets& start_targets);
   static void add_job(CurrentDemand& demand, const ClusterState& cluster_state, const Job& job, const StartTargets& start_targets);
-  const FadingDemand& update(MachineTypeIndex machine_type, CurrentDemand& current, double steady);
+  const RecentDemand& update_recent_demand(MachineTypeIndex machine_type, CurrentDemand& current, double steady_now);
 
-  std::map<MachineTypeIndex, FadingDemand> demand_;
+  std::map<MachineTypeIndex, RecentDemand> recent_demand_;
 };
 
 }  // namespace thistlefront
--- a/src/scheduling/capacity_profile.hpp
+++ b/src/scheduling/capacity_profile.hpp
@@ -1,4 +1,4 @@
-// The free room of one node over time, as a step function. Used by the planner, one profile for each node and pass.
+// Free capacity of one node over time, as a step function. The planner makes one profile for each node and pass.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,31 +9,32 @@
 
 namespace thistlefront {
 
-// How many times `demand` fits into `room`; at most a million.
-std::uint32_t whole_units(const Resources& demand, const Resources& room);
+// How many times `demand` fits into `available`; at most a million.
+std::uint32_t count_whole_units(const Resources& demand, const Resources& available);
 
 class CapacityProfile {
  public:
-  // Room that comes free as the node's occupants end; those over their estimate count as ending at `now + overrun_s`.
+  // Capacity comes free as the node's occupants end. Occupants past their expected end are expected to end at
+  // `now + overrun_s`.
   CapacityProfile(const PlanNode& node, double now, double overrun_s);
-  // Earliest time from `from` on at which one unit fits for `duration`; kForever if never.
-  [[nodiscard]] double earliest(const Resources& demand, double duration, double from) const;
-  // How many units fit all through [at, at + duration).
-  [[nodiscard]] std::uint32_t fits(const Resources& demand, double at, double duration) const;
-  // Takes the room in [at, at + duration); the caller has checked that it is free.
-  void take(const Resources& amount, double at, double duration);
-
-  // Free room from `at` until the next step.
+  // Earliest time, not before `from`, at which one unit fits for `duration_s`; kInfinity if there is none.
+  [[nodiscard]] double find_earliest_fit(const Resources& demand, double duration_s, double from) const;
+  // Number of units that fit throughout [start_at, start_at + duration_s).
+  [[nodiscard]] std::uint32_t count_fitting_units(const Resources& demand, double start_at, double duration_s) const;
+  // Allocates capacity in [start_at, start_at + duration_s); the caller has checked that it is free.
+  void allocate(const Resources& amount, double start_at, double duration_s);
+
+  // Free capacity from `start_at` until the next step.
   struct Step {
-    double at;
+    double start_at;
     Resources free;
   };
   [[nodiscard]] const std::vector<Step>& steps() const { return steps_; }
 
  private:
-  // Position of the step that begins at `at`, which is added where there is none.
-  std::size_t step_at(double at);
-  [[nodiscard]] double end_of(std::size_t step) const { return step + 1 < steps_.size() ? steps_[step + 1].at : kForever; }
+  // Returns the position of the step that starts at `time`; splits a step there if needed.
+  std::size_t find_or_add_step(double time);
+  [[nodiscard]] double step_end(std::size_t step) const { return step + 1 < steps_.size() ? steps_[step + 1].start_at : kInfinity; }
 
   std::vector<Step> steps_;
   double usable_until_;
--- a/src/scheduling/failed_searches.cpp
+++ b/src/scheduling/failed_searches.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool is_no_smaller(const Resources& a, const Resources& b) {
+bool needs_at_least(const Resources& a, const Resources& b) {
   return a.cores >= b.cores && a.ram_gb >= b.ram_gb;
 }
 
@@ -22,13 +22,13 @@
   if (!is_comparable(job)) return false;
   const auto it = smallest_demands_.find(eligibility_of(job));
   if (it == smallest_demands_.end()) return false;
-  return std::any_of(it->second.begin(), it->second.end(), [&](const Resources& failed) { return is_no_smaller(job.demand, failed); });
+  return std::any_of(it->second.begin(), it->second.end(), [&](const Resources& failed) { return needs_at_least(job.demand, failed); });
 }
 
 void FailedSearches::add(const PlanJob& job) {
   if (!is_comparable(job)) return;
   auto& demands = smallest_demands_[eligibility_of(job)];
-  std::erase_if(demands, [&](const Resources& failed) { return is_no_smaller(failed, job.demand); });
+  std::erase_if(demands, [&](const Resources& failed) { return needs_at_least(failed, job.demand); });
   demands.push_back(job.demand);
 }
 
--- a/src/scheduling/failed_searches.hpp
+++ b/src/scheduling/failed_searches.hpp
@@ -1,6 +1,7 @@
-// Remembers, within one pass, demands for which no node had room. With no reservation left to give, a job whose like, with
-// no larger demand, found nothing free finds nothing either: room that is free now only shrinks within a pass. Without this,
-// bursts of hundreds of single tasks, each searched for on each node, took most of the planning. Internal to the planner.
+// Remembers, within one pass, the demands for which no node had free capacity. Once all reservations are given out, a job that
+// may use the same nodes and needs at least as much cannot start either, because free capacity only shrinks within a pass.
+// Without this, bursts of hundreds of single tasks, each searched for on each node, took most of the planning time. Internal to
+// the planner.
 #pragma once
 #include <compare>
 #include <map>
@@ -14,13 +15,13 @@
 
 class FailedSearches {
  public:
-  // Whether a search for this job is certain to find nothing free now.
+  // Whether a search for this job is certain to find no capacity that is free now.
   [[nodiscard]] bool covers(const PlanJob& job) const;
-  // Some units of the job found nothing, and not for its team's quota.
+  // Records that some units of the job found no capacity. Not to be called if the team's quota was the reason.
   void add(const PlanJob& job);
 
  private:
-  // Jobs that may use the same nodes.
+  // Decides which nodes a job may use.
   struct Eligibility {
     std::vector<MachineTypeIndex> machine_types;
     ZoneIndex zone;
@@ -28,7 +29,7 @@
     auto operator<=>(const Eligibility&) const = default;
   };
   static Eligibility eligibility_of(const PlanJob& job) { return {job.machine_types, job.zone, job.allows_spot}; }
-  // Whether nothing but its eligibility and demand decides where the job finds room.
+  // Whether the job's eligibility and demand alone decide where it fits.
   static bool is_comparable(const PlanJob& job);
 
   std::map<Eligibility, std::vector<Resources>> smallest_demands_;
--- a/src/scheduling/gang_placement.hpp
+++ b/src/scheduling/gang_placement.hpp
@@ -1,4 +1,4 @@
-// Places a gang: all units at the first time when they fit together, in one zone where the job asks for it. Internal to the
+// Places a gang: all units at the earliest time at which they fit together, in one zone if the job asks for it. Internal to the
 // planner.
 #pragma once
 #include <cstdint>
@@ -20,25 +20,26 @@
     NodePosition position = 0;
     std::uint32_t units = 0;
   };
-  // A gang runs when the last of its nodes has the image: the slot where it runs first is the best.
+  // A gang runs once the last of its nodes has the image. The best slot is the one in which it runs first.
   struct GangSlot {
-    double at = kForever, runs_at = kForever;
+    double start_at = kInfinity, runs_at = kInfinity;
     std::vector<UnitsOnNode> parts;
   };
-  using CostedNodes = std::vector<std::pair<double, NodePosition>>;  // the cheapest first
+  using NodesByCost = std::vector<std::pair<double, NodePosition>>;  // cost and node, the cheapest first
 
-  // Sets of nodes of which one takes the whole gang: a set for each zone, or one of all nodes.
+  // Node sets to search; the whole gang goes on one of them. One set for each zone if the job needs a single zone, otherwise one
+  // set of all nodes.
   [[nodiscard]] std::vector<std::vector<NodePosition>> candidate_sets() const;
-  // Makes `best_` the best slot on these nodes, where that is better.
-  void search(const std::vector<NodePosition>& nodes);
-  // When nodes for all units each take one unit at all: before, the whole gang need not be tried.
-  double first_possible_time(const std::vector<NodePosition>& nodes, double duration);
-  // Starts of the profiles' steps behind `from`, in no order.
-  [[nodiscard]] std::vector<double> later_steps(const std::vector<NodePosition>& nodes, double from) const;
-  [[nodiscard]] CostedNodes order_by_cost(const std::vector<NodePosition>& nodes);
-  // The nodes that take all units at this time; empty when they do not fit.
-  std::vector<UnitsOnNode> fit_at(const CostedNodes& ordered, double at, double duration);
-  void use_if_better(double at, std::vector<UnitsOnNode> parts);
+  // Searches these nodes for a slot that is better than `best_`, and stores it there.
+  void search_nodes(const std::vector<NodePosition>& nodes);
+  // Lower bound of the gang's start time: when enough nodes can each take at least one unit.
+  double first_possible_start(const std::vector<NodePosition>& nodes, double duration_s);
+  // Start times of all profile steps after `from`, in no particular order.
+  [[nodiscard]] std::vector<double> step_times_after(const std::vector<NodePosition>& nodes, double from) const;
+  [[nodiscard]] NodesByCost sort_by_cost(const std::vector<NodePosition>& nodes);
+  // Distributes all units over the nodes at this time; empty if they do not fit.
+  std::vector<UnitsOnNode> distribute_units(const NodesByCost& sorted_nodes, double start_at, double duration_s);
+  void use_if_better(double start_at, std::vector<UnitsOnNode> parts);
 
   PlanBuilder& builder_;
   PlanJob& job_;
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Shorter estimates count as this in the key: without it a false estimate near zero would go before everything.
-constexpr double kShortestEstimateSeconds = 10.0;
+// Lower bound of the estimate in the sort key: without it, a false estimate near zero would be planned before everything else.
+constexpr double kMinEstimateSeconds = 10.0;
 
 template <class Value>
 bool contains(const std::vector<Value>& values, const Value& value) {
@@ -21,7 +21,7 @@
   if (job.zone.valid() && node.zone != job.zone) return false;
   if (!job.machine_types.empty() && !contains(job.machine_types, node.machine_type)) return false;
   if (contains(job.avoided_nodes, node.node)) return false;
-  if (borrows(job, node) && !job.demand.fits(node.lent)) return false;
+  if (is_backfill(job, node) && !job.demand.fits(node.backfill_capacity)) return false;
   return job.demand.fits(node.capacity);
 }
 
@@ -30,24 +30,25 @@
   return node.image_fetch_gb_per_s > 0 ? job.image_gb / node.image_fetch_gb_per_s : 0;
 }
 
-bool goes_before(const PlanJob& a, const PlanJob& b) {
-  return a.tier != b.tier ? a.tier > b.tier : a.key > b.key;
+bool is_planned_before(const PlanJob& a, const PlanJob& b) {
+  return a.tier != b.tier ? a.tier > b.tier : a.sort_key > b.sort_key;
 }
 
-bool elsewhere(const std::vector<std::uint32_t>& by_zone, ZoneIndex zone) {
-  for (std::size_t z = 0; z < by_zone.size(); ++z)
-    if (z != zone.value && by_zone[z] > 0) return true;
+bool has_tasks_in_other_zone(const std::vector<std::uint32_t>& tasks_by_zone, ZoneIndex zone) {
+  for (std::size_t z = 0; z < tasks_by_zone.size(); ++z)
+    if (z != zone.value && tasks_by_zone[z] > 0) return true;
   return false;
 }
 
-bool borrows(const PlanJob& job, const PlanNode& node) {
+bool is_backfill(const PlanJob& job, const PlanNode& node) {
   if (job.demand.accelerators > 0) return false;
-  return node.lending == PlanNode::Lending::kept || (node.lending == PlanNode::Lending::not_to_services && job.service);
+  return node.backfill_rule == PlanNode::BackfillRule::reserved ||
+         (node.backfill_rule == PlanNode::BackfillRule::limited_for_services && job.service);
 }
 
-double key_of(double random_draw, double estimate_s, double weight, double waited_s, bool service) {
-  const double delay = weight * std::max(0.0, waited_s);
-  return service ? delay : random_draw / std::max(estimate_s, kShortestEstimateSeconds) + delay;
+double compute_sort_key(double random_draw, double estimate_s, double weight, double waited_s, bool service) {
+  const double wait_term = weight * std::max(0.0, waited_s);
+  return service ? wait_term : random_draw / std::max(estimate_s, kMinEstimateSeconds) + wait_term;
 }
 
 }  // namespace thistlefront
--- a/src/scheduling/plan.hpp
+++ b/src/scheduling/plan.hpp
@@ -1,5 +1,6 @@
-// What a pass plans with and what it decides: nodes with their occupants, jobs that wait, and slots. Plain data, built by
-// PlanInputBuilder, read by the planner and by the choice of preemption victims.
+// Input and output of the planner: nodes with the tasks that occupy them, waiting jobs, and the slots that a pass gives out.
+// Plain data, built by PlanInputBuilder and read by the planner and by the choice of preemption victims. Times are wall
+// seconds.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +12,8 @@
 
 namespace thistlefront {
 
-inline constexpr double kForever = std::numeric_limits<double>::infinity();
+// A time that never comes, a duration without end, or the cost of something impossible.
+inline constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 // A node that may take new tasks.
 struct PlanNode {
@@ -19,81 +21,83 @@
   MachineTypeIndex machine_type;
   ZoneIndex zone;
   bool spot = false;
-  Resources capacity;  // of the whole machine
+  Resources capacity;  // of the whole node
   double image_fetch_gb_per_s = 0;
-  double usable_until = kForever;
+  double usable_until = kInfinity;
+  // Tasks whose expected ends are equal after rounding.
   struct Occupant {
     Resources demand;
-    double until = 0;
+    double ends_at = 0;  // expected; kInfinity: it runs until it is cancelled
   };
   std::vector<Occupant> occupants;
   std::vector<ImageIndex> images;
-  // Machines with accelerators lend room to tasks that need none: services take only what the accelerator work
-  // leaves (`lent`), and on machines kept for it so do all others. docs/design.md, exceptions.
-  enum class Lending { all, not_to_services, kept } lending = Lending::all;
-  Resources lent;
+  // Which tasks without accelerators are limited to the node's backfill capacity, the part that accelerator tasks leave
+  // free: none, those of services, or all. See docs/design.md, exceptions.
+  enum class BackfillRule { unrestricted, limited_for_services, reserved } backfill_rule = BackfillRule::unrestricted;
+  Resources backfill_capacity;
 };
 
-// The waiting units of a job; those of an array or a service are alike, so they are planned as one run.
+// The waiting units of a job. The units of an array or a service are alike and are planned together.
 struct PlanJob {
   JobIndex job;
   std::uint32_t units = 0;
-  bool gang = false;     // all units at once or none
+  bool gang = false;     // all units start together or none
   bool service = false;  // runs until cancelled
-  Resources demand;
+  Resources demand;      // of one unit
   double estimated_run_s = 0;
   double image_gb = 0;
   ImageIndex image;
   TeamIndex team;
-  int tier = 0;                                 // higher goes first, ahead of the key
-  double key = 0;                               // higher goes first within a tier
+  int tier = 0;                                 // priority tier: a higher tier is planned first, whatever the sort keys are
+  double sort_key = 0;                          // within a tier, a higher sort key is planned first
   std::vector<MachineTypeIndex> machine_types;  // empty: any
   ZoneIndex zone;                               // not valid: any
   bool single_zone = false;
   bool allows_spot = false;
   std::uint32_t max_tasks_per_zone = UINT32_MAX;
-  std::vector<std::uint32_t> tasks_by_zone;  // its tasks that may be in each zone
-  std::vector<std::uint32_t> tasks_by_node;  // by position in PlanInput::nodes; empty: none
-  std::vector<NodeIndex> avoided_nodes;      // nodes on which it failed
+  std::vector<std::uint32_t> tasks_by_zone;  // placed tasks of the job; filled only where a rule needs the counts
+  std::vector<std::uint32_t> tasks_by_node;  // the same by position in PlanInput::nodes; empty: none
+  std::vector<NodeIndex> avoided_nodes;      // nodes on which the job failed recently
   bool suspect = false;                      // fails wherever it runs: nothing is preempted or rented for it
-  double run_within_s = 0;                   // services: what is left of the target for their wait; 0: no target, or it is past
-  double patience_s = 2;                     // a slot no later than this is waited for; for later ones work is preempted
+  double remaining_start_target_s = 0;       // services: time left to meet the start target; 0: no target, or it is missed
+  double max_wait_s = 2;                     // maximum wait for a reserved slot before other work is preempted
 };
 
-// What a team may still use of its quota; kForever where it has none.
+// What a team may still use of its quota; very large where it has no quota.
 struct TeamHeadroom {
   Resources remaining;
 };
 
 struct PlanInput {
   double now = 0;
-  double overrun_s = 30;               // a task over its estimate counts as ending this long after the pass
-  std::size_t max_reservations = 400;  // in a pass, so that its time is bounded
-  double horizon = kForever;           // units without a slot before it are counted apart, for renting machines
-  std::vector<PlanNode> nodes;         // in the order of their indices
+  double overrun_s = 30;               // a task that exceeds its estimate is expected to end this long after the pass
+  std::size_t max_reservations = 400;  // per pass; bounds the time of a pass
+  double horizon = kInfinity;          // units without a slot before this time are counted for scale-out
+  std::vector<PlanNode> nodes;         // by ascending index
   std::vector<PlanJob> jobs;
   std::vector<TeamHeadroom> teams;
 };
 
-// Room for some units of a job on one node.
+// Capacity for some units of a job on one node from `start_at` on.
 struct Slot {
   JobIndex job;
   NodeIndex node;
-  std::uint32_t count = 0;
-  double at = 0;
-  double image_pull_s = 0;  // its image is fetched first
+  std::uint32_t units = 0;
+  double start_at = 0;
+  double image_pull_s = 0;  // time to fetch the image before the units run
 };
 
 struct Plan {
-  std::vector<Slot> starts;        // now
-  std::vector<Slot> reservations;  // later: nothing that goes after them may delay them
-  struct Unserved {                // units that do not start now, for renting machines
+  std::vector<Slot> starts;        // slots that start now
+  std::vector<Slot> reservations;  // slots that start later; jobs planned afterwards never delay them
+  // Units of a job that do not start now, for scale-out.
+  struct Unserved {
     JobIndex job;
     std::uint32_t units = 0;
-    std::uint32_t late = 0;  // of them, those without a slot before the horizon
+    std::uint32_t after_horizon = 0;  // those of `units` that have no slot before the horizon
   };
   std::vector<Unserved> unserved;
-  std::size_t examined_nodes = 0;  // how often a node was searched for a slot: what the pass costs
+  std::size_t examined_nodes = 0;  // number of searches for a slot on a node, the main cost of a pass
 };
 
 }  // namespace thistlefront
--- a/src/scheduling/plan_builder.cpp
+++ b/src/scheduling/plan_builder.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Weights of what is wrong with a slot, in seconds of delay. A fill grade between 0 and 1 is added to their sum.
+// Terms of the placement cost, in seconds of delay. The node's fraction of free cores, between 0 and 1, is added to them.
 constexpr double kAcceleratorNodeCost = 1000;
 constexpr double kSpotBonus = 2;
 constexpr double kSameNodeCost = 4;
@@ -12,47 +12,47 @@
 
 }  // namespace
 
-PlanBuilder::PlanBuilder(const PlanInput& input) : input_(input), teams_(input.teams), reserved_(input.teams.size()) {
+PlanBuilder::PlanBuilder(const PlanInput& input) : input_(input), teams_(input.teams), reserved_by_team_(input.teams.size()) {
   pull_seconds_.resize(input_.nodes.size());
   profiles_.reserve(input_.nodes.size());
-  lent_.reserve(input_.nodes.size());
+  backfill_capacity_.reserve(input_.nodes.size());
   for (const auto& node : input_.nodes) {
     profiles_.emplace_back(node, input_.now, input_.overrun_s);
-    lent_.push_back(node.lent);
+    backfill_capacity_.push_back(node.backfill_capacity);
   }
 }
 
-double PlanBuilder::cost(PlanJob& job, NodePosition position) {
+double PlanBuilder::placement_cost(PlanJob& job, NodePosition position) {
   const PlanNode& node = input_.nodes[position];
   double cost = image_pull_s(job, position);
-  // Machines with accelerators are left to the work that needs them while there is room elsewhere.
+  // Keeps nodes with accelerators free for work that needs them while other nodes have capacity.
   if (job.demand.accelerators == 0 && node.capacity.accelerators > 0) cost += kAcceleratorNodeCost;
-  // Spot machines take what may run there, and leave the others to the work that may not.
+  // Prefers spot nodes for jobs that allow them, which leaves the others to jobs that do not.
   if (job.allows_spot && node.spot) cost -= kSpotBonus;
-  // Replicas of one service go to different places, so that a lost machine or zone takes few of them.
+  // Spreads the replicas of a service, so that the loss of a node or zone takes few of them.
   if (job.service)
     cost += kSameNodeCost * count_at(job.tasks_by_node, position) + kSameZoneCost * count_at(job.tasks_by_zone, node.zone.value);
-  // Among equals the fuller machine, so that whole machines stay free.
+  // Prefers the fuller of otherwise equal nodes, so that whole nodes stay free.
   const Resources& free = profiles_[position].steps().front().free;
   return cost + (node.capacity.cores > 0 ? free.cores / node.capacity.cores : 0);
 }
 
-void PlanBuilder::add_slot(PlanJob& job, NodePosition position, std::uint32_t units, double at) {
+void PlanBuilder::add_slot(PlanJob& job, NodePosition position, std::uint32_t units, double start_at) {
   const PlanNode& node = input_.nodes[position];
-  profiles_[position].take(job.demand * units, at, duration(job, position));
-  if (borrows(job, node)) lent_[position] -= job.demand * units;
+  profiles_[position].allocate(job.demand * units, start_at, run_duration_s(job, position));
+  if (is_backfill(job, node)) backfill_capacity_[position] -= job.demand * units;
   count_at(job.tasks_by_zone, node.zone.value) += units;
   count_at(job.tasks_by_node, position) += units;
-  auto& slots = is_now(at) ? plan_.starts : plan_.reservations;
-  slots.push_back({job.job, node.node, units, at, image_pull_s(job, position)});
+  auto& slots = is_now(start_at) ? plan_.starts : plan_.reservations;
+  slots.push_back({job.job, node.node, units, start_at, image_pull_s(job, position)});
 }
 
-void PlanBuilder::charge_team(const PlanJob& job, std::uint32_t units, double at) {
+void PlanBuilder::charge_team(const PlanJob& job, std::uint32_t units, double start_at) {
   if (!job.team.valid()) return;
-  if (is_now(at)) {
+  if (is_now(start_at)) {
     teams_[job.team.value].remaining -= job.demand * units;
   } else {
-    reserved_[job.team.value] += job.demand * units;
+    reserved_by_team_[job.team.value] += job.demand * units;
   }
 }
 
--- a/src/scheduling/plan_node_builder.cpp
+++ b/src/scheduling/plan_node_builder.cpp
@@ -15,70 +15,71 @@
 
 namespace {
 
-constexpr double kSilentHeartbeats = 1.5;     // heartbeat intervals without a heartbeat after which a node gets no new task
-constexpr double kSilenceSlackSeconds = 1.0;  // added to them
-constexpr double kEndGrainSeconds = 0.5;      // to which ends are rounded up: far finer than estimates are
-constexpr double kStopSlackSeconds = 1.0;     // beyond its grace period, until a stopped task has left
+// A node gets no new task after this many heartbeat intervals plus the slack without a heartbeat.
+constexpr double kMaxSilentIntervals = 1.5;
+constexpr double kSilenceSlackSeconds = 1.0;
+constexpr double kEndRoundingSeconds = 0.5;  // expected ends are rounded up to multiples of this; estimates are far coarser
+constexpr double kStopSlackSeconds = 1.0;    // time after its grace period within which a stopped task leaves its node
 
 bool may_take_tasks(const ClusterState& cluster_state, NodeIndex index, const PassContext& context, double heartbeat_interval_s) {
   const Node& node = cluster_state.node(index);
   if (!cluster_state.machine_type(node.machine_type) || !node.agent.has_reported || node.lease_expired || node.terminated) return false;
-  if (cluster_state.failure_attribution().is_cordoned(index, context.wall)) return false;
-  if (node.releasing || node.agent.interruption_at || node.full_until > context.steady) return false;
-  // A heartbeat may be a late copy of one to an earlier leader: nothing is placed on a node before it has shown that it
-  // knows this leader. Machines that this leader requested itself sent no earlier heartbeats, nor did any in a first term.
+  if (cluster_state.failure_attribution().is_cordoned(index, context.wall_now)) return false;
+  if (node.releasing || node.agent.interruption_at || node.full_until > context.steady_now) return false;
+  // A heartbeat may be a delayed copy of one sent to an earlier leader. Nothing is placed on a node until its agent has seen this
+  // leader's token, unless there can be no earlier heartbeats: on nodes that this leader requested, and in the first term ever.
   const bool knows_leader = node.agent.highest_token >= context.takeover_token;
   if (!knows_leader && node.instance.requested_at == 0 && !context.first_term_ever) return false;
-  if (is_unresponsive(node, context.wall, heartbeat_interval_s)) return false;
-  return context.steady - node.agent.last_heartbeat_at <= kSilentHeartbeats * heartbeat_interval_s + kSilenceSlackSeconds;
+  if (is_unresponsive(node, context.wall_now, heartbeat_interval_s)) return false;
+  return context.steady_now - node.agent.last_heartbeat_at <= kMaxSilentIntervals * heartbeat_interval_s + kSilenceSlackSeconds;
 }
 
-// Occupants that end at about the same time are taken together: they make one step of the capacity profile.
-void add_occupant(PlanNode& plan_node, const Resources& demand, double until) {
-  if (until != kForever) until = std::ceil(until / kEndGrainSeconds) * kEndGrainSeconds;
+// Merges occupants with about the same end, so that they form one step of the capacity profile.
+void add_occupant(PlanNode& plan_node, const Resources& demand, double ends_at) {
+  if (ends_at != kInfinity) ends_at = std::ceil(ends_at / kEndRoundingSeconds) * kEndRoundingSeconds;
   auto& occupants = plan_node.occupants;
-  const auto same_end = std::find_if(occupants.begin(), occupants.end(), [&](const auto& occupant) { return occupant.until == until; });
+  const auto same_end = std::find_if(occupants.begin(), occupants.end(), [&](const auto& occupant) { return occupant.ends_at == ends_at; });
   if (same_end == occupants.end()) {
-    occupants.push_back({demand, until});
+    occupants.push_back({demand, ends_at});
   } else {
     same_end->demand += demand;
   }
 }
 
-// On a node where accelerator work may run, other tasks may borrow what whole tasks of the largest such demand leave.
-void set_lent_room(PlanNode& plan_node, const Resources& largest_demand) {
+// On a node where accelerator jobs may run, other tasks may backfill what whole tasks of the largest accelerator demand leave free.
+void set_backfill_capacity(PlanNode& plan_node, const Resources& largest_demand) {
   const Resources& capacity = plan_node.capacity;
   if (capacity.accelerators <= 0 || largest_demand.accelerators <= 0 || !largest_demand.fits(capacity)) return;
-  plan_node.lending = PlanNode::Lending::not_to_services;
-  plan_node.lent = capacity;
-  for (Resources left = capacity; largest_demand.fits(left); left -= largest_demand) plan_node.lent -= largest_demand;
+  plan_node.backfill_rule = PlanNode::BackfillRule::limited_for_services;
+  plan_node.backfill_capacity = capacity;
+  for (Resources left = capacity; largest_demand.fits(left); left -= largest_demand) plan_node.backfill_capacity -= largest_demand;
 }
 
-// Wall seconds at which the task is expected to have left.
-double expected_end(const Job& job, const Placement& placement, double wall) {
-  if (placement.stopping) return wall + placement.grace_period_s + kStopSlackSeconds;
-  if (job.spec.job_type == JobType::service) return kForever;
-  // One not seen running yet counts as just started.
-  const double started_at = placement.running_since > 0 ? placement.running_since : std::max(placement.decided_at, wall - 1);
+// Wall seconds at which the task is expected to have left its node.
+double expected_end(const Job& job, const Placement& placement, double wall_now) {
+  if (placement.stopping) return wall_now + placement.grace_period_s + kStopSlackSeconds;
+  if (job.spec.job_type == JobType::service) return kInfinity;
+  // A task not yet reported as running counts as just started.
+  const double started_at = placement.running_since > 0 ? placement.running_since : std::max(placement.decided_at, wall_now - 1);
   return started_at + job.spec.estimated_run_s;
 }
 
-// Adds the tasks that the cluster state places there; returns how many of them the agent reports.
-std::size_t add_placed_tasks(PlanNode& plan_node, const ClusterState& cluster_state, const Node& node, double wall) {
+// Adds the tasks that the cluster state places on the node; returns how many of them the agent reports.
+std::size_t add_placed_tasks(PlanNode& plan_node, const ClusterState& cluster_state, const Node& node, double wall_now) {
   std::size_t reported = 0;
   for (const auto& placed : node.placed) {
     const Placement& placement = *placed.placement;
     const Job& job = cluster_state.job(placed.job);
     if (placement.reported && placement.phase != TaskPhase::exited) ++reported;
-    add_occupant(plan_node, job.spec.demand, expected_end(job, placement, wall));
-    if (job.spec.demand.accelerators == 0) plan_node.lent -= job.spec.demand;
+    add_occupant(plan_node, job.spec.demand, expected_end(job, placement, wall_now));
+    if (job.spec.demand.accelerators == 0) plan_node.backfill_capacity -= job.spec.demand;
   }
   return reported;
 }
 
-// Adds the tasks that the agent still reports and that are no longer placed there: they are on their way out.
+// Adds the tasks that the agent still reports but that are no longer placed on the node.
 void add_leaving_tasks(PlanNode& plan_node, ClusterState& cluster_state, const Node& node, std::size_t placed_and_reported,
-                       double leaves_at) {
+                       double removed_at) {
   const auto is_present = [](const ReportedTask& task) { return task.phase != TaskPhase::exited; };
   const auto present = static_cast<std::size_t>(std::count_if(node.agent.tasks.begin(), node.agent.tasks.end(), is_present));
   if (present <= placed_and_reported) return;
@@ -87,11 +88,11 @@
     const Placement* placement = cluster_state.placement(task.ref);
     if (placement && placement->node == plan_node.node && placement->attempt == task.attempt) continue;
     const Job& job = cluster_state.job(task.ref.job);
-    if (!job.tasks.empty()) add_occupant(plan_node, job.spec.demand, leaves_at);
+    if (!job.tasks.empty()) add_occupant(plan_node, job.spec.demand, removed_at);
   }
 }
 
-PlanNode make_plan_node(ClusterState& cluster_state, NodeIndex index, double wall, double heartbeat_interval_s) {
+PlanNode make_plan_node(ClusterState& cluster_state, NodeIndex index, double wall_now, double heartbeat_interval_s) {
   const Node& node = cluster_state.node(index);
   const MachineType& machine_type = *cluster_state.machine_type(node.machine_type);
   PlanNode plan_node;
@@ -101,12 +102,12 @@
   plan_node.spot = node.spot;
   plan_node.capacity = machine_type.capacity;
   plan_node.image_fetch_gb_per_s = machine_type.image_fetch_gb_per_s;
-  set_lent_room(plan_node, cluster_state.largest_accelerator_demand(node.machine_type, node.spot));
+  set_backfill_capacity(plan_node, cluster_state.largest_accelerator_demand(node.machine_type, node.spot));
   plan_node.images.reserve(node.cached_images.size());
   for (const auto& [image, size_gb] : node.cached_images) plan_node.images.push_back(image);
   plan_node.occupants.reserve(node.placed.size());
-  const std::size_t reported = add_placed_tasks(plan_node, cluster_state, node, wall);
-  add_leaving_tasks(plan_node, cluster_state, node, reported, wall + heartbeat_interval_s);
+  const std::size_t reported = add_placed_tasks(plan_node, cluster_state, node, wall_now);
+  add_leaving_tasks(plan_node, cluster_state, node, reported, wall_now + heartbeat_interval_s);
   return plan_node;
 }
 
@@ -118,7 +119,7 @@
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const NodeIndex index{i};
     if (may_take_tasks(cluster_state, index, context, heartbeat_interval_s))
-      nodes.push_back(make_plan_node(cluster_state, index, context.wall, heartbeat_interval_s));
+      nodes.push_back(make_plan_node(cluster_state, index, context.wall_now, heartbeat_interval_s));
   }
   return nodes;
 }
--- a/src/scheduling/plan_node_builder.hpp
+++ b/src/scheduling/plan_node_builder.hpp
@@ -1,5 +1,5 @@
-// The planner's view of the nodes: which may take new tasks, and when what occupies them ends. Used by
-// PlanInputBuilder alone; it changes nothing.
+// Builds the planner's view of the nodes: which may take new tasks, and when the tasks on them are expected to end. Used by
+// PlanInputBuilder only; changes nothing.
 #pragma once
 #include <vector>
 
@@ -9,7 +9,7 @@
 
 namespace thistlefront {
 
-// The nodes that may take new tasks now, in the order of their indices.
+// The nodes that may take new tasks now, by ascending index.
 std::vector<PlanNode> make_plan_nodes(ClusterState& cluster_state, const PassContext& context, double heartbeat_interval_s);
 
 }  // namespace thistlefront
--- a/src/scheduling/planner.hpp
+++ b/src/scheduling/planner.hpp
@@ -1,6 +1,6 @@
-// Makes the plan of a pass: conservative backfilling without guarantees (Zotkin, Keleher, Perkovic). Jobs are placed in their
-// order; what is placed later never delays a slot given before. Called by the leader in each pass. Pure: it reads
-// its input alone, and the same input always gives the same plan.
+// Makes the plan of a pass by conservative backfilling without guarantees (Zotkin, Keleher, Perkovic): jobs are placed in
+// their order, and a job never delays a slot given to an earlier one. Called by the leader in each pass. Pure function of its
+// input.
 #pragma once
 #include "scheduling/placement_rules.hpp"
 #include "scheduling/plan.hpp"
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -1,5 +1,5 @@
-// Chooses which running tasks are stopped to make room for work of higher priority, or for what a team is guaranteed. Called
-// by the leader after each plan. Pure: it stops nothing itself.
+// Chooses which running tasks are preempted for work of higher priority, or for work within a team's guarantee. Called by the
+// leader after each plan. Pure: it stops nothing itself.
 #pragma once
 #include <set>
 #include <string>
@@ -21,19 +21,19 @@
   const PlanInput& plan_input;
   const Plan& plan;
   const std::set<JobIndex>& within_guarantee;
-  double wall = 0;
-  double release_rate = 0;  // cores that come free in a second by themselves, recently, on machines without accelerators
-  std::set<std::string> classes_with_start_target;  // job classes with a target for their wait
-  const std::set<JobIndex>& protected_jobs;         // started by the starvation guard: not stopped for priority alone
+  double wall_now = 0;
+  double release_rate = 0;  // cores per second that completed tasks released recently, on nodes without accelerators
+  std::set<std::string> classes_with_start_target;  // job classes with a target for the wait until a job starts
+  const std::set<JobIndex>& protected_jobs;         // started by the starvation guard: preempted only for services or within a guarantee
 };
 
 struct PreemptionPlan {
   std::vector<Victim> victims;
-  std::vector<Slot> waived;  // starts of the plan that are not made: their units wait for the room that is made instead
+  std::vector<Slot> cancelled_starts;  // planned starts that are not made: their units wait for the capacity of victims instead
 };
 
-// Never stops work of equal or higher priority, except what another team runs beyond its guarantee, of no higher priority,
-// for work within a guarantee. The least useful work lost goes first; all of a gang is stopped or none.
+// Preempts work of lower priority and, for work within a guarantee, also work of no higher priority that another team runs beyond
+// its own guarantee. Prefers victims with the least lost work. Preempts all tasks of a gang or none.
 PreemptionPlan choose_victims(const PreemptionInput& in);
 
 }  // namespace thistlefront
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -1,5 +1,5 @@
-// Decides which machines to rent for work that has no slot in time, and which of those rented are still to be expected.
-// Called by the leader's duty that talks to the cloud. Pure: it sends no request itself.
+// Decides which instances to rent for work that has no slot in time, and which rented instances are still expected to boot. Called
+// by the leader's cloud duty. Pure: it sends no request itself.
 #pragma once
 #include <map>
 #include <optional>
@@ -14,44 +14,44 @@
 
 namespace thistlefront {
 
-// What can be asked of the cloud: a machine type in a zone, spot or not.
-struct MachineOffer {
+// What can be requested from the cloud: a machine type in a zone, spot or not.
+struct InstanceOffer {
   MachineTypeIndex machine_type;
   std::string zone;
   bool spot = false;
-  auto operator<=>(const MachineOffer&) const = default;
+  auto operator<=>(const InstanceOffer&) const = default;
 };
 
 enum class BootProgress {
-  none,     // not booting: up, gone, or given up
-  on_time,  // will serve what waits, before anything else is rented for that
-  late,     // over the time that boots usually take: it may come up, or never
+  none,     // not booting: up, terminated, or given up
+  on_time,  // expected to serve waiting work, which needs no further instance
+  late,     // past the usual boot time: it may come up late or never
 };
-// Seconds since the machine was requested, as far as is known.
-double instance_age(const Node& node, double steady);
-BootProgress boot_progress(const Node& node, const MachineType* machine_type, double steady);
-// Whether it is so late that it is released, whether or not anything waits for it.
-bool has_failed_to_boot(const Node& node, const MachineType* machine_type, double steady);
+// Seconds since the instance was requested, as far as known; 0 if unknown.
+double instance_age(const Node& node, double steady_now);
+BootProgress boot_progress(const Node& node, const MachineType* machine_type, double steady_now);
+// Whether the instance is so late that it is released even if work waits for it.
+bool has_failed_to_boot(const Node& node, const MachineType* machine_type, double steady_now);
 
 // Work that has no slot in time.
 struct UnmetDemand {
   JobIndex job;
-  std::uint32_t units = 0;  // tasks that a machine requested now would serve sooner
+  std::uint32_t units = 0;  // tasks that an instance requested now would serve sooner
 };
 struct ScaleOutInput {
   const ClusterState& cluster_state;
-  std::vector<UnmetDemand> unmet;         // most urgent first
-  const std::set<MachineOffer>& refused;  // by the cloud, recently
-  double steady = 0;
-  unsigned max_machines = 50;  // machines in one request
+  std::vector<UnmetDemand> unmet_demands;         // most urgent first
+  const std::set<InstanceOffer>& refused_offers;  // refused by the cloud recently
+  double steady_now = 0;
+  unsigned max_instances = 50;  // in one request
 };
 struct ScaleOutRequest {
-  MachineOffer offer;
+  InstanceOffer offer;
   unsigned count = 0;
-  unsigned late = 0;  // machines that are late and would have served these needs
+  unsigned late_instances = 0;  // instances that would serve the same demands but are late
 };
-// At most one request: the best offer for the first demand that booting machines do not cover, and how many machines of it
-// all demands want.
+// Returns at most one request: the best offer for the first demand that booting instances do not cover, with the number of
+// instances for all demands for which the same offer is best.
 std::optional<ScaleOutRequest> choose_scale_out(const ScaleOutInput& in);
 
 }  // namespace thistlefront
--- a/src/scheduling/start_records.hpp
+++ b/src/scheduling/start_records.hpp
@@ -1,5 +1,5 @@
-// Turns the slots that the planner starts now into task numbers and ledger records. Called by the leader after each plan;
-// it changes nothing itself: the tasks count as placed once the records are in the ledger and applied.
+// Assigns tasks to the slots that start now and makes their ledger records. Called by the leader after each plan. It changes
+// nothing itself: the tasks count as placed once the records are in the ledger and applied.
 #pragma once
 #include <map>
 #include <set>
@@ -17,7 +17,7 @@
   std::set<NodeIndex> nodes;                       // of all slots
 };
 
-// Gives each slot the job's lowest pending tasks that no slot before it took. `wall`: when the starts are decided.
-PlannedStarts assign_tasks(const ClusterState& cluster_state, const std::vector<Slot>& starts, double wall);
+// Gives each slot the lowest pending tasks of its job that no earlier slot has. `decided_at`: wall seconds of the decision.
+PlannedStarts assign_tasks(const ClusterState& cluster_state, const std::vector<Slot>& starts, double decided_at);
 
 }  // namespace thistlefront
--- a/src/scheduling/starvation_guard.cpp
+++ b/src/scheduling/starvation_guard.cpp
@@ -7,26 +7,26 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kShare = 0.05;              // of the cores that come free
-constexpr double kMaxSavingsSeconds = 20.0;  // so many seconds' worth of it at most is saved up
+constexpr double kReleasedFraction = 0.05;   // of the released cores, for starving jobs
+constexpr double kMaxBalanceSeconds = 20.0;  // bounds the balance to this many seconds of accrual
 }  // namespace
 
-void StarvationGuard::accrue(double rate, double now) {
-  const double earning_s = at_ < 0 ? 0 : std::min(now - at_, kMaxSavingsSeconds);
-  at_ = now;
-  // A balance above the bound stays, as the rate may have fallen since it was earned.
-  const double most = std::max(kShare * rate * kMaxSavingsSeconds, balance_);
-  balance_ = std::min(balance_ + kShare * rate * earning_s, most);
+void StarvationGuard::accrue(double release_rate, double now) {
+  const double elapsed_s = last_accrued_at_ < 0 ? 0 : std::min(now - last_accrued_at_, kMaxBalanceSeconds);
+  last_accrued_at_ = now;
+  // A balance above the bound is kept: the rate may have fallen since it was accrued.
+  const double max_balance = std::max(kReleasedFraction * release_rate * kMaxBalanceSeconds, balance_);
+  balance_ = std::min(balance_ + kReleasedFraction * release_rate * elapsed_s, max_balance);
 }
 
 std::vector<StarvationGuard::Promotion> StarvationGuard::promote(std::vector<StarvingJob> starving) const {
-  constexpr double kLeastCores = 1e-3;
+  constexpr double kMinCores = 1e-3;
   std::stable_sort(starving.begin(), starving.end(), [](const StarvingJob& a, const StarvingJob& b) { return a.waited_s > b.waited_s; });
   std::vector<Promotion> promotions;
   double balance = balance_;
   for (const auto& job : starving) {
     if (balance <= 0) break;
-    const double unit_cores = std::max(job.unit_cores, kLeastCores);
+    const double unit_cores = std::max(job.unit_cores, kMinCores);
     const auto affordable = static_cast<std::uint32_t>(std::min(balance / unit_cores, static_cast<double>(job.units)));
     const auto units = std::max<std::uint32_t>(affordable, 1);
     promotions.push_back({job.position, units});
--- a/src/scheduling/starvation_guard.hpp
+++ b/src/scheduling/starvation_guard.hpp
@@ -1,8 +1,8 @@
-// Keeps jobs of low priority from starving. Priority goes before the key, so that where more work of a higher priority is
-// submitted than the cluster can do, nothing below it would ever run. A small share of the cores that come free by themselves
-// goes to the jobs that have waited longest and of which nothing runs; what it started is never preempted for priority alone.
-// It never takes from what teams are guaranteed. Called in each pass, by promote_starving_jobs and the leader. Pure; times are
-// steady seconds.
+// Keeps jobs of low priority from starving. Jobs are planned by priority first, so lower priorities would never run while more
+// work of a higher priority is submitted than the cluster can do. A small fraction of the cores that completed tasks release goes
+// to the jobs that have waited longest and of which nothing runs. Tasks started this way are preempted only for services or for
+// work within a guarantee. Teams' guarantees are not affected. Called in each pass by promote_starving_jobs and by the leader.
+// Pure; times are steady seconds.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +17,7 @@
 class StarvationGuard {
  public:
   struct StarvingJob {
-    std::size_t position = 0;  // in the caller's list
+    std::size_t position = 0;  // in PlanInput::jobs
     JobIndex job;
     double waited_s = 0;
     double unit_cores = 0;
@@ -28,25 +28,25 @@
     std::uint32_t units = 0;
     friend bool operator==(const Promotion&, const Promotion&) = default;
   };
-  // Earns the share for the time since the last call. `rate`: cores that come free in a second, recently.
-  void accrue(double rate, double now);
-  // Which jobs go first in this pass, and how many units of each: the longest wait first, as far as the balance lasts. While
-  // it is above zero, one unit of any size is promoted; the balance is then below zero until as much has been earned.
+  // Adds the guard's fraction of the cores released since the last call. `release_rate`: cores per second, recently.
+  void accrue(double release_rate, double now);
+  // Returns the jobs to promote in this pass and the number of units of each, longest wait first, while the balance lasts. As long
+  // as the balance is positive, one unit of any size is promoted; the balance then stays negative until that is earned back.
   [[nodiscard]] std::vector<Promotion> promote(std::vector<StarvingJob> starving) const;
-  // Units of a promoted job were started.
+  // Charges started units of a promoted job and protects the job.
   void charge(JobIndex job, double cores);
-  // Forgets protected jobs of which nothing runs any more.
+  // Removes protection from jobs that have ended or have no placed tasks.
   void prune_protected(const ClusterState& cluster_state);
-  // Jobs started as promoted: they are not preempted for priority alone.
+  // Jobs with tasks started by promotion; preempted only for services or for work within a guarantee.
   [[nodiscard]] const std::set<JobIndex>& protected_jobs() const { return protected_jobs_; }
 
  private:
-  double balance_ = 0;  // cores
-  double at_ = -1;      // of the last accrual; below zero: none yet
+  double balance_ = 0;           // cores
+  double last_accrued_at_ = -1;  // negative: never
   std::set<JobIndex> protected_jobs_;
 };
 
-// Seconds after which a waiting job of which nothing runs counts as starving.
-inline constexpr double kStarvesAfter = 60.0;
+// Wait after which a job of which nothing runs counts as starving.
+inline constexpr double kStarvingAfterSeconds = 60.0;
 
 }  // namespace thistlefront
--- a/src/scheduling/unit_placement.hpp
+++ b/src/scheduling/unit_placement.hpp
@@ -1,5 +1,5 @@
-// Places the units of one array, one service or a gang of one: each unit gets its own slot, the earliest first. Internal to
-// the planner.
+// Places the units of an array, a service or a gang with one task: each unit gets a slot of its own, the earliest slots first.
+// Internal to the planner.
 #pragma once
 #include <cstdint>
 #include <queue>
@@ -17,9 +17,9 @@
   void place();
 
  private:
-  // A slot that one node offers. The queue's top is the one that serves first, then the one of least cost.
+  // The earliest slot on one node. The top of the queue is the candidate that serves first; ties go to the lowest cost.
   struct Candidate {
-    double at, serves_at, cost;
+    double start_at, serves_at, cost;
     NodePosition position;
     bool operator<(const Candidate& other) const {
       if (serves_at != other.serves_at) return serves_at > other.serves_at;
@@ -28,20 +28,20 @@
     }
   };
 
-  // Adds the node's earliest slot from `from` on, if it has one.
+  // Adds the node's earliest slot that is not before `from`, if there is one.
   void add_candidate(NodePosition position, double from);
-  // Puts a candidate back that costs more than when it was added.
-  bool requeue_if_dearer(const Candidate& candidate);
-  // Units that may be placed there now; 0 where the rules have come to exclude it.
-  [[nodiscard]] std::uint32_t units_for(const Candidate& candidate);
-  void take(const Candidate& candidate, std::uint32_t units);
+  // Puts the candidate back into the queue if its cost has grown since it was added; returns whether it did.
+  bool requeue_if_cost_grew(const Candidate& candidate);
+  // Number of units that the candidate can take; 0 if units placed since it was added rule it out.
+  [[nodiscard]] std::uint32_t placeable_units(const Candidate& candidate);
+  void place_units(const Candidate& candidate, std::uint32_t units);
 
   PlanBuilder& builder_;
   PlanJob& job_;
   FailedSearches& failed_searches_;
   std::priority_queue<Candidate> candidates_;
-  std::uint32_t remaining_ = 0;
-  std::uint32_t reserved_ = 0, late_ = 0;  // units with a later slot; of them, those with none before the horizon
+  std::uint32_t remaining_units_ = 0;
+  std::uint32_t reserved_units_ = 0, units_after_horizon_ = 0;  // the second counts the reserved units that start after the horizon
 };
 
 }  // namespace thistlefront
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,4 +1,4 @@
-// Runs the traces: each file holds nodes and waiting jobs, and the plan that is expected for them.
+// Plans each trace file and compares the plan with the expected one. A trace holds nodes, waiting jobs and the expected plan.
 #include "scheduling/planner.hpp"
 
 #include <gtest/gtest.h>
@@ -15,13 +15,13 @@
 
 struct Trace {
   PlanInput input;
-  std::vector<std::string> nodes, jobs;
-  std::vector<std::string> expected;
+  std::vector<std::string> node_names, job_names;
+  std::vector<std::string> expected_slots;
 };
 
 Trace read_trace(const std::filesystem::path& path) {
-  Trace t;
-  std::map<std::string, std::uint32_t> kinds, zones, teams;
+  Trace trace;
+  std::map<std::string, std::uint32_t> machine_types, zones, teams;
   const auto id = [](auto& names, const std::string& name) {
     return names.try_emplace(name, static_cast<std::uint32_t>(names.size())).first->second;
   };
@@ -32,76 +32,76 @@
     std::string what, name, word;
     if (!(words >> what) || what[0] == '#') continue;
     if (what == "now") {
-      words >> t.input.now;
+      words >> trace.input.now;
     } else if (what == "expect") {
       std::getline(words >> std::ws, line);
-      t.expected.push_back(line);
+      trace.expected_slots.push_back(line);
     } else if (what == "node") {
       words >> name;
-      PlanNode h;
-      h.node = NodeIndex{static_cast<std::uint32_t>(t.nodes.size())};
+      PlanNode node;
+      node.node = NodeIndex{static_cast<std::uint32_t>(trace.node_names.size())};
       while (words >> word) {
         std::string value;
         if (word == "spot")
-          h.spot = true;
+          node.spot = true;
         else if (word == "image")
-          h.images.push_back(ImageIndex{0});
+          node.images.push_back(ImageIndex{0});
         else if (words >> value; word == "kind")
-          h.machine_type = MachineTypeIndex{id(kinds, value)};
+          node.machine_type = MachineTypeIndex{id(machine_types, value)};
         else if (word == "zone")
-          h.zone = ZoneIndex{id(zones, value)};
+          node.zone = ZoneIndex{id(zones, value)};
         else if (word == "cores")
-          h.capacity.cores = std::stod(value);
+          node.capacity.cores = std::stod(value);
         else if (word == "gpus")
-          h.capacity.accelerators = std::stod(value);
+          node.capacity.accelerators = std::stod(value);
         else if (word == "ram")
-          h.capacity.ram_gb = std::stod(value);
+          node.capacity.ram_gb = std::stod(value);
         else if (word == "fetch")
-          h.image_fetch_gb_per_s = std::stod(value);
+          node.image_fetch_gb_per_s = std::stod(value);
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      t.nodes.push_back(name);
-      t.input.nodes.push_back(h);
+      trace.node_names.push_back(name);
+      trace.input.nodes.push_back(node);
     } else if (what == "busy") {
       words >> name;
-      PlanNode::Occupant o;
+      PlanNode::Occupant occupant;
       while (words >> word) {
         double value = 0;
         words >> value;
         if (word == "cores")
-          o.demand.cores = value;
+          occupant.demand.cores = value;
         else if (word == "ram")
-          o.demand.ram_gb = value;
+          occupant.demand.ram_gb = value;
         else if (word == "until")
-          o.until = value;
+          occupant.ends_at = value;
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      const auto at = std::find(t.nodes.begin(), t.nodes.end(), name) - t.nodes.begin();
-      t.input.nodes.at(static_cast<std::size_t>(at)).occupants.push_back(o);
+      const auto position = std::find(trace.node_names.begin(), trace.node_names.end(), name) - trace.node_names.begin();
+      trace.input.nodes.at(static_cast<std::size_t>(position)).occupants.push_back(occupant);
     } else if (what == "team") {
       words >> name >> word;
       id(teams, name);
-      TeamHeadroom room{{0, 1e9, 1e9}};
-      words >> room.remaining.cores;
-      t.input.teams.push_back(room);
+      TeamHeadroom headroom{{0, 1e9, 1e9}};
+      words >> headroom.remaining.cores;
+      trace.input.teams.push_back(headroom);
     } else {
       words >> name;
-      PlanJob j;
-      j.job = JobIndex{static_cast<std::uint32_t>(t.jobs.size())};
-      j.units = 1;
-      j.gang = what == "gang";
-      j.service = what == "service";
-      double random_draw = -1, waited = 0;
+      PlanJob job;
+      job.job = JobIndex{static_cast<std::uint32_t>(trace.job_names.size())};
+      job.units = 1;
+      job.gang = what == "gang";
+      job.service = what == "service";
+      double random_draw = -1, waited_s = 0;
       bool spread = false;
       while (words >> word) {
         if (word[0] == 'x') {
-          j.units = static_cast<std::uint32_t>(std::stoul(word.substr(1)));
+          job.units = static_cast<std::uint32_t>(std::stoul(word.substr(1)));
           continue;
         }
         if (word == "onezone") {
-          j.single_zone = true;
+          job.single_zone = true;
           continue;
         }
         if (word == "spread") {
@@ -111,66 +111,68 @@
         std::string value;
         words >> value;
         if (word == "cores")
-          j.demand.cores = std::stod(value);
+          job.demand.cores = std::stod(value);
         else if (word == "gpus")
-          j.demand.accelerators = std::stod(value);
+          job.demand.accelerators = std::stod(value);
         else if (word == "ram")
-          j.demand.ram_gb = std::stod(value);
+          job.demand.ram_gb = std::stod(value);
         else if (word == "pull")
-          j.image_gb = std::stod(value), j.image = ImageIndex{0};
+          job.image_gb = std::stod(value), job.image = ImageIndex{0};
         else if (word == "run")
-          j.estimated_run_s = std::stod(value);
+          job.estimated_run_s = std::stod(value);
         else if (word == "key")
-          j.key = std::stod(value);
+          job.sort_key = std::stod(value);
         else if (word == "tier")
-          j.tier = std::stoi(value);
+          job.tier = std::stoi(value);
         else if (word == "draw")
           random_draw = std::stod(value);
         else if (word == "waited")
-          waited = std::stod(value);
+          waited_s = std::stod(value);
         else if (word == "team")
-          j.team = TeamIndex{id(teams, value)};
+          job.team = TeamIndex{id(teams, value)};
         else
           ADD_FAILURE() << path << ": " << word;
       }
-      if (random_draw >= 0) j.key = key_of(random_draw, j.estimated_run_s, 0.1 / 3600, waited, j.service);
-      if (spread) j.max_tasks_per_zone = (j.units + 1) / 2;
-      t.jobs.push_back(name);
-      t.input.jobs.push_back(j);
+      if (random_draw >= 0) job.sort_key = compute_sort_key(random_draw, job.estimated_run_s, 0.1 / 3600, waited_s, job.service);
+      if (spread) job.max_tasks_per_zone = (job.units + 1) / 2;
+      trace.job_names.push_back(name);
+      trace.input.jobs.push_back(job);
     }
   }
-  return t;
+  return trace;
 }
 
 class PlannerTrace : public testing::TestWithParam<std::filesystem::path> {};
 
-TEST_P(PlannerTrace, GivesTheExpectedPlan) {
-  const Trace t = read_trace(GetParam());
-  ASSERT_FALSE(t.expected.empty());
-  const Plan plan = make_plan(t.input);
-  std::vector<std::string> got;
-  const auto describe = [&](const Slot& s, bool start) {
+TEST_P(PlannerTrace, MatchesTheExpectedPlan) {
+  const Trace trace = read_trace(GetParam());
+  ASSERT_FALSE(trace.expected_slots.empty());
+  const Plan plan = make_plan(trace.input);
+  std::vector<std::string> planned_slots;
+  const auto describe = [&](const Slot& slot, bool start) {
     std::ostringstream out;
-    out << (start ? "start " : "reserve ") << t.jobs[s.job.value] << ' ' << t.nodes[s.node.value] << " x" << s.count;
-    if (!start) out << " at " << s.at;
-    got.push_back(out.str());
+    out << (start ? "start " : "reserve ") << trace.job_names[slot.job.value] << ' ' << trace.node_names[slot.node.value] << " x"
+        << slot.units;
+    if (!start) out << " at " << slot.start_at;
+    planned_slots.push_back(out.str());
   };
-  for (const auto& s : plan.starts) describe(s, true);
-  for (const auto& s : plan.reservations) describe(s, false);
-  auto expected = t.expected;
-  std::sort(expected.begin(), expected.end());
-  std::sort(got.begin(), got.end());
-  EXPECT_EQ(got, expected);
+  for (const auto& slot : plan.starts) describe(slot, true);
+  for (const auto& slot : plan.reservations) describe(slot, false);
+  auto expected_slots = trace.expected_slots;
+  std::sort(expected_slots.begin(), expected_slots.end());
+  std::sort(planned_slots.begin(), planned_slots.end());
+  EXPECT_EQ(planned_slots, expected_slots);
 }
 
-std::vector<std::filesystem::path> traces() {
-  std::vector<std::filesystem::path> out;
-  for (const auto& e : std::filesystem::directory_iterator(TRACES)) out.push_back(e.path());
-  std::sort(out.begin(), out.end());
-  return out;
+std::vector<std::filesystem::path> trace_files() {
+  std::vector<std::filesystem::path> paths;
+  for (const auto& entry : std::filesystem::directory_iterator(TRACES)) paths.push_back(entry.path());
+  std::sort(paths.begin(), paths.end());
+  return paths;
 }
 
-INSTANTIATE_TEST_SUITE_P(Files, PlannerTrace, testing::ValuesIn(traces()), [](const auto& info) { return info.param.stem().string(); });
+INSTANTIATE_TEST_SUITE_P(Files, PlannerTrace, testing::ValuesIn(trace_files()),
+                         [](const auto& info) { return info.param.stem().string(); });
 
 }  // namespace
 }  // namespace thistlefront
