--- a/src/cluster_state/quota_agreement.cpp
+++ b/src/cluster_state/quota_agreement.cpp
@@ -14,9 +14,9 @@
 std::uint64_t digest_of(const TeamQuotas& file) {
   std::uint64_t digest = 1;
   for (const auto& [name, quota] : file) {
-    digest = digest_with(digest, digest_of_text(name));
+    digest = extend_digest(digest, digest_of_text(name));
     for (const double amount : {quota.guarantee.cores, quota.guarantee.accelerators, quota.limit.cores, quota.limit.accelerators})
-      digest = digest_with(digest, std::bit_cast<std::uint64_t>(amount));
+      digest = extend_digest(digest, std::bit_cast<std::uint64_t>(amount));
   }
   return digest == 0 ? 1 : digest;
 }
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -47,7 +47,7 @@
   std::uint64_t revision = 0;
   const auto snapshot = read_snapshot(store, stop, revision);
   if (!snapshot) return !stop.stop_requested();
-  log_unreadable_version(snapshot->on);
+  log_unreadable_version(snapshot->active);
   if (!snapshot->leader) return campaign(store, stop, *snapshot);
   vacant_since_ = 0;
   {
@@ -77,9 +77,9 @@
 // What is active may be beyond this build, which then forwards as any follower does.
 void LeaderElection::log_unreadable_version(const ActiveVersion& active) {
   const auto& supported = shared_.config.supported_versions;
-  if (active.format_version != logged_version_ && active.format_version > supported.most)
+  if (active.format_version != logged_version_ && active.format_version > supported.max_version)
     spdlog::error("format version {}: active, this build reads {} to {}, so it never leads and only forwards", active.format_version,
-                  supported.least, supported.most);
+                  supported.min_version, supported.max_version);
   logged_version_ = active.format_version;
 }
 
@@ -114,8 +114,8 @@
     pause_for(stop, kLookAgainS);
     return false;
   }
-  std::optional<ReadLedger> ledger;
-  if (auto* read = std::get_if<ReadLedger>(&result)) ledger = std::move(*read);
+  std::optional<LedgerSnapshot> ledger;
+  if (auto* read = std::get_if<LedgerSnapshot>(&result)) ledger = std::move(*read);
   const auto lease = acquire_lease(store, stop, snapshot);
   if (!lease) return false;
   begin_term(*lease, snapshot, std::move(ledger));
@@ -138,7 +138,7 @@
   if (status == StoreStatus::ok) return lease;
   // It may have been committed all the same: the key tells.
   if (status == StoreStatus::in_doubt || status == StoreStatus::conflict) {
-    if (const auto token = find_own_key(store, leader_key_for(snapshot.on.format_version), lease.session_lease)) {
+    if (const auto token = find_own_key(store, leader_key_for(snapshot.active.format_version), lease.session_lease)) {
       lease.fencing_token = *token;
       return lease;
     }
@@ -153,7 +153,7 @@
   Row row;
   if (store.get(key, row) != StoreStatus::ok) return std::nullopt;
   try {
-    const bool own = parse_leader(row.value).incarnation == shared_.config.incarnation;
+    const bool own = parse_leader_value(row.value).incarnation == shared_.config.incarnation;
     if (own && row.session_lease == session_lease) return row.mod_revision;
   } catch (const std::exception& e) {
     spdlog::error("key-value store: leader key malformed: {}", e.what());
@@ -167,13 +167,13 @@
 }
 
 std::unique_ptr<Term> LeaderElection::make_term(const AcquiredLease& lease, const Snapshot& snapshot,
-                                                std::optional<ReadLedger> ledger) const {
+                                                std::optional<LedgerSnapshot> ledger) const {
   const auto& settings = shared_.config.settings;
   auto term = std::make_unique<Term>();
   term->preread_ledger = std::move(ledger);
   term->takeover_token = term->fencing_token = lease.fencing_token;
   term->session_lease = lease.session_lease;
-  term->active_version = snapshot.on;
+  term->active_version = snapshot.active;
   term->version_mod_revision = snapshot.active_mod_revision;
   term->taken_over_at = steady_now();
   term->lease_valid_until = lease_valid_until(lease.requested_at);
@@ -181,7 +181,7 @@
   return term;
 }
 
-void LeaderElection::begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<ReadLedger> ledger) {
+void LeaderElection::begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<LedgerSnapshot> ledger) {
   const auto& config = shared_.config;
   Lock lock(shared_.mutex);
   shared_.term = make_term(lease, snapshot, std::move(ledger));
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -46,8 +46,8 @@
   std::optional<AcquiredLease> acquire_lease(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
   // After a transaction without a clear answer: the token, if the key is this process's and attached to this lease.
   std::optional<std::uint64_t> find_own_key(StoreClient& store, const char* key, std::uint64_t session_lease) const;
-  void begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<ReadLedger> ledger);
-  std::unique_ptr<Term> make_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<ReadLedger> ledger) const;
+  void begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<LedgerSnapshot> ledger);
+  std::unique_ptr<Term> make_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<LedgerSnapshot> ledger) const;
   [[nodiscard]] double lease_valid_until(double requested_at) const;
 
   // Renews the lease until leadership ends.
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -177,7 +177,7 @@
   const bool refused = status == StoreStatus::refused;
   if (got == StoreStatus::ok) {
     const auto& puts = transaction.pending.puts;
-    if (!puts.empty() && is_as_written(puts.back(), row.value)) return Committed{row.mod_revision};
+    if (!puts.empty() && matches_put(puts.back(), row.value)) return Committed{row.mod_revision};
     if (!refused) return Deposed{"ledger holds entries it did not write"};
     return std::nullopt;
   }
@@ -229,7 +229,8 @@
   if (const auto* cancelled = std::get_if<JobCancelledRecord>(&record))
     if (const JobIndex job = cluster_state.find(cancelled->uid); job.valid()) cluster_state.job(job).cancelled_at = steady_now();
   if (cluster_state.job_count() > jobs) term.ledger_writer.record_first_entry(entry, JobIndex{static_cast<std::uint32_t>(jobs)});
-  if (const auto singleton = LedgerCompactor::singleton_of(record, cluster_state)) term.ledger_writer.record_first_entry(entry, *singleton);
+  if (const auto singleton = LedgerCompactor::singleton_key_of(record, cluster_state))
+    term.ledger_writer.record_first_entry(entry, *singleton);
   commit_queue_.set_applied(queued.ticket);
 }
 
@@ -333,7 +334,7 @@
   if (got == StoreStatus::missing) deposed = true;
   if (got != StoreStatus::ok) return;
   try {
-    const bool own = parse_leader(row.value).incarnation == shared_.config.incarnation;
+    const bool own = parse_leader_value(row.value).incarnation == shared_.config.incarnation;
     if (own && row.mod_revision > old_token) {
       token = row.mod_revision;
     } else {
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -27,9 +27,9 @@
 LedgerRecovery::LedgerRecovery(SharedState& shared, CommitQueue& commit_queue) : shared_(shared), commit_queue_(commit_queue) {}
 
 LedgerReadResult LedgerRecovery::read(StoreClient& store, std::stop_token stop, const std::function<bool()>& retry) const {
-  ReadLedger out;
+  LedgerSnapshot out;
   out.cluster_state = std::make_unique<ClusterState>(teams_in(shared_.config.settings), max_record_bytes(commit_queue_.entry_bytes()));
-  LedgerReader reader(*out.cluster_state, shared_.config.supported_versions.least, shared_.config.supported_versions.most);
+  LedgerReader reader(*out.cluster_state, shared_.config.supported_versions.min_version, shared_.config.supported_versions.max_version);
   std::string from;
   for (bool first = true;; first = false) {
     EntryPage page;
@@ -45,13 +45,14 @@
     if (!readable) return UnreadableLedger{reader.error()};
     if (!page.truncated) break;
   }
-  out.entries = reader.entries();
+  out.entries = reader.applied_entries();
   out.contents = std::move(reader).contents();
   return out;
 }
 
-std::optional<ReadLedger> LedgerRecovery::unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted) {
-  std::optional<ReadLedger> ledger;
+std::optional<LedgerSnapshot> LedgerRecovery::unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term,
+                                                                bool& aborted) {
+  std::optional<LedgerSnapshot> ledger;
   {
     Lock lock(shared_.mutex);
     aborted = !shared_.is_term(term);
@@ -87,8 +88,8 @@
       pause_for(stop, kRereadPauseS);
       return false;
     }
-    if (!std::holds_alternative<ReadLedger>(result)) return false;
-    ledger = std::get<ReadLedger>(std::move(result));
+    if (!std::holds_alternative<LedgerSnapshot>(result)) return false;
+    ledger = std::get<LedgerSnapshot>(std::move(result));
   }
   Lock lock(shared_.mutex);
   if (!shared_.is_term(term)) return false;
@@ -96,12 +97,12 @@
   return true;
 }
 
-void LedgerRecovery::begin_leading(ReadLedger ledger, double began) {
+void LedgerRecovery::begin_leading(LedgerSnapshot ledger, double began) {
   Term& term = *shared_.term;
   shared_.ledger_unreadable_since = 0;
   const auto entries = ledger.entries;
   term.first_term_ever = entries == 0;
-  term.ledger_writer = LedgerWriter(std::move(ledger.contents), term.active_version.writes());
+  term.ledger_writer = LedgerWriter(std::move(ledger.contents), term.active_version.written_version());
   term.cluster_state = std::move(ledger.cluster_state);
   ClusterState& cluster_state = *term.cluster_state;
   for (const auto& [name, answered_at] : term.early_answers)
--- a/src/controller/ledger_recovery.hpp
+++ b/src/controller/ledger_recovery.hpp
@@ -22,7 +22,7 @@
 // The key-value store did not answer, or reading was given up.
 struct ReadAborted {};
 
-using LedgerReadResult = std::variant<ReadLedger, UnreadableLedger, ReadAborted>;
+using LedgerReadResult = std::variant<LedgerSnapshot, UnreadableLedger, ReadAborted>;
 
 class LedgerRecovery {
  public:
@@ -35,8 +35,8 @@
 
  private:
   // The ledger as it was read before the lead was taken, if nothing was written since. `aborted`: that is not known.
-  std::optional<ReadLedger> unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted);
-  void begin_leading(ReadLedger ledger, double began);
+  std::optional<LedgerSnapshot> unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted);
+  void begin_leading(LedgerSnapshot ledger, double began);
   void handle_unreadable(const std::string& reason);
 
   SharedState& shared_;
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -70,8 +70,8 @@
   add_line(out, "leading", shared_.role == Role::leading ? 1 : 0);
   add_line(out, "epoch", shared_.known_leader.fencing_token);
   add_line(out, "state_level", term ? term->active_version.format_version : 0);  // on the leader alone
-  add_line(out, "state_level_writes", term ? term->active_version.writes() : 0);
-  add_line(out, "state_level_most", shared_.config.supported_versions.most);
+  add_line(out, "state_level_writes", term ? term->active_version.written_version() : 0);
+  add_line(out, "state_level_most", shared_.config.supported_versions.max_version);
   if (!rollout_.blocked_by().empty()) add_line(out, "state_level_waits_for" + label_set({{"reason", rollout_.blocked_by()}}), 1);
   const double unreadable_since = shared_.ledger_unreadable_since;
   add_line(out, "ledger_unread_seconds", unreadable_since != 0 ? steady_now() - unreadable_since : 0.0);
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -37,7 +37,7 @@
     if (!pause_for(stop, kRetryPauseS)) return false;
   }
   spdlog::info("build {}: supports format versions {} to {}, allows up to {} to be activated", supported_versions_.build,
-               supported_versions_.least, supported_versions_.most, supported_versions_.wants);
+               supported_versions_.min_version, supported_versions_.max_version, supported_versions_.max_allowed_version);
   return true;
 }
 
@@ -68,8 +68,8 @@
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     auto& file = out[settings_.peers[i].label];
     const auto it = registry.find(settings_.peers[i].label);
-    const auto digest = it == registry.end() ? 0 : it->second.supported_versions.teams;
-    if (digest == supported_versions_.teams) {
+    const auto digest = it == registry.end() ? 0 : it->second.supported_versions.teams_digest;
+    if (digest == supported_versions_.teams_digest) {
       file = file_;
     } else if (const auto known = files_.find(digest); known != files_.end()) {
       file = known->second;
@@ -78,7 +78,7 @@
       auto teams = reply && reply->status == 200 ? unpack_teams(reply->body) : std::nullopt;
       if (teams && digest_of(*teams) == digest) file = std::move(teams);
     }
-    if (file && digest != supported_versions_.teams) seen[digest] = *file;
+    if (file && digest != supported_versions_.teams_digest) seen[digest] = *file;
   }
   files_ = std::move(seen);
   return out;
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -164,7 +164,7 @@
 // A job that depends on others is never accepted as if it did not: not before all controllers can read of it.
 std::optional<HttpReply> RequestHandler::reason_not_to_accept_dependencies(const JobSpec& spec) {
   const Term& term = *shared_.term;
-  if (!has_dependencies(term.ledger_writer.format_version()) || !has_dependencies(term.active_version.writes()))
+  if (!has_dependencies(term.ledger_writer.format_version()) || !has_dependencies(term.active_version.written_version()))
     return unavailable_reply("waitsOn: not switched on yet");
   const auto is_being_accepted = [&](const std::string& name) { return commit_queue_.has_submission(name); };
   if (std::any_of(spec.depends_on.begin(), spec.depends_on.end(), is_being_accepted))
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -66,39 +66,39 @@
   if (!shared_.is_term(term) || !shared_.may_decide() || shared_.term->rollout_step) return false;
   if (snapshot.leader_mod_revision != shared_.term->fencing_token) return false;
   // A change of its own that came late: with what it knew of its entries it could have lowered a ledger that was not rewritten.
-  if (snapshot.on != shared_.term->active_version) {
+  if (snapshot.active != shared_.term->active_version) {
     shared_.step_down(lock, "active format version is not the one it knows");
     return false;
   }
-  auto step = rollout::next_step(snapshot, seen->registry, view.expected(), seen->answers, describe_leader(snapshot.on), wall_now(),
+  auto step = rollout::next_step(snapshot, seen->registry, view.expected(), seen->answers, describe_leader(snapshot.active), wall_now(),
                                  shared_.config.options.format_version_soak_s);
   if (step.changes() > shared_.config.settings.txn_ops) {
     step = {};
     step.blocked_by = "transactions of more changes than the state service allows";
   }
-  set_blocked_by(step.blocked_by, snapshot.on.format_version);
+  set_blocked_by(step.blocked_by, snapshot.active.format_version);
   if (step.kind == rollout::Step::Kind::none) return agree_on_quotas(seen->files);
   shared_.term->rollout_step = std::move(step);
   commit_queue_.wake_committer();
   return true;
 }
 
-rollout::Leading RolloutManager::describe_leader(const ActiveVersion& active) const {
+rollout::LeaderState RolloutManager::describe_leader(const ActiveVersion& active) const {
   const Term& term = *shared_.term;
   const auto& config = shared_.config;
-  rollout::Leading leading{{config.settings.label, config.incarnation},
-                           term.fencing_token,
-                           term.session_lease,
-                           term.active_version,
-                           term.ledger_writer.has_old_entries(),
-                           {}};
+  rollout::LeaderState leading{{config.settings.label, config.incarnation},
+                               term.fencing_token,
+                               term.session_lease,
+                               term.active_version,
+                               term.ledger_writer.has_old_entries(),
+                               {}};
   const auto version = active.format_version;
   if (const auto team = term.cluster_state->quota_accounts().changing_team(); team && has_team_quotas(version))
-    leading.no_older_format = "the terms of team " + *team;
+    leading.downgrade_blocker = "the terms of team " + *team;
   if (const auto reason = term.cluster_state->dependencies_without_older_format(); reason && has_dependencies(version))
-    leading.no_older_format = *reason;
+    leading.downgrade_blocker = *reason;
   if (const auto generation = term.ledger_writer.generation(); generation != 0)
-    leading.no_older_format = "generation " + std::to_string(generation);
+    leading.downgrade_blocker = "generation " + std::to_string(generation);
   return leading;
 }
 
@@ -185,7 +185,7 @@
     shared_.term->fencing_token = revision;
     shared_.observe_leader(revision, shared_.config.settings.label);
   }
-  if (step.sets_version()) adopt_version(step.after, revision);
+  if (step.sets_version()) adopt_version(step.active_after, revision);
   return true;
 }
 
@@ -200,7 +200,7 @@
     term.fencing_token = snapshot.leader_mod_revision;
     shared_.observe_leader(term.fencing_token, shared_.config.settings.label);
   }
-  adopt_version(snapshot.on, snapshot.active_mod_revision);
+  adopt_version(snapshot.active, snapshot.active_mod_revision);
   return true;
 }
 
@@ -215,7 +215,7 @@
   }
   term.active_version = active;
   term.version_mod_revision = mod_revision;
-  term.ledger_writer.set_format_version(active.writes());
+  term.ledger_writer.set_format_version(active.written_version());
 }
 
 }  // namespace thistlefront
--- a/src/controller/rollout_manager.hpp
+++ b/src/controller/rollout_manager.hpp
@@ -31,7 +31,7 @@
  private:
   // Plans the next step, or queues changed quotas; whether there was one.
   bool plan_step(RegistryView& view, StoreClient& store, std::stop_token stop);
-  [[nodiscard]] rollout::Leading describe_leader(const ActiveVersion& active) const;
+  [[nodiscard]] rollout::LeaderState describe_leader(const ActiveVersion& active) const;
   void set_blocked_by(const std::string& reason, std::uint32_t active_version);
   bool agree_on_quotas(const std::map<std::string, std::optional<TeamQuotas>>& files);
   // The leadership keys, asked for until they are answered; nothing when the term ends or the thread is to stop.
--- a/src/controller/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -66,13 +66,13 @@
   failed.clear();
   if (status == StoreStatus::conflict) {
     try {
-      failed = parse_failed(r.body);
+      failed = parse_failed_keys(r.body);
     } catch (const std::exception& e) {
       spdlog::error("key-value store: malformed answer: {}", e.what());
     }
     return status;
   }
-  return parsed(status, [&] { revision = parse_revision(r.body); });
+  return parsed(status, [&] { revision = parse_txn_revision(r.body); });
 }
 
 StoreStatus StoreClient::create_lease(unsigned life_ms, std::uint64_t& out) {
@@ -89,14 +89,14 @@
 }
 
 StoreStatus StoreClient::has_changed(const std::string& prefix, std::uint64_t from, bool& out) {
-  auto r = http_.get(follow_path(prefix, from, 0), kTimeoutS);
+  auto r = http_.get(watch_path(prefix, from, 0), kTimeoutS);
   out = true;  // 410: too much has changed since to tell
   if (r.is(410)) return StoreStatus::ok;
-  return parsed(status_of(r), [&] { out = parse_changed(r.body); });
+  return parsed(status_of(r), [&] { out = reports_change(r.body); });
 }
 
 StoreStatus StoreClient::watch(const std::string& prefix, std::uint64_t from, unsigned block_ms) {
-  auto r = http_.get(follow_path(prefix, from, block_ms), block_ms / 1000.0 + 5.0);
+  auto r = http_.get(watch_path(prefix, from, block_ms), block_ms / 1000.0 + 5.0);
   // 410: too much has changed since; what matters is that something has.
   if (r.is(410)) return StoreStatus::ok;
   return status_of(r);
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -37,8 +37,8 @@
   double token_raised_at = 0;        // steady seconds
 
   // ---- the ledger and what it says
-  std::optional<ReadLedger> preread_ledger;     // read before the lead was taken
-  std::unique_ptr<ClusterState> cluster_state;  // null until the ledger has been read
+  std::optional<LedgerSnapshot> preread_ledger;  // read before the lead was taken
+  std::unique_ptr<ClusterState> cluster_state;   // null until the ledger has been read
   LedgerWriter ledger_writer;
   bool first_term_ever = false;  // the ledger was empty: no earlier leader rented or placed anything
   bool first_start_committed = false;
--- a/src/ledger/ledger_contents.hpp
+++ b/src/ledger/ledger_contents.hpp
@@ -1,4 +1,4 @@
-// What the ledger holds, as its reader found it and as its writer keeps track of it.
+// State of the stored ledger: determined by LedgerReader, then kept up to date by LedgerWriter.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -11,19 +11,20 @@
 
 // The entries in the key-value store. Entries are numbered without gaps.
 struct StoredEntries {
-  std::uint64_t first = 0, next = 0;          // the oldest entry kept, and the number after the newest
-  std::map<std::uint64_t, LedgerSlot> slots;  // by number of the entry
-  std::deque<LedgerSlot> free_slots;          // of entries that are no longer needed
+  std::uint64_t first_number = 0;             // of the oldest entry that is kept
+  std::uint64_t next_number = 0;              // one above the newest entry
+  std::map<std::uint64_t, LedgerSlot> slots;  // by entry number
+  std::deque<LedgerSlot> free_slots;          // keys of entries that are no longer needed
 };
 
-// All that a new leader needs to go on writing.
+// What a new leader needs to continue writing.
 struct LedgerContents {
   StoredEntries stored;
-  std::uint64_t seq = 0;                // of the newest commit
-  std::uint64_t same_version_from = 0;  // all entries from this one on are of the newest one's format version
-  std::uint32_t format_version = 0;     // of the newest entry; 0: the ledger is empty
+  std::uint64_t seq = 0;                   // sequence number of the newest commit
+  std::uint64_t current_version_from = 0;  // all entries from this number on have `format_version`
+  std::uint32_t format_version = 0;        // of the newest entry; 0: the ledger is empty
   std::uint64_t generation = 0;
-  std::uint64_t link = 0;  // to all entries; 0 if the newest has none
+  std::uint64_t newest_link = 0;  // of the newest entry, see link_of(); 0: it has none
   LedgerCompactor compactor;
 };
 
--- a/src/ledger/ledger_keys.hpp
+++ b/src/ledger/ledger_keys.hpp
@@ -1,4 +1,4 @@
-// Keys of the ledger in the key-value store. Called by the ledger's reader and writer, and by the controller, which lists
+// Keys of ledger entries in the key-value store. Called by the ledger's reader and writer, and by the controller, which lists
 // the entries by their prefix.
 #pragma once
 #include <cstdint>
@@ -8,15 +8,16 @@
 
 inline constexpr const char* kLedgerPrefix = "ledger/";
 
-// The key with this number; keys sort by number.
-std::string entry_key(std::uint64_t number);
-// The number of a key. Throws std::exception if the key isn't that of an entry.
-std::uint64_t entry_number(const std::string& key);
+// The key with this number. Keys sort by number.
+std::string entry_key(std::uint64_t key_number);
+// The number of a key. Throws std::exception if it is not the key of an entry.
+std::uint64_t parse_key_number(const std::string& key);
 
-// A key of the ledger by its number, with the revision of the value stored there; revision 0: the key is absent.
-// Up to format version 3 an entry is stored at the key of its own number; from version 4 on keys are reused.
+// A key of the ledger, given by its number, and the revision of its value.
+// Up to format version 3 the key number is the entry number. From version 4 on, keys are reused for later entries.
 struct LedgerSlot {
-  std::uint64_t number = 0, mod_revision = 0;
+  std::uint64_t key_number = 0;
+  std::uint64_t mod_revision = 0;  // 0: the key does not exist
 };
 
 }  // namespace thistlefront
--- a/src/ledger/ledger_trimmer.hpp
+++ b/src/ledger/ledger_trimmer.hpp
@@ -1,9 +1,9 @@
-// The shortening of the ledger: which of the oldest entries go with a commit, and at which keys the new entries are stored.
+// Trimming of the ledger: chooses which of the oldest entries a commit removes, and the keys at which it stores new entries.
 // Called by LedgerWriter for each commit. Pure: no locks, no I/O.
 //
-// Up to format version 3 an entry is stored at the key of its own number, and entries that aren't needed are removed, oldest
-// first. From version 4 on the newest entry tells which one is the first needed; the keys of those before it are free, and new
-// entries go there. A few free keys are kept for that, the rest are removed.
+// Up to format version 3 an entry is stored at the key of its own number, and entries that are no longer needed are removed,
+// oldest first. From version 4 on, the newest entry holds the number of the first needed entry; the keys of earlier entries are
+// free and are reused for new entries. A few free keys are kept for this purpose, the others are removed.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,10 +15,10 @@
 
 class LedgerTrimmer {
  public:
-  // `commit` has all entries that it writes, `stored` is the ledger before it; both outlive this. `max_changes`: puts and removes
-  // in one commit.
+  // `commit` has all entries that it writes, `stored` is the ledger before the commit; both must outlive the trimmer.
+  // `max_changes`: maximum number of puts and removes in one commit.
   LedgerTrimmer(PendingCommit& commit, const StoredEntries& stored, std::uint32_t format_version, std::size_t max_changes);
-  // Entries below `first_needed` may go. Fills the commit's `first`, `free_slots` and `removes`, and the slots of its entries.
+  // Trims entries below `first_needed`. Fills the commit's `first_number`, `free_slots` and `removes`, and the slots of its entries.
   void trim(std::uint64_t first_needed);
 
  private:
@@ -26,7 +26,7 @@
   void remove_unneeded(std::uint64_t first_needed);
   void assign_slots();
   void remove_spare_slots();
-  void remove_key(const LedgerSlot& slot) { commit_.removes.push_back(entry_key(slot.number)); }
+  void remove_key(const LedgerSlot& slot) { commit_.removes.push_back(entry_key(slot.key_number)); }
   [[nodiscard]] bool may_remove() const;
 
   PendingCommit& commit_;
--- a/src/ledger/ledger_writer.cpp
+++ b/src/ledger/ledger_writer.cpp
@@ -11,23 +11,24 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kOldEntryShare = 8;  // a commit rewrites old entries' jobs up to this part of an entry
+// While entries of another format version are replaced, a commit rewrites at most the capacity of an entry divided by this.
+constexpr std::size_t kOldEntryRewriteDivisor = 8;
 }  // namespace
 
-bool is_as_written(const Put& put, const std::string& value) {
-  const auto found = nlohmann::json::parse(value, nullptr, false);
-  return !found.is_discarded() && found == nlohmann::json::parse(put.value);
+bool matches_put(const Put& put, const std::string& stored_value) {
+  const auto stored = nlohmann::json::parse(stored_value, nullptr, false);
+  return !stored.is_discarded() && stored == nlohmann::json::parse(put.value);
 }
 
-LedgerWriter::LedgerWriter(Contents found, std::uint32_t format_version)
-    : format_version_(found.format_version == 0 ? format_version : found.format_version),
-      generation_(found.generation),
-      seq_(found.seq),
-      same_version_from_(found.same_version_from),
-      stored_(std::move(found.stored)),
-      previous_link_(found.link),
-      compactor_(std::move(found.compactor)) {
-  // The newest entry found stays as it is: this writer's records go into entries of its own.
+LedgerWriter::LedgerWriter(Contents contents, std::uint32_t format_version)
+    : format_version_(contents.format_version == 0 ? format_version : contents.format_version),
+      generation_(contents.generation),
+      seq_(contents.seq),
+      current_version_from_(contents.current_version_from),
+      stored_(std::move(contents.stored)),
+      previous_link_(contents.newest_link),
+      compactor_(std::move(contents.compactor)) {
+  // The newest stored entry is not changed: this writer puts its records into new entries.
   set_format_version(format_version);
 }
 
@@ -38,12 +39,12 @@
   open_entry_.records.clear();
   open_entry_.digest = 0;
   format_version_ = format_version;
-  same_version_from_ = stored_.next;
+  current_version_from_ = stored_.next_number;
 }
 
 bool LedgerWriter::has_old_entries() const {
-  if (stored_.first < same_version_from_) return true;
-  // Keys left free by a version that reuses them still have entries of that version.
+  if (stored_.first_number < current_version_from_) return true;
+  // Keys freed under a version that reuses keys still hold entries of that version.
   return !stored_.free_slots.empty() && !reuses_keys(format_version_);
 }
 
@@ -51,7 +52,7 @@
                                                          const Limits& limits) const {
   PendingCommit commit = begin_commit();
   EntryPacker packer(commit, format_version_, limits);
-  // What is written anew describes the cluster state as it is, so it goes before the records that follow.
+  // Rewritten records describe the current cluster state, so they must precede the queued records.
   pack_rewrites(commit, packer, cluster_state, limits);
   pack_queue(commit, packer, queue);
 
@@ -59,10 +60,10 @@
 
   const bool writes_entries = !commit.entries.empty();
   if (!writes_entries && !has_old_entries()) return commit;
-  // Entries below this one may go. If nothing is written, one stays whatever it holds: an empty ledger would be that of a new
-  // cluster.
-  const auto kept_from = writes_entries ? commit.entries.front().number : stored_.next - 1;
-  const auto first_needed = std::min(compactor_.oldest_needed(stored_.next), kept_from);
+  // Entries below this one may be removed. If no entry is written, the newest one stays whatever it holds, since an empty ledger
+  // would be taken for that of a new cluster.
+  const auto max_first_needed = writes_entries ? commit.entries.front().number : stored_.next_number - 1;
+  const auto first_needed = std::min(compactor_.first_needed_entry(stored_.next_number), max_first_needed);
   LedgerTrimmer(commit, stored_, format_version_, limits.max_changes).trim(first_needed);
   if (!writes_entries) return commit;
 
@@ -72,14 +73,14 @@
   return commit;
 }
 
-// The commit's first entry is the open one, or a new one.
+// The commit's first entry is the open entry, or a new one if there is none.
 LedgerWriter::PendingCommit LedgerWriter::begin_commit() const {
   PendingCommit commit;
-  commit.first = stored_.first;
+  commit.first_number = stored_.first_number;
   commit.seq = seq_ + 1;
   commit.free_slots = stored_.free_slots;
   PendingEntry entry;
-  entry.number = has_open_entry() ? stored_.next - 1 : stored_.next;
+  entry.number = has_open_entry() ? stored_.next_number - 1 : stored_.next_number;
   entry.records = open_entry_.records;
   entry.digest = open_entry_.digest;
   entry.previous_link = previous_link_;
@@ -89,11 +90,12 @@
 
 void LedgerWriter::pack_rewrites(PendingCommit& commit, EntryPacker& packer, const ClusterState& cluster_state,
                                  const Limits& limits) const {
-  commit.rewrites = compactor_.next_rewrites(cluster_state, stored_.first, stored_.next, limits.value_bytes, limits.length_factor);
-  // Entries of another version are written anew even where the ledger is short enough.
+  commit.rewrites =
+      compactor_.next_rewrites(cluster_state, stored_.first_number, stored_.next_number, limits.value_bytes, limits.length_factor);
+  // Entries of another version are rewritten even if the ledger is short enough.
   if (commit.rewrites.empty() && has_old_entries()) {
-    const auto next = has_open_entry() ? stored_.next : stored_.next + 1;
-    commit.rewrites = compactor_.rewrites_of_oldest(cluster_state, next, limits.value_bytes / kOldEntryShare);
+    const auto next_number = has_open_entry() ? stored_.next_number : stored_.next_number + 1;
+    commit.rewrites = compactor_.rewrites_of_oldest(cluster_state, next_number, limits.value_bytes / kOldEntryRewriteDivisor);
   }
   RewritePacker(packer, commit, format_version_, limits.value_bytes, cluster_state.record_bytes()).pack();
 }
@@ -106,7 +108,7 @@
   }
 }
 
-// An entry that took no record isn't written: the open one if it was full, or a new one if there was nothing to write.
+// Drops the first entry if no record was appended to it: an open entry that was full, or a new one if there was nothing to write.
 void LedgerWriter::drop_unchanged_entry(PendingCommit& commit) const {
   auto& entries = commit.entries;
   if (entries.front().records.size() != open_entry_.records.size()) return;
@@ -119,55 +121,55 @@
   head.format_version = format_version_;
   head.generation = generation_;
   head.seq = commit.seq;
-  head.first_needed = reuses_keys(format_version_) || !commit.free_slots.empty() ? commit.first : 0;
+  head.first_needed = reuses_keys(format_version_) || !commit.free_slots.empty() ? commit.first_number : 0;
   return head;
 }
 
-// Links each entry to the one before it.
+// Sets each entry's link to the previous entry and its own link.
 void LedgerWriter::link_entries(PendingCommit& commit) const {
   EntryHead head = entry_head(commit);
   std::uint64_t previous_link = commit.entries.front().previous_link;
   for (auto& entry : commit.entries) {
     head.number = entry.number;
     entry.previous_link = previous_link;
-    if (has_checksums(format_version_)) entry.link = link_of(previous_link, entry.number, check_of(head, entry.digest));
+    if (has_checksums(format_version_)) entry.link = link_of(previous_link, entry.number, checksum_of(head, entry.digest));
     previous_link = entry.link;
   }
 }
 
 void LedgerWriter::add_conditions(PendingCommit& commit) const {
-  const bool writes_open_entry = commit.entries.front().number < stored_.next;
-  // A new entry depends on the one before it, too. Suppose the transaction is applied late, after newer ones of the same leader
-  // have removed its entry again: the entry's key is as absent as at first, so the entry would come back, and in versions 2 and 3
-  // nobody could read the ledger. Entries go oldest first, so the one before is gone by then.
+  const bool writes_open_entry = commit.entries.front().number < stored_.next_number;
+  // A new entry is conditional on the previous entry as well. The transaction may be applied late, after newer ones of the same
+  // leader removed its entry again. The entry's key then does not exist, as expected, so the entry would reappear, and in versions
+  // 2 and 3 nobody could read the ledger. Entries are removed oldest first, so the previous entry no longer exists by then.
   if (!writes_open_entry && !stored_.slots.empty()) {
     const LedgerSlot& newest = stored_.slots.rbegin()->second;
-    commit.conditions.push_back({entry_key(newest.number), newest.mod_revision});
+    commit.conditions.push_back({entry_key(newest.key_number), newest.mod_revision});
   }
-  for (const auto& entry : commit.entries) commit.conditions.push_back({entry_key(entry.slot.number), entry.slot.mod_revision});
+  for (const auto& entry : commit.entries) commit.conditions.push_back({entry_key(entry.slot.key_number), entry.slot.mod_revision});
 }
 
 void LedgerWriter::add_puts(PendingCommit& commit) const {
   EntryHead head = entry_head(commit);
   for (const auto& entry : commit.entries) {
-    assert(entry.number >= same_version_from_);
+    assert(entry.number >= current_version_from_);
     head.number = entry.number;
     head.previous_link = entry.previous_link;
-    commit.puts.push_back({entry_key(entry.slot.number), entry_value(head, entry.records, entry.digest), 0});
+    commit.puts.push_back({entry_key(entry.slot.key_number), entry_value(head, entry.records, entry.digest), 0});
   }
 }
 
 void LedgerWriter::record_committed(const PendingCommit& commit, std::uint64_t mod_revision) {
-  stored_.first = commit.first;
+  stored_.first_number = commit.first_number;
   stored_.free_slots = commit.free_slots;
-  stored_.slots.erase(stored_.slots.begin(), stored_.slots.lower_bound(stored_.first));
+  stored_.slots.erase(stored_.slots.begin(), stored_.slots.lower_bound(stored_.first_number));
   if (!commit.puts.empty()) {
     const PendingEntry& newest = commit.entries.back();
     seq_ = commit.seq;
     open_entry_ = {mod_revision, newest.records, newest.digest, newest.link};
     previous_link_ = newest.previous_link;
-    stored_.next = newest.number + 1;
-    for (const auto& entry : commit.entries) stored_.slots[entry.number] = {entry.slot.number, mod_revision};
+    stored_.next_number = newest.number + 1;
+    for (const auto& entry : commit.entries) stored_.slots[entry.number] = {entry.slot.key_number, mod_revision};
   }
   compactor_.record_rewritten(commit.rewrites, commit.rewrite_entries);
 }
--- a/src/ledger/ledger_writer.hpp
+++ b/src/ledger/ledger_writer.hpp
@@ -1,9 +1,9 @@
-// The end of the ledger: prepares each commit, and keeps track of what is stored once it has been applied. Called by the
-// controller's ledger thread, under its lock, which sends the commits. Pure: no locks, no I/O.
+// Appends to the ledger: prepares each commit and tracks what is stored once the commit has been applied. Called under its lock by
+// the controller's ledger thread, which sends the commits. Pure: no locks, no I/O.
 //
-// Entries are numbered. The newest one, while it is this writer's, is written again with more records until it is full; then the
-// next one begins. From format version 2 on each entry carries its version, a checksum of its records and a link to all entries
-// before it. From version 4 on a new entry reuses the key of one that isn't needed any more, if there is one.
+// Entries are numbered. If this writer wrote the newest entry, it rewrites that entry with more records until it is full, then
+// starts the next one. From format version 2 on, each entry has its version, a checksum of its records and a link to all previous
+// entries. From version 4 on, a new entry reuses the key of an entry that is no longer needed, if there is one.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -22,9 +22,10 @@
 
 namespace thistlefront {
 
-// Whether the value found at a key is the one that `put` was to write. The key and the sequence number don't tell: if this
-// leader's commit wasn't applied before the next one read the ledger, that one writes an entry with the same.
-bool is_as_written(const Put& put, const std::string& value);
+// Whether the value stored at the key of `put` is the value that `put` was to write. Comparing the key and the sequence number is
+// not enough: if this leader's commit was not applied before the next leader read the ledger, the next leader writes an entry with
+// the same key and sequence number.
+bool matches_put(const Put& put, const std::string& stored_value);
 
 class LedgerWriter {
  public:
@@ -33,37 +34,37 @@
   using PendingCommit = thistlefront::PendingCommit;
 
   LedgerWriter() = default;
-  // Goes on after what a reader found. Entries of a version other than `format_version` are to be written anew.
-  LedgerWriter(Contents found, std::uint32_t format_version);
+  // Continues after the ledger contents that a reader found. Entries of versions other than `format_version` will be rewritten.
+  LedgerWriter(Contents contents, std::uint32_t format_version);
 
-  // Entries are written in this version from now on.
+  // Sets the version in which entries are written from now on.
   void set_format_version(std::uint32_t format_version);
   [[nodiscard]] std::uint32_t format_version() const { return format_version_; }
-  // Whether some stored entries are of another version than the one being written.
+  // Whether some stored entries have another version than the one being written.
   [[nodiscard]] bool has_old_entries() const;
   [[nodiscard]] std::uint64_t generation() const { return generation_; }
 
-  // Whether the record fits into an entry, now and when it is written anew; `value_bytes` as in Limits. What doesn't fit must not
-  // come into the queue.
-  [[nodiscard]] static bool fits_in_entry(const JobAcceptedRecord& accept, std::size_t value_bytes) {
-    return thistlefront::fits_in_entry(accept, value_bytes);
+  // Whether the record fits into an entry, now and when compaction rewrites it; `value_bytes` as in Limits. A record that does not
+  // fit must not be queued.
+  [[nodiscard]] static bool fits_in_entry(const JobAcceptedRecord& accepted, std::size_t value_bytes) {
+    return thistlefront::fits_in_entry(accepted, value_bytes);
   }
   [[nodiscard]] static bool fits_in_entry(const MachineTypesRecord& machine_types, std::size_t value_bytes) {
     return thistlefront::fits_in_entry(machine_types, value_bytes);
   }
 
-  // Prepares the next commit: first some of what is to be written anew, then as much of the queue as fits, which is taken off it.
-  // Nothing to write: the commit has no changes.
+  // Prepares the next commit: first some rewritten records, then as many queued records as fit, which are removed from the queue.
+  // If there is nothing to write, the commit has no changes.
   PendingCommit prepare_commit(const ClusterState& cluster_state, std::deque<QueuedRecord>& queue, const Limits& limits) const;
-  // The commit is in the ledger, at this revision. The batch's records are still to be applied to the cluster state.
+  // Records that the commit was applied at this revision. The caller then applies the batch's records to the cluster state.
   void record_committed(const PendingCommit& commit, std::uint64_t mod_revision);
-  // A record of the batch made a job known, or is a singleton; see LedgerCompactor.
+  // Records that this entry holds the first record of a job, or a singleton; see LedgerCompactor.
   void record_first_entry(std::uint64_t entry, JobIndex job) { compactor_.record_first_entry(entry, job); }
 
  private:
-  // The newest entry, if this writer may write it again.
+  // The newest entry, if this writer may append to it.
   struct OpenEntry {
-    std::uint64_t mod_revision = 0;  // 0: there is none, the next commit begins an entry
+    std::uint64_t mod_revision = 0;  // 0: there is no open entry, the next commit starts one
     std::string records;
     std::uint64_t digest = 0;
     std::uint64_t link = 0;
@@ -81,10 +82,10 @@
   std::uint32_t format_version_ = 1;
   std::uint64_t generation_ = 0;
   std::uint64_t seq_ = 0;
-  std::uint64_t same_version_from_ = 0;  // all entries from this one on are of format_version_
+  std::uint64_t current_version_from_ = 0;  // all entries from this number on have format_version_
   StoredEntries stored_;
   OpenEntry open_entry_;
-  std::uint64_t previous_link_ = 0;  // to all entries before the open one, or to all if there is none
+  std::uint64_t previous_link_ = 0;  // link of the last entry before the open one, or of the last entry if none is open
   LedgerCompactor compactor_;
 };
 
--- a/src/ledger/record_queue.cpp
+++ b/src/ledger/record_queue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr std::size_t kMaxRecordsSearched = 256;  // from the end of the queue
-constexpr std::size_t kMaxMergedRanges = 40;      // in one record: well inside an entry
+constexpr std::size_t kMaxMergedRanges = 40;      // in one record, which then fits easily into an entry
 
 // The job that a record is about; null if it isn't about a single job.
 struct JobUidOf {
@@ -38,7 +38,7 @@
   return merged;
 }
 
-// The newest queued record about this job, if it is within reach.
+// The newest queued record about this job; null if there is none among the last kMaxRecordsSearched records.
 Record* find_newest_of_job(std::deque<QueuedRecord>& queue, const std::string& uid) {
   std::size_t searched = 0;
   for (auto it = queue.rbegin(); it != queue.rend() && searched < kMaxRecordsSearched; ++it, ++searched) {
--- a/src/ledger/record_queue.hpp
+++ b/src/ledger/record_queue.hpp
@@ -1,4 +1,4 @@
-// Records that wait to be committed to the ledger, and the merging of records on completed tasks while they wait.
+// Queue of records that wait to be committed to the ledger, and merging of queued task completions.
 // Called by the controller, which owns the queue. Pure: no locks, no I/O.
 #pragma once
 #include <cstdint>
@@ -8,15 +8,15 @@
 
 namespace thistlefront {
 
-// A record waiting for its commit. Its ticket tells the controller who waits for it.
+// A record that waits for its commit.
 struct QueuedRecord {
   Record record;
-  std::uint64_t ticket = 0;
+  std::uint64_t ticket = 0;  // by which the controller identifies the request that waits for the commit
 };
 
-// Merges a record on completed tasks into an earlier one of the same job, provided that no other record of that job is queued
-// behind it. Returns whether it did; if not, the queue is unchanged and the caller appends the record.
-// On a busy ledger nine records in ten are completions of single tasks, so this saves most of the writes.
+// Merges a record of completed tasks into a queued one of the same job, provided that no other record of that job is queued after
+// it. Returns false if the record was not merged; the queue is unchanged then, and the caller appends the record.
+// On a busy ledger nine records in ten are completions of single tasks, so merging saves most of the writes.
 bool merge_completions(std::deque<QueuedRecord>& queue, const Record& record);
 
 }  // namespace thistlefront
--- a/src/ledger/rewrite_packer.cpp
+++ b/src/ledger/rewrite_packer.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr std::size_t kMaxEndedJobsPerRecord = 100;
 constexpr std::size_t kUidOverheadBytes = 3;   // quotes and comma
-constexpr std::size_t kEndedExtrasBytes = 30;  // of an ended job with a completion time, or that was a service
+constexpr std::size_t kEndedExtrasBytes = 30;  // of an ended job that has a completion time or was a service
 
 std::size_t encoded_bytes(const JobsEndedRecord& job) {
   const bool has_extras = !job.done_at.empty() || !job.services.empty();
@@ -36,7 +36,7 @@
   }
   flush(done_);
   flush(cancelled_);
-  // Which ended jobs are missing isn't known: none of the rewrites counts, and all are written anew by a later commit.
+  // It is not known which ended jobs were left out, so none of the rewrites counts, and a later commit repeats all of them.
   if (!all_ended_fit_) commit_.rewrite_entries.clear();
 }
 
@@ -56,9 +56,10 @@
   ended = {{ended.record.status, {}}, 0};
 }
 
-// What isn't storable counts as written anew without a record:
-// - Teams' quotas in a format version without them: the version is lowered to that only while all quotas are the settings'.
-// - A list of machine types that fits into no entry: each leader gets its own from the cloud.
+// A record that is not storable counts as rewritten, although nothing is written:
+// - A team's quota in a format version without quotas. A downgrade to such a version takes place only while all quotas equal those
+//   in the settings.
+// - A list of machine types that fits into no entry. Each leader requests the list from the cloud then.
 bool RewritePacker::is_storable(const Record& record) const {
   if (std::holds_alternative<TeamQuotaRecord>(record)) return has_team_quotas(format_version_);
   if (const auto* machine_types = std::get_if<MachineTypesRecord>(&record)) return fits_in_entry(*machine_types, value_bytes_);
--- a/src/ledger/rewrite_packer.hpp
+++ b/src/ledger/rewrite_packer.hpp
@@ -1,4 +1,4 @@
-// Packs what the compactor wants written anew into a commit. Ended jobs, which are most of them, share records.
+// Packs the compactor's rewrites into a commit. Ended jobs, which are the majority, share records.
 // Called by LedgerWriter for each commit. Pure: no locks, no I/O.
 #pragma once
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 class RewritePacker {
  public:
-  // `record_bytes`: about what one record may take. `packer` and `commit` outlive this.
+  // `record_bytes`: approximate maximum size of a record. `packer` and `commit` must outlive this object.
   RewritePacker(EntryPacker& packer, PendingCommit& commit, std::uint32_t format_version, std::size_t value_bytes,
                 std::size_t record_bytes);
   // Packs `commit.rewrites`, ended jobs first, until the commit is full, and fills `commit.rewrite_entries`.
   void pack();
 
  private:
-  // Ended jobs of one status, collected into one record.
+  // Ended jobs of one status, collected in one record.
   struct EndedJobs {
     JobsEndedRecord record;
-    std::size_t bytes = 0;
+    std::size_t bytes = 0;  // estimated size of the record
   };
   void add_ended_job(const JobsEndedRecord& job);
   void flush(EndedJobs& ended);
--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 using Crc = boost::crc_optimal<64, 0x42F0E1EBA9EA3693, 0xFFFFFFFFFFFFFFFF, 0xFFFFFFFFFFFFFFFF, true, true>;
-constexpr double kExact = 9007199254740992.0;  // 2^53: up to here a double holds every whole number
+constexpr double kMaxExactInteger = 9007199254740992.0;  // 2^53: a double represents all integers up to this one exactly
 constexpr std::size_t kDigits = 16;
 
 void feed(Crc& crc, std::uint64_t word) {
@@ -27,13 +27,13 @@
   crc.process_bytes(text.data(), text.size());
 }
 
-// Integers that a double holds exactly are fed as that double, so that 4 and 4.0 give one digest.
+// An integer that a double represents exactly is fed as that double, so that 4 and 4.0 have the same digest.
 void feed_number(Crc& crc, const nlohmann::json& value) {
   const double number = value.get<double>();
-  const bool exact = value.is_number_float() || std::abs(number) <= kExact;
-  crc.process_byte(exact ? '1' : '#');
-  // Zero and minus zero are the same number.
-  feed(crc, exact ? std::bit_cast<std::uint64_t>(number == 0 ? 0.0 : number) : value.get<std::uint64_t>());
+  const bool is_exact = value.is_number_float() || std::abs(number) <= kMaxExactInteger;
+  crc.process_byte(is_exact ? '1' : '#');
+  // 0.0 and -0.0 must have the same digest.
+  feed(crc, is_exact ? std::bit_cast<std::uint64_t>(number == 0 ? 0.0 : number) : value.get<std::uint64_t>());
 }
 
 void feed(Crc& crc, const nlohmann::json& value) {
@@ -77,10 +77,10 @@
   return crc.checksum();
 }
 
-std::uint64_t digest_with(std::uint64_t before, std::uint64_t more) {
+std::uint64_t extend_digest(std::uint64_t digest, std::uint64_t value) {
   Crc crc;
-  feed(crc, before);
-  feed(crc, more);
+  feed(crc, digest);
+  feed(crc, value);
   return crc.checksum();
 }
 
--- a/src/protocol/ledger_format.hpp
+++ b/src/protocol/ledger_format.hpp
@@ -1,9 +1,9 @@
-// Entries of the ledger as they are stored, a value of the store each. Called by the ledger's writer, reader and compactor.
-// Stored bytes never change for a format version that exists: an earlier build must be able to read them.
+// Stored form of ledger entries, each of which is one value of the store. Called by the ledger's writer, reader and compactor.
+// The stored bytes of an existing format version never change, because earlier builds must be able to read them.
 //
 // Format version 1: {"seq":N,"records":[...]}
 // From 2 on:        {"level":2,"generation":G,"check":"...","before":"...","seq":N,"records":[...]}
-// From 4 on:        "n" and "first" too, see EntryHead.
+// From 4 on:        also "n" (number) and "first" (first_needed).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -17,35 +17,35 @@
 
 namespace thistlefront {
 
-/// Of an entry, all but its records.
+/// The fields of an entry other than its records.
 struct EntryHead {
   std::uint32_t format_version = 1;
   std::uint64_t generation = 0;
-  std::uint64_t seq = 0;            ///< the commit that wrote this version of the entry
-  std::uint64_t previous_link = 0;  ///< link to the entries before it; 0: it follows none
-  std::uint64_t number = 0;         ///< the entry's number, where its key does not tell it
-  std::uint64_t first_needed = 0;   ///< number of the oldest entry that is still needed; 0: all that exist
+  std::uint64_t seq = 0;            ///< sequence number of the commit that last wrote the entry
+  std::uint64_t previous_link = 0;  ///< link of the previous entry; 0: there is none, or it has no link
+  std::uint64_t number = 0;         ///< the entry's number, in format versions that reuse keys
+  std::uint64_t first_needed = 0;   ///< number of the oldest entry that is still needed; 0: all entries are needed
 };
 
 /// An entry with its records.
 struct LedgerEntry : EntryHead {
-  std::uint64_t check = 0;  ///< its checksum, which was found to be right
+  std::uint64_t checksum = 0;  ///< verified by parse_entry(); 0 in format version 1
   std::vector<Record> records;
 };
 
-/// Digest of an entry's records after one more was added.
-std::uint64_t digest_with_record(std::uint64_t digest, const EncodedRecord& record);
-/// Checksum of an entry.
-std::uint64_t check_of(const EntryHead& head, std::uint64_t records_digest);
-/// Link to entry number `n` and, through `before`, to all entries before it.
-std::uint64_t link_of(std::uint64_t before, std::uint64_t n, std::uint64_t check);
+/// Digest of an entry's records after one more record was added.
+std::uint64_t extend_digest_with_record(std::uint64_t digest, const EncodedRecord& record);
+/// Checksum of an entry: covers its records, sequence number and generation, from version 4 on also `number` and `first_needed`.
+std::uint64_t checksum_of(const EntryHead& head, std::uint64_t records_digest);
+/// Link of an entry: a digest that covers the entry and, through `previous_link`, all previous entries (a hash chain).
+std::uint64_t link_of(std::uint64_t previous_link, std::uint64_t number, std::uint64_t checksum);
 /// Encodes an entry. `records`: encoded records joined by commas.
 std::string entry_value(const EntryHead& head, std::string_view records, std::uint64_t records_digest);
 
 /// Reads an entry and verifies its checksum; throws ProtocolError.
 LedgerEntry parse_entry(std::string_view value);
 
-/// A page of entries. It is parsed once, since reading the ledger is most of what a failover costs.
+/// A page of entries. It is parsed only once, because reading the ledger takes most of the time of a takeover.
 struct EntryPage {
   /// One entry.
   struct Row {
@@ -56,9 +56,9 @@
   };
   std::vector<Row> rows;
   bool truncated = false;      ///< there are further pages
-  std::uint64_t revision = 0;  ///< of the store when it was read; 0: not told
+  std::uint64_t revision = 0;  ///< of the store when the page was read; 0: unknown
 };
-/// Reads a page; throws ProtocolError where the page itself is malformed, and not for an entry in it.
+/// Reads a page. Throws ProtocolError if the page itself is malformed; an entry that cannot be read only gets Row::error.
 EntryPage parse_entries(std::string_view body);
 
 }  // namespace thistlefront
--- a/src/protocol/ledger_record_json.cpp
+++ b/src/protocol/ledger_record_json.cpp
@@ -20,7 +20,7 @@
 
 // ---- writing
 
-// Flat: first, last, first, last, ...
+// Flat array: first, last, first, last, ...
 json ranges_json(const TaskRanges& ranges) {
   json numbers = json::array();
   for (const auto& range : ranges) {
@@ -34,7 +34,7 @@
   return {job_spec_json(record.job), record.random_draw, record.at};
 }
 
-// Null where there is none. Memory has no quota.
+// Null if there is no quota. Memory has no quota.
 json quota_json(const std::optional<TeamQuota>& quota) {
   if (!quota) return nullptr;
   return {quota->guarantee.cores, quota->guarantee.accelerators, quota->limit.cores, quota->limit.accelerators};
@@ -96,7 +96,7 @@
   }
 };
 
-// Upper bound of a JSON string's bytes, with its quotes and a comma.
+// Upper bound in bytes of a JSON string, including its quotes and a comma.
 std::size_t max_encoded_bytes(const std::string& text) {
   constexpr std::size_t kQuotesAndComma = 3;
   constexpr std::size_t kControlCharacterBytes = 6;  // \u001f
@@ -114,11 +114,11 @@
 
 // ---- reading
 
-// The items of a record, with the trailing object of extras told apart.
+// The items of a record, without the optional trailing object of extras.
 struct RecordItems {
   const json& items;
-  std::size_t size;    // without the extras
-  const json* extras;  // nullptr: none
+  std::size_t size;    // number of items, without the extras
+  const json* extras;  // null if there are none
 
   explicit RecordItems(const json& all)
       : items(all), size(all.size() - (all.back().is_object() ? 1 : 0)), extras(all.back().is_object() ? &all.back() : nullptr) {}
@@ -177,7 +177,7 @@
   return record;
 }
 
-// Early builds wrote fewer items: `from` and `more` came together, `suspect` after them.
+// Early builds wrote fewer items: `from` and `more` were added together, `suspect` later.
 Record parse_job_snapshot(const RecordItems& items) {
   JobSnapshotRecord record;
   record.accept = parse_accept(items.at(1));
@@ -226,8 +226,8 @@
   return {items.dump(), has_checksums(format_version) ? digest_of(items) : 0};
 }
 
-std::size_t encoded_most(const JobSpec& spec) {
-  constexpr std::size_t kFixedBytes = 500;  // names of fields, numbers, flags
+std::size_t max_job_spec_bytes(const JobSpec& spec) {
+  constexpr std::size_t kFixedBytes = 500;  // field names, numbers, flags
   std::size_t bytes = kFixedBytes;
   for (const auto* text : {&spec.uid, &spec.job_class, &spec.owner, &spec.image, &spec.zone}) bytes += max_encoded_bytes(*text);
   for (const auto& machine_type : spec.machine_types) bytes += max_encoded_bytes(machine_type);
--- a/src/protocol/store_messages.cpp
+++ b/src/protocol/store_messages.cpp
@@ -25,7 +25,7 @@
   return json{{"label", leader.label}, {"incarnation", leader.incarnation}}.dump();
 }
 
-LeaderValue parse_leader(std::string_view value) {
+LeaderValue parse_leader_value(std::string_view value) {
   const json object = parse_object(value);
   return {read_text(object, "label"), read_count(object, "incarnation")};
 }
@@ -34,29 +34,29 @@
   return "/store/" + key;
 }
 
-std::string list_path(const std::string& prefix, const std::string& from) {
+std::string list_path(const std::string& prefix, const std::string& first_key) {
   std::string path = "/store?prefix=" + prefix + "&page=1000";
-  if (!from.empty()) path += "&from=" + from;
+  if (!first_key.empty()) path += "&from=" + first_key;
   return path;
 }
 
-std::string follow_path(const std::string& prefix, std::uint64_t from, unsigned block_ms) {
-  return "/follow?prefix=" + prefix + "&from=" + std::to_string(from) + "&blockMs=" + std::to_string(block_ms);
+std::string watch_path(const std::string& prefix, std::uint64_t from_revision, unsigned max_wait_ms) {
+  return "/follow?prefix=" + prefix + "&from=" + std::to_string(from_revision) + "&blockMs=" + std::to_string(max_wait_ms);
 }
 
 std::string session_lease_path(std::uint64_t session_lease, bool renew) {
   return std::string(kSessionLeasesPath) + "/" + std::to_string(session_lease) + (renew ? "/renew" : "");
 }
 
-std::string session_lease_body(unsigned life_ms) {
-  return "{\"lifeMs\":" + std::to_string(life_ms) + "}";
+std::string session_lease_body(unsigned ttl_ms) {
+  return "{\"lifeMs\":" + std::to_string(ttl_ms) + "}";
 }
 
 std::uint64_t parse_session_lease(std::string_view body) {
   return read_count(parse_object(body), "hold");
 }
 
-// Written as text, since the values are JSON text already.
+// Composed as text, because the values are already JSON text.
 std::string txn_body(const std::vector<Condition>& conditions, const std::vector<Put>& puts, const std::vector<std::string>& removes) {
   std::string out = "{\"if\":[";
   const char* separator = "";
@@ -82,11 +82,11 @@
   return out + "]}";
 }
 
-std::uint64_t parse_revision(std::string_view body) {
+std::uint64_t parse_txn_revision(std::string_view body) {
   return read_count(parse_object(body), "ledgerRev");
 }
 
-std::vector<std::string> parse_failed(std::string_view body) {
+std::vector<std::string> parse_failed_keys(std::string_view body) {
   const json object = parse_object(body);
   std::vector<std::string> keys;
   for (const auto& key : read_list(object, "failed")) keys.push_back(as_text(key, "failed"));
@@ -106,7 +106,7 @@
   return page;
 }
 
-bool parse_changed(std::string_view body) {
+bool reports_change(std::string_view body) {
   return !read_list(parse_object(body), "events").empty();
 }
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -42,7 +42,7 @@
 }
 
 TEST(DependencyGraph, JobIsBlockedUntilTheLedgerHoldsTheEndsOfAllItsDependencies) {
-  ClusterState cluster_state = fresh();
+  ClusterState cluster_state = empty_cluster_state();
   cluster_state.apply(accept(after("j-1", {}), 10));
   cluster_state.apply(accept(after("j-2", {}), 11));
   cluster_state.apply(accept(after("j-3", {"j-1", "j-2"}), 12));
@@ -66,7 +66,7 @@
 // One record cancels the whole chain, however deep; and what is done stays done.
 TEST(DependencyGraph, CancellingAJobCancelsAllItsDependentsAndNothingElse) {
   constexpr int kDepth = 20000;
-  ClusterState cluster_state = fresh();
+  ClusterState cluster_state = empty_cluster_state();
   cluster_state.apply(accept(after("j-0", {}), 1));
   cluster_state.apply(accept(after("j-900000", {}), 1));
   for (int i = 1; i <= kDepth; ++i) cluster_state.apply(accept(after("j-" + std::to_string(i), {"j-" + std::to_string(i - 1)}), 2));
@@ -93,7 +93,7 @@
 }
 
 TEST(DependencyGraph, PriorityAndDeadlinePropagateToAllDependencies) {
-  ClusterState cluster_state = fresh();
+  ClusterState cluster_state = empty_cluster_state();
   auto last = after("j-4", {"j-2", "j-3"});
   last.priority = Priority::high;
   last.deadline_s = 100;
@@ -113,7 +113,7 @@
 }
 
 TEST(DependencyGraph, RejectsUnknownJobsServicesAndTheJobItselfAsDependencies) {
-  ClusterState cluster_state = fresh();
+  ClusterState cluster_state = empty_cluster_state();
   auto service = after("j-1", {});
   service.job_type = JobType::service;
   cluster_state.apply(accept(service, 1));
@@ -125,7 +125,7 @@
   // Also when it ended long ago and is read from the record of ended jobs.
   cluster_state.apply(JobCancelledRecord{"j-1"});
   std::uint32_t from = 0;
-  ClusterState later = fresh();
+  ClusterState later = empty_cluster_state();
   later.apply(parse_entry(stored_entry({cluster_state.snapshot_record(cluster_state.find("j-1"), from, 9)}, {4, 0, 1, 0})).records.at(0));
   EXPECT_NE(later.dependency_rejection_reason(after("j-9", {"j-1"})), std::nullopt);
 }
@@ -198,15 +198,15 @@
   for (unsigned seed = 1; seed <= 6; ++seed) {
     RandomHistory history(seed);
     const LedgerWriter::Limits limits{1843, 3, 4};
-    ClusterState cluster_state = fresh(max_record_bytes(limits.value_bytes));
-    Ledger ledger(limits);
+    ClusterState cluster_state = empty_cluster_state(max_record_bytes(limits.value_bytes));
+    InMemoryLedger ledger(limits);
     ledger.ledger_writer.set_format_version(4);
     for (int step = 0; step < 400; ++step) {
       ledger.commit(cluster_state, history.next_records(cluster_state, step));
       if (testing::Test::HasFatalFailure()) return;
       LedgerWriter new_writer;
       const ClusterState replayed = ledger.read(new_writer, 4);
-      expect_same(replayed, cluster_state, seed);
+      expect_same_state(replayed, cluster_state, seed);
       if (testing::Test::HasFailure()) return;
       EXPECT_EQ(replayed.dependency_graph().counts().unresolved_names, 0u);
       EXPECT_EQ(replayed.dependency_graph().counts().blocked, cluster_state.dependency_graph().counts().blocked);
@@ -216,7 +216,7 @@
       cancelled += cluster_state.dependency_graph().counts().cancelled > 0;
       if (history.below(50) == 0) cluster_state = ledger.read(ledger.ledger_writer, 4);
     }
-    reused += ledger.reused;
+    reused += ledger.reused_keys;
   }
   EXPECT_GT(reused, 300u) << "the ledger was compacted all along, and what the compaction left over is not read";
   EXPECT_GT(eligible, 500u);
@@ -228,8 +228,8 @@
 // size or rejected on submission, and its snapshot records fit as well.
 TEST(DependencyGraph, LargestRecordOfEachKindFitsIntoSmallEntries) {
   const LedgerWriter::Limits limits{1843, 4, 5};
-  ClusterState cluster_state = fresh(max_record_bytes(limits.value_bytes));
-  Ledger ledger(limits);
+  ClusterState cluster_state = empty_cluster_state(max_record_bytes(limits.value_bytes));
+  InMemoryLedger ledger(limits);
   ledger.ledger_writer.set_format_version(4);
   const auto long_uid = [](int i) { return "j-" + std::string(26, '9') + std::to_string(1000 + i); };
   for (int i = 0; i < 120; ++i) ledger.commit(cluster_state, {accept(after(long_uid(i), {}), 1)});
@@ -263,9 +263,9 @@
   ledger.commit(cluster_state, {TeamQuotaRecord{std::string(200, 't'), TeamQuota{{1.0 / 3, 1.0 / 7, 0}, {1e9 / 3, 1e9 / 7, 0}},
                                                 TeamQuota{{1.0 / 3, 1.0 / 7, 0}, {1e9 / 3, 1e9 / 7, 0}}, true}});
   for (int i = 0; i < 600; ++i) ledger.commit(cluster_state, {accept(after("j-7" + std::to_string(i), {}), 30)});
-  EXPECT_GT(ledger.reused, 10u) << "the ledger was compacted";
+  EXPECT_GT(ledger.reused_keys, 10u) << "the ledger was compacted";
   LedgerWriter new_writer;
-  expect_same(ledger.read(new_writer, 4), cluster_state, 0);
+  expect_same_state(ledger.read(new_writer, 4), cluster_state, 0);
 }
 
 // Ends of single tasks come by the hundred: those of one job are merged into one queued record, but never across another
--- a/tests/job_builders.hpp
+++ b/tests/job_builders.hpp
@@ -35,7 +35,7 @@
   for (const auto& record : records) {
     const auto encoded = encode_record(record, head.format_version);
     text += (text.empty() ? "" : ",") + encoded.text;
-    digest = digest_with_record(digest, encoded);
+    digest = extend_digest_with_record(digest, encoded);
   }
   return entry_value(head, text, digest);
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,5 +1,5 @@
-// Rollouts with real controllers: mixed builds, a format version raised and lowered again, and a ledger that no controller, or only some,
-// can read. `max_readable_format_version` makes a controller behave like an older build.
+// Rollouts with real controllers: mixed builds, upgrades and downgrades of the format version, and ledgers that no controller, or only
+// some of them, can read. `max_readable_format_version` makes a controller behave like an older build.
 #include <gtest/gtest.h>
 
 #include "cluster.hpp"
@@ -10,27 +10,27 @@
 
 using test_support::Cluster;
 
-// A build of format version 2, which raises the version after this time.
-Options soaking(double seconds) {
+// A build that supports up to format version 2 and activates it after this soak time.
+Options build_of_version_two(double soak_s) {
   Options out;
-  out.format_version_soak_s = seconds;
+  out.format_version_soak_s = soak_s;
   out.max_readable_format_version = 2;
   return out;
 }
-// A build of format version 1.
-Options older() {
-  Options out = soaking(0);
+// A build that supports format version 1 only.
+Options build_of_version_one() {
+  Options out = build_of_version_two(0);
   out.max_readable_format_version = 1;
   return out;
 }
-// A build of format version 2 that an operator holds at a lower one.
-Options held_at(std::uint32_t format_version) {
-  Options out = soaking(0);
+// A build that supports up to format version 2, whose operator allows only this version.
+Options build_of_version_two_allowing(std::uint32_t format_version) {
+  Options out = build_of_version_two(0);
   out.max_format_version = format_version;
   return out;
 }
-// This build, which raises the format version at once.
-Options at_once() {
+// The current build, without a soak time.
+Options activating_at_once() {
   Options out;
   out.format_version_soak_s = 0;
   return out;
@@ -38,336 +38,346 @@
 
 constexpr const char* kVersionTwo = R"({"level":2})";
 
-void expect_all_known(Cluster& c, const std::vector<std::string>& uids) {
+void expect_known_to_all_controllers(Cluster& cluster, const std::vector<std::string>& uids) {
   for (const auto& uid : uids)
-    for (std::size_t i = 0; i < c.users.size(); ++i)
-      EXPECT_TRUE(c.eventually(15, [&] { return c.ask(i, "GET", "/v1/jobs/" + uid).is(200); })) << uid << " at " << i;
+    for (std::size_t i = 0; i < cluster.users.size(); ++i)
+      EXPECT_TRUE(cluster.eventually(15, [&] { return cluster.ask(i, "GET", "/v1/jobs/" + uid).is(200); }))
+          << uid << " at controller " << i;
 }
 
-bool all_entries_have_version_two(Cluster& c, bool wanted) {
-  const auto entries = c.state.entries();
-  return !entries.empty() && std::all_of(entries.begin(), entries.end(),
-                                         [&](const auto& e) { return (e.second.find("\"level\":2") != std::string::npos) == wanted; });
+// Whether all entries have format version 2, or, if `expected` is false, none has.
+bool is_version_two_in_all_entries(Cluster& cluster, bool expected) {
+  const auto entries = cluster.state.entries();
+  return !entries.empty() && std::all_of(entries.begin(), entries.end(), [&](const auto& entry) {
+    return (entry.second.find("\"level\":2") != std::string::npos) == expected;
+  });
 }
 
-TEST(Rollout, AControllerWithoutTheVersionHoldsItBackAndTheLastOneRaisesIt) {
-  Cluster c(3, 1, {soaking(0), soaking(0), older()});
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  // The older build may lead and be followed, and its registry record says what it has.
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.value("roster/host-2").empty(); }));
+TEST(Rollout, ActivatesAVersionOnceTheLastControllerSupportsIt) {
+  Cluster cluster(3, 1, {build_of_version_two(0), build_of_version_two(0), build_of_version_one()});
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  // The older build may lead, and its registry record states the version that it supports.
+  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.state.value("roster/host-2").empty(); }));
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(c.format_version(), "");
+    EXPECT_EQ(cluster.format_version(), "");
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
   }
-  EXPECT_TRUE(all_entries_have_version_two(c, false)) << "what an older build reads, as long as there is one";
-  c.start(2, soaking(0));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
-  EXPECT_NE(c.state.value("leader").find("(state level 2)"), std::string::npos)
-      << "held by no session lease, for builds from before format versions";
-  ASSERT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_TRUE(c.eventually(20, [&] { return all_entries_have_version_two(c, true); })) << "old entries are rewritten";
-  expect_all_known(c, {"j-1", "j-2"});
-  // A new leader changes nothing of it.
-  c.state.expire_session_leases();
-  ASSERT_TRUE(c.submit_until("j-3", 20));
-  expect_all_known(c, {"j-1", "j-2", "j-3"});
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "an older build must be able to read the entries";
+  cluster.start(2, build_of_version_two(0));
+  ASSERT_TRUE(cluster.eventually(30, [&] { return cluster.format_version() == kVersionTwo; }));
+  EXPECT_NE(cluster.state.value("leader").find("(state level 2)"), std::string::npos)
+      << "a placeholder without a session lease, for builds older than format versions";
+  ASSERT_TRUE(cluster.submit_until("j-2", 20));
+  EXPECT_TRUE(cluster.eventually(20, [&] { return is_version_two_in_all_entries(cluster, true); })) << "old entries are rewritten";
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
+  // A new leader keeps the active version.
+  cluster.state.expire_session_leases();
+  ASSERT_TRUE(cluster.submit_until("j-3", 20));
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3"});
+  EXPECT_EQ(cluster.state.unfenced(), 0u);
 }
 
-// A controller that is down for the whole rollout counts with the version it last had, and one never seen as an old build.
-TEST(Rollout, AControllerThatIsDownOrWasNeverSeenIsWaitedFor) {
-  Cluster c(3, 1, {soaking(0), soaking(0), older()});
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.value("roster/host-2").empty(); }));
-  c.stop(2);
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  EXPECT_TRUE(c.eventually(20, [&] { return c.metric(c.leader(), "state_level_waits_for").find("host-2 (build ") != std::string::npos; }));
-  c.state.remove("roster/host-2");
-  EXPECT_TRUE(
-      c.eventually(20, [&] { return c.metric(c.leader(), "state_level_waits_for").find("host-2 (never seen)") != std::string::npos; }));
-  EXPECT_EQ(c.format_version(), "");
+// A controller that is down during the whole rollout counts with its last registry record, one that was never seen as an old build.
+TEST(Rollout, DoesNotActivateAVersionWhileAControllerIsDownOrUnregistered) {
+  Cluster cluster(3, 1, {build_of_version_two(0), build_of_version_two(0), build_of_version_one()});
+  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.state.value("roster/host-2").empty(); }));
+  cluster.stop(2);
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  EXPECT_TRUE(cluster.eventually(
+      20, [&] { return cluster.metric(cluster.leader(), "state_level_waits_for").find("host-2 (build ") != std::string::npos; }));
+  cluster.state.remove("roster/host-2");
+  EXPECT_TRUE(cluster.eventually(
+      20, [&] { return cluster.metric(cluster.leader(), "state_level_waits_for").find("host-2 (never seen)") != std::string::npos; }));
+  EXPECT_EQ(cluster.format_version(), "");
 }
 
-TEST(Rollout, AfterTheVersionIsRaisedAnOlderBuildFollowsAndNeverLeads) {
-  Cluster c(2, 1, {soaking(0)});
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  c.start(1, older());
-  expect_all_known(c, {"j-1"});
-  EXPECT_TRUE(c.eventually(20, [&] { return c.submit(1, "j-2").is(201) || c.submit(1, "j-2").is(200); })) << "it forwards";
-  c.stop(0);
-  const auto until = steady_now() + 4;
-  while (steady_now() < until) {
-    EXPECT_NE(c.state.leader(), "host-1");
-    EXPECT_FALSE(c.ask(1, "GET", "/v1/jobs/j-1").is(404));
+TEST(Rollout, OlderBuildFollowsAndNeverLeadsAfterActivation) {
+  Cluster cluster(2, 1, {build_of_version_two(0)});
+  ASSERT_TRUE(cluster.eventually(30, [&] { return cluster.format_version() == kVersionTwo; }));
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  cluster.start(1, build_of_version_one());
+  expect_known_to_all_controllers(cluster, {"j-1"});
+  EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.submit(1, "j-2").is(201) || cluster.submit(1, "j-2").is(200); }))
+      << "the older build forwards requests";
+  cluster.stop(0);
+  const auto deadline = steady_now() + 4;
+  while (steady_now() < deadline) {
+    EXPECT_NE(cluster.state.leader(), "host-1");
+    EXPECT_FALSE(cluster.ask(1, "GET", "/v1/jobs/j-1").is(404));
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
-  c.start(0, soaking(0));
-  expect_all_known(c, {"j-1", "j-2"});
+  cluster.start(0, build_of_version_two(0));
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
 }
 
-TEST(Rollout, AMajorityHeldBelowLowersTheVersionAndOlderBuildsLeadAgain) {
-  Cluster c(3, 1, {soaking(0)});
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(30, [&] { return c.format_version() == kVersionTwo; }));
-  ASSERT_TRUE(c.submit_until("j-2", 20));
-  c.start(0, held_at(1));
-  ASSERT_TRUE(c.submit_until("j-3", 20));
+TEST(Rollout, DowngradesWhenAMajorityAllowsOnlyALowerVersion) {
+  Cluster cluster(3, 1, {build_of_version_two(0)});
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  ASSERT_TRUE(cluster.eventually(30, [&] { return cluster.format_version() == kVersionTwo; }));
+  ASSERT_TRUE(cluster.submit_until("j-2", 20));
+  cluster.start(0, build_of_version_two_allowing(1));
+  ASSERT_TRUE(cluster.submit_until("j-3", 20));
   std::this_thread::sleep_for(std::chrono::seconds(2));
-  EXPECT_EQ(c.format_version(), kVersionTwo) << "one flag that was forgotten lowers nothing";
-  c.start(1, held_at(1));
-  ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == R"({"level":1})"; }));
-  EXPECT_TRUE(all_entries_have_version_two(c, false)) << "before it is on";
-  EXPECT_EQ(c.state.value("lead"), "");
-  for (std::size_t i = 0; i < 3; ++i) c.start(i, older());
-  ASSERT_TRUE(c.submit_until("j-4", 20));
-  expect_all_known(c, {"j-1", "j-2", "j-3", "j-4"});
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.format_version(), kVersionTwo) << "a single controller with a forgotten flag causes no downgrade";
+  cluster.start(1, build_of_version_two_allowing(1));
+  ASSERT_TRUE(cluster.eventually(40, [&] { return cluster.format_version() == R"({"level":1})"; }));
+  EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "entries are rewritten before the lower version is activated";
+  EXPECT_EQ(cluster.state.value("lead"), "");
+  for (std::size_t i = 0; i < 3; ++i) cluster.start(i, build_of_version_one());
+  ASSERT_TRUE(cluster.submit_until("j-4", 20));
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3", "j-4"});
+  EXPECT_EQ(cluster.state.unfenced(), 0u);
 }
 
-// Session leases that expire, transactions that are late, lost and repeated, and controllers that restart while the version is raised.
-TEST(Rollout, RaisingTheVersionSurvivesFaultsInEachOfItsSteps) {
+// Faults during the activation of a version: session leases expire, transactions are late, lost and repeated, controllers restart.
+TEST(Rollout, ActivationSurvivesFaultsInEachStep) {
   for (unsigned seed = 1; seed <= 2; ++seed) {
-    Cluster c(3, seed, {soaking(1)});
+    Cluster cluster(3, seed, {build_of_version_two(1)});
     std::mt19937 random(seed);
-    std::vector<std::string> told;
-    // Five seconds of faults, and more where nothing could be accepted in them, which happens by chance.
-    const double began = steady_now();
-    while (steady_now() < began + 5 || (told.empty() && steady_now() < began + 25)) {
-      const auto replica = random() % 3;
-      auto& endpoint = c.state.endpoint(replica);
+    std::vector<std::string> accepted;
+    // Faults for five seconds, or longer if by chance no job was accepted in that time.
+    const double started_at = steady_now();
+    while (steady_now() < started_at + 5 || (accepted.empty() && steady_now() < started_at + 25)) {
+      const auto controller = random() % 3;
+      auto& endpoint = cluster.state.endpoint(controller);
       switch (random() % 6) {
         case 0: endpoint.refuses = !endpoint.refuses; break;
         case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.4; break;
         case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.3; break;
         case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.4; break;
-        case 4: c.state.expire_session_leases(); break;
-        default: c.start(replica, random() % 2 == 0 ? soaking(1) : older());
+        case 4: cluster.state.expire_session_leases(); break;
+        default: cluster.start(controller, random() % 2 == 0 ? build_of_version_two(1) : build_of_version_one());
       }
-      const std::string uid = "j-" + std::to_string(1000 * seed + told.size());
-      if (const auto r = c.submit(random() % 3, uid); r.is(201) || r.is(200)) told.push_back(uid);
-      // An older build may have had to stand by: then nobody leads for a while.
+      const std::string uid = "j-" + std::to_string(1000 * seed + accepted.size());
+      if (const auto reply = cluster.submit(random() % 3, uid); reply.is(201) || reply.is(200)) accepted.push_back(uid);
+      // Older builds may not be allowed to lead; then there is no leader for a while.
     }
     for (std::size_t i = 0; i < 3; ++i) {
-      auto& endpoint = c.state.endpoint(i);
+      auto& endpoint = cluster.state.endpoint(i);
       endpoint.refuses = false;
       endpoint.loses = endpoint.late = endpoint.repeats = 0;
-      c.start(i, soaking(0));
+      cluster.start(i, build_of_version_two(0));
     }
-    ASSERT_TRUE(c.eventually(40, [&] { return c.format_version() == kVersionTwo; })) << "seed " << seed;
-    ASSERT_TRUE(c.submit_until("j-9", 30)) << "seed " << seed;
-    EXPECT_FALSE(told.empty());
-    expect_all_known(c, told);
-    EXPECT_EQ(c.state.unfenced(), 0u) << "seed " << seed;
+    ASSERT_TRUE(cluster.eventually(40, [&] { return cluster.format_version() == kVersionTwo; })) << "seed " << seed;
+    ASSERT_TRUE(cluster.submit_until("j-9", 30)) << "seed " << seed;
+    EXPECT_FALSE(accepted.empty());
+    expect_known_to_all_controllers(cluster, accepted);
+    EXPECT_EQ(cluster.state.unfenced(), 0u) << "seed " << seed;
   }
 }
 
-// The newest quota of a team in the ledger, if there is one.
-std::optional<TeamQuotaRecord> team_in_ledger(Cluster& c, const std::string& name) {
+// The newest quota record of a team in the ledger; nothing if there is none.
+std::optional<TeamQuotaRecord> quota_record_in_ledger(Cluster& cluster, const std::string& name) {
   std::optional<TeamQuotaRecord> out;
-  for (const auto& [key, value] : c.state.entries())
-    for (const auto& r : parse_entry(value).records)
-      if (const auto* t = std::get_if<TeamQuotaRecord>(&r); t && t->name == name) out = *t;
+  for (const auto& [key, value] : cluster.state.entries())
+    for (const auto& record : parse_entry(value).records)
+      if (const auto* quota = std::get_if<TeamQuotaRecord>(&record); quota && quota->name == name) out = *quota;
   return out;
 }
 
-// A settings file with another limit and one more team is rolled out controller by controller, with new leaders in between.
-TEST(Rollout, ChangedTeamsComeIntoForceWhenAllControllersHaveThem) {
-  const Options now = at_once();
-  Cluster c(3, 1, {now});
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(60, [&] { return team_in_ledger(c, "red").has_value(); }));
-  EXPECT_EQ(c.format_version(), R"({"level":4})");
-  const TeamQuota before = team_in_ledger(c, "red")->agreed.value();
-  const auto changed = [&](std::size_t i) {
-    c.settings(i).teams = {{"red", {}, {6, 0, 0}}, {"green", {}, {3, 0, 0}}};
-    c.start(i, now);
+// A settings file with a changed limit and an additional team is rolled out controller by controller, with new leaders in between.
+TEST(Rollout, ChangedQuotasTakeEffectOnceAllControllersHaveThem) {
+  const Options options = activating_at_once();
+  Cluster cluster(3, 1, {options});
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  ASSERT_TRUE(cluster.eventually(60, [&] { return quota_record_in_ledger(cluster, "red").has_value(); }));
+  EXPECT_EQ(cluster.format_version(), R"({"level":4})");
+  const TeamQuota old_quota = quota_record_in_ledger(cluster, "red")->agreed.value();
+  const auto restart_with_changed_teams = [&](std::size_t i) {
+    cluster.settings(i).teams = {{"red", {}, {6, 0, 0}}, {"green", {}, {3, 0, 0}}};
+    cluster.start(i, options);
   };
-  changed(0);
-  ASSERT_TRUE(c.eventually(30, [&] {
-    const auto red = team_in_ledger(c, "red");
-    return red->agreed == before && red->proposed && red->proposed->limit.cores == 6;
+  restart_with_changed_teams(0);
+  ASSERT_TRUE(cluster.eventually(30, [&] {
+    const auto red = quota_record_in_ledger(cluster, "red");
+    return red->agreed == old_quota && red->proposed && red->proposed->limit.cores == 6;
   }));
-  ASSERT_TRUE(c.eventually(30, [&] { return team_in_ledger(c, "green").has_value(); }));
-  // Whoever leads, the ledger's quota holds, also for the team that is in one file only.
+  ASSERT_TRUE(cluster.eventually(30, [&] { return quota_record_in_ledger(cluster, "green").has_value(); }));
+  // Whichever controller leads, the quotas in the ledger are in force, also for the team that only one settings file has.
   auto green = nlohmann::json::parse(test_support::job_body("j-20"));
   green["owner"] = "green";
   for (int i = 0; i < 2; ++i) {
-    c.state.expire_session_leases();
+    cluster.state.expire_session_leases();
     green["uid"] = "j-2" + std::to_string(i);
-    EXPECT_TRUE(c.eventually(20, [&] { return c.ask(2, "POST", "/v1/jobs", green.dump()).is(201); })) << i;
-    EXPECT_EQ(team_in_ledger(c, "red")->agreed, before);
-    EXPECT_TRUE(team_in_ledger(c, "red")->proposed);
+    EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(2, "POST", "/v1/jobs", green.dump()).is(201); })) << i;
+    EXPECT_EQ(quota_record_in_ledger(cluster, "red")->agreed, old_quota);
+    EXPECT_TRUE(quota_record_in_ledger(cluster, "red")->proposed);
   }
-  changed(1);
-  changed(2);
-  ASSERT_TRUE(c.eventually(40, [&] {
-    const auto red = team_in_ledger(c, "red");
+  restart_with_changed_teams(1);
+  restart_with_changed_teams(2);
+  ASSERT_TRUE(cluster.eventually(40, [&] {
+    const auto red = quota_record_in_ledger(cluster, "red");
     return red->agreed->limit.cores == 6 && !red->proposed;
   }));
-  // A job that needs more than the new limit can never run, and an unknown team is refused for good.
+  // A job that needs more than the new limit can never run and is rejected, as is a job of an unknown team.
   auto large = nlohmann::json::parse(test_support::job_body("j-30"));
   large["shape"] = "group";
   large["pieces"] = 7;
-  EXPECT_TRUE(c.eventually(10, [&] { return c.ask(0, "POST", "/v1/jobs", large.dump()).is(422); }));
+  EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(0, "POST", "/v1/jobs", large.dump()).is(422); }));
   green["owner"] = "blue";
   green["uid"] = "j-40";
-  EXPECT_TRUE(c.eventually(10, [&] { return c.ask(0, "POST", "/v1/jobs", green.dump()).is(422); }));
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(0, "POST", "/v1/jobs", green.dump()).is(422); }));
+  EXPECT_EQ(cluster.state.unfenced(), 0u);
 }
 
-std::string waiting_body(const std::string& uid, const nlohmann::json& names, std::uint32_t tasks = 2) {
-  auto j = nlohmann::json::parse(test_support::job_body(uid));
-  j["waitsOn"] = names;
-  j["pieces"] = tasks;
-  return j.dump();
+std::string dependent_job_body(const std::string& uid, const nlohmann::json& depends_on, std::uint32_t tasks = 2) {
+  auto body = nlohmann::json::parse(test_support::job_body(uid));
+  body["waitsOn"] = depends_on;
+  body["pieces"] = tasks;
+  return body.dump();
 }
 
-// Jobs that depend on others, as users meet them: refused for a while until all controllers have the version; then, whoever is asked and
-// whoever leads, accepted, refused for good, or cancelled with the job they depend on.
-TEST(Rollout, DependentJobsComeWithTheVersionAndAreKnownToEachLeader) {
-  const Options now = at_once();
-  Options before = now;
-  before.max_readable_format_version = 3;
-  Cluster c(3, 1, {now, now, before});
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":3})"; }));
-  const auto submit = [&](std::size_t replica, const std::string& uid, const nlohmann::json& names) {
-    return c.ask(replica, "POST", "/v1/jobs", waiting_body(uid, names));
+// Jobs with dependencies get a temporary error until all controllers support the format version. Then, whichever controller is asked and
+// whichever leads, they are accepted, rejected permanently, or cancelled together with the job that they depend on.
+TEST(Rollout, DependentJobsAreAcceptedOnceTheVersionIsActive) {
+  const Options current = activating_at_once();
+  Options older = current;
+  older.max_readable_format_version = 3;
+  Cluster cluster(3, 1, {current, current, older});
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":3})"; }));
+  const auto submit = [&](std::size_t controller, const std::string& uid, const nlohmann::json& depends_on) {
+    return cluster.ask(controller, "POST", "/v1/jobs", dependent_job_body(uid, depends_on));
   };
   for (std::size_t i = 0; i < 3; ++i) {
-    const auto r = submit(i, "j-2", {"j-1"});
-    EXPECT_TRUE(r.is(503)) << "never taken as if it waited for nothing";
+    const auto reply = submit(i, "j-2", {"j-1"});
+    EXPECT_TRUE(reply.is(503)) << "the job must not be accepted without its dependencies";
     EXPECT_TRUE(submit(i, "j-2", "j-1").is(400) || submit(i, "j-2", "j-1").is(503));
   }
-  EXPECT_TRUE(c.eventually(10, [&] { return submit(0, "j-1", {"j-77"}).is(200); })) << "known, and not checked again";
-  EXPECT_TRUE(c.eventually(10, [&] { return submit(1, "j-3", nlohmann::json::array()).is(201); })) << "waits for none";
-  c.start(2, now);
-  ASSERT_TRUE(c.eventually(20, [&] { return submit(0, "j-2", {"j-1", "j-1", "j-3"}).is(201); }));
-  EXPECT_EQ(c.format_version(), R"({"level":4})");
+  EXPECT_TRUE(cluster.eventually(10, [&] { return submit(0, "j-1", {"j-77"}).is(200); })) << "a known job is not validated again";
+  EXPECT_TRUE(cluster.eventually(10, [&] { return submit(1, "j-3", nlohmann::json::array()).is(201); })) << "a job without dependencies";
+  cluster.start(2, current);
+  ASSERT_TRUE(cluster.eventually(20, [&] { return submit(0, "j-2", {"j-1", "j-1", "j-3"}).is(201); }));
+  EXPECT_EQ(cluster.format_version(), R"({"level":4})");
   for (std::size_t i = 0; i < 3; ++i) {
-    EXPECT_TRUE(submit(i, "j-9", {"j-77"}).is(422)) << "never accepted";
+    EXPECT_TRUE(submit(i, "j-9", {"j-77"}).is(422)) << "the dependency was never accepted";
     EXPECT_TRUE(submit(i, "j-9", {"j-9"}).is(422));
     EXPECT_TRUE(submit(i, "j-9", {"J-1"}).is(400));
     EXPECT_TRUE(submit(i, "j-9", 7).is(400));
     EXPECT_TRUE(submit(i, "j-2", {"j-77"}).is(200));
   }
   ASSERT_TRUE(submit(1, "j-4", {"j-2"}).is(201));
-  const auto is = [&](const std::string& uid, const std::string& status) {
+  const auto has_status_everywhere = [&](const std::string& uid, const std::string& status) {
     for (std::size_t i = 0; i < 3; ++i)
-      if (c.ask(i, "GET", "/v1/jobs/" + uid).body.find(status) == std::string::npos) return false;
+      if (cluster.ask(i, "GET", "/v1/jobs/" + uid).body.find(status) == std::string::npos) return false;
     return true;
   };
-  EXPECT_TRUE(c.eventually(10, [&] { return is("j-4", "queued"); }));
-  ASSERT_TRUE(c.eventually(10, [&] { return c.ask(2, "POST", "/v1/jobs/j-3/withdraw").is(200); }));
-  EXPECT_TRUE(is("j-2", "aborted") && is("j-4", "aborted"));
-  EXPECT_TRUE(is("j-1", "queued"));
+  EXPECT_TRUE(cluster.eventually(10, [&] { return has_status_everywhere("j-4", "queued"); }));
+  ASSERT_TRUE(cluster.eventually(10, [&] { return cluster.ask(2, "POST", "/v1/jobs/j-3/withdraw").is(200); }));
+  EXPECT_TRUE(has_status_everywhere("j-2", "aborted") && has_status_everywhere("j-4", "aborted"));
+  EXPECT_TRUE(has_status_everywhere("j-1", "queued"));
   const auto late = submit(0, "j-5", {"j-4", "j-1"});
-  EXPECT_TRUE(late.is(201)) << "accepted all the same";
+  EXPECT_TRUE(late.is(201)) << "accepted although a dependency is cancelled";
   EXPECT_NE(late.body.find("aborted"), std::string::npos);
   for (int i = 0; i < 2; ++i) {
-    c.state.expire_session_leases();
-    EXPECT_TRUE(c.eventually(20, [&] { return is("j-4", "aborted") && is("j-5", "aborted") && is("j-1", "queued"); }));
+    cluster.state.expire_session_leases();
+    EXPECT_TRUE(cluster.eventually(20, [&] {
+      return has_status_everywhere("j-4", "aborted") && has_status_everywhere("j-5", "aborted") && has_status_everywhere("j-1", "queued");
+    }));
   }
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced(), 0u);
 }
 
-// The store's limits fall to a quarter: with entries of both sizes, and the largest job that is accepted.
-TEST(Rollout, LoweredLimitsOfTheStoreStopNothing) {
-  const Options now = at_once();
-  Cluster c(3, 1, {now});
-  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
-  for (int i = 0; i < 40; ++i) ASSERT_TRUE(c.submit_until("j-1" + std::to_string(i), 20));
-  for (std::size_t i = 0; i < 3; ++i) c.settings(i).value_kb = 2, c.settings(i).txn_ops = 4;
-  for (std::size_t i = 0; i < 3; ++i) c.start(i, now);
-  ASSERT_TRUE(c.submit_until("j-20", 20));
-  c.state.limit(2048, 4);
+// The store's limits are reduced to a quarter. The ledger then has entries of both sizes, and a large job that still fits is accepted.
+TEST(Rollout, ServiceContinuesWithReducedStoreLimits) {
+  const Options options = activating_at_once();
+  Cluster cluster(3, 1, {options});
+  ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
+  for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-1" + std::to_string(i), 20));
+  for (std::size_t i = 0; i < 3; ++i) cluster.settings(i).value_kb = 2, cluster.settings(i).txn_ops = 4;
+  for (std::size_t i = 0; i < 3; ++i) cluster.start(i, options);
+  ASSERT_TRUE(cluster.submit_until("j-20", 20));
+  cluster.state.limit(2048, 4);
   nlohmann::json names = nlohmann::json::array();
   for (int i = 0; i < 40; ++i) names.push_back("j-1" + std::to_string(i));
-  EXPECT_TRUE(c.eventually(20, [&] { return c.ask(0, "POST", "/v1/jobs", waiting_body("j-30", names)).is(201); }));
+  EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(0, "POST", "/v1/jobs", dependent_job_body("j-30", names)).is(201); }));
   for (int i = 0; i < 160; ++i) names.push_back("j-1" + std::to_string(i % 40) + std::string(8, '0') + std::to_string(i));
-  EXPECT_TRUE(c.eventually(20, [&] { return c.ask(0, "POST", "/v1/jobs", waiting_body("j-31", names)).is(422); }))
-      << "refused as too long, or because it names an unknown job";
-  for (int i = 0; i < 30; ++i) ASSERT_TRUE(c.submit_until("j-4" + std::to_string(i), 20));
-  c.state.expire_session_leases();
-  ASSERT_TRUE(c.submit_until("j-50", 20));
+  EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(0, "POST", "/v1/jobs", dependent_job_body("j-31", names)).is(422); }))
+      << "rejected as too long, or because it depends on an unknown job";
+  for (int i = 0; i < 30; ++i) ASSERT_TRUE(cluster.submit_until("j-4" + std::to_string(i), 20));
+  cluster.state.expire_session_leases();
+  ASSERT_TRUE(cluster.submit_until("j-50", 20));
   for (const auto* uid : {"j-10", "j-139", "j-30", "j-429"})
-    EXPECT_TRUE(c.eventually(10, [&] { return c.ask(1, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
-  EXPECT_EQ(c.state.too_large(), 0u);
+    EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(1, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
+  EXPECT_EQ(cluster.state.too_large(), 0u);
 }
 
-// A store that takes less than the settings say: leaders find out and write smaller transactions, and don't step down one after the other.
-TEST(Rollout, AStoreThatTakesLessThanItSaysIsGivenSmallerTransactions) {
-  const Options now = at_once();
-  Cluster c(2, 1, {now});
-  ASSERT_TRUE(c.eventually(20, [&] { return c.format_version() == R"({"level":4})"; }));
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  c.state.limit(2048, 4);
-  for (int i = 0; i < 40; ++i) ASSERT_TRUE(c.submit_until("j-2" + std::to_string(i), 20)) << i;
-  EXPECT_GT(c.state.too_large(), 0u);
-  EXPECT_LT(c.state.too_large(), 12u);
+// The store accepts less than the settings state. Leaders must detect this and send smaller transactions instead of stepping down one
+// after the other.
+TEST(Rollout, LeaderSendsSmallerTransactionsWhenTheStoreRejectsLargeOnes) {
+  const Options options = activating_at_once();
+  Cluster cluster(2, 1, {options});
+  ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  cluster.state.limit(2048, 4);
+  for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-2" + std::to_string(i), 20)) << i;
+  EXPECT_GT(cluster.state.too_large(), 0u);
+  EXPECT_LT(cluster.state.too_large(), 12u);
 }
 
-std::string beyond(const std::string& entry) {
-  auto j = nlohmann::json::parse(entry);
-  j["records"].push_back({"from-the-future", 1});
-  return j.dump();
+// The entry with an additional record that no build can read.
+std::string with_unknown_record(const std::string& entry) {
+  auto value = nlohmann::json::parse(entry);
+  value["records"].push_back({"from-the-future", 1});
+  return value.dump();
 }
 
-// One newer controller led for a moment: those that can't read its entry once took the lead in turn, and nobody served.
-TEST(Rollout, AControllerThatCantReadTheLedgerGivesTheLeadToOneThatCan) {
-  Cluster c(2, 1, {older(), held_at(1)});
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  const auto entries = c.state.entries();
-  auto j = nlohmann::json::parse(entries.begin()->second);
-  // An entry of version 2 while version 1 is active: only the newer build reads it.
+// Guards against a loss of service after a newer build led briefly: controllers that could not read its entry became leader in turn, and
+// none of them served requests.
+TEST(Rollout, ControllerThatCannotReadTheLedgerYieldsLeadershipToOneThatCan) {
+  Cluster cluster(2, 1, {build_of_version_one(), build_of_version_two_allowing(1)});
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  const auto entries = cluster.state.entries();
+  auto value = nlohmann::json::parse(entries.begin()->second);
+  // An entry of version 2 while version 1 is active: only the newer build can read it.
   const auto entry = parse_entry(entries.begin()->second);
-  c.stop(0);
-  c.stop(1);
+  cluster.stop(0);
+  cluster.stop(1);
   std::string text;
   std::uint64_t digest = 0;
-  for (const auto& r : entry.records) {
-    const auto encoded = encode_record(r, 2);
+  for (const auto& record : entry.records) {
+    const auto encoded = encode_record(record, 2);
     text += (text.empty() ? "" : ",") + encoded.text;
-    digest = digest_with_record(digest, encoded);
+    digest = extend_digest_with_record(digest, encoded);
   }
-  c.state.put(entries.begin()->first, entry_value({2, 0, entry.seq, 0}, text, digest));
-  c.start(0, older());
-  c.start(1, held_at(1));
-  ASSERT_TRUE(c.submit_until("j-2", 15));
-  EXPECT_EQ(c.state.leader(), "host-1");
-  expect_all_known(c, {"j-1", "j-2"});
+  cluster.state.put(entries.begin()->first, entry_value({2, 0, entry.seq, 0}, text, digest));
+  cluster.start(0, build_of_version_one());
+  cluster.start(1, build_of_version_two_allowing(1));
+  ASSERT_TRUE(cluster.submit_until("j-2", 15));
+  EXPECT_EQ(cluster.state.leader(), "host-1");
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
 }
 
-TEST(Rollout, WhereNobodyCanReadTheLedgerItIsAnOutageAndLeasesAreKept) {
-  Cluster c(3);
-  ASSERT_TRUE(c.submit_until("j-1", 20));
-  const auto entry = *c.state.entries().begin();
-  for (std::size_t i = 0; i < 3; ++i) c.stop(i);
-  c.state.put(entry.first, beyond(entry.second));
-  for (std::size_t i = 0; i < 3; ++i) c.start(i, Options{});
+TEST(Rollout, LeasesAreRenewedWhileNoControllerCanReadTheLedger) {
+  Cluster cluster(3);
+  ASSERT_TRUE(cluster.submit_until("j-1", 20));
+  const auto entry = *cluster.state.entries().begin();
+  for (std::size_t i = 0; i < 3; ++i) cluster.stop(i);
+  cluster.state.put(entry.first, with_unknown_record(entry.second));
+  for (std::size_t i = 0; i < 3; ++i) cluster.start(i, Options{});
   std::uint64_t serial = 0;
-  std::size_t kept = 0;
+  std::size_t renewed_leases = 0;
   std::set<std::string> leaders;
-  for (const double until = steady_now() + 12; steady_now() < until;) {
+  for (const double deadline = steady_now() + 12; steady_now() < deadline;) {
     for (std::size_t i = 0; i < 3; ++i) {
-      const auto poll = c.ask(i, "GET", "/v1/jobs/j-1");
+      const auto poll = cluster.ask(i, "GET", "/v1/jobs/j-1");
       EXPECT_FALSE(poll.is(404) || poll.is(200)) << poll.body;
-      EXPECT_FALSE(c.submit(i, "j-2").is(201));
-      const auto answer = c.ask(i, "POST", "/v1/report", test_support::heartbeat_body("m-1", "127.0.0.1:1", ++serial, 0));
-      if (!answer.is(200)) continue;
-      ++kept;
-      EXPECT_NE(answer.body.find("\"orders\":[]"), std::string::npos) << answer.body;
+      EXPECT_FALSE(cluster.submit(i, "j-2").is(201));
+      const auto reply = cluster.ask(i, "POST", "/v1/report", test_support::heartbeat_body("m-1", "127.0.0.1:1", ++serial, 0));
+      if (!reply.is(200)) continue;
+      ++renewed_leases;
+      EXPECT_NE(reply.body.find("\"orders\":[]"), std::string::npos) << reply.body;
     }
-    leaders.insert(c.state.leader());
+    leaders.insert(cluster.state.leader());
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   leaders.erase("");
-  EXPECT_GT(leaders.size(), 1u) << "each controller tries";
-  EXPECT_GT(kept, 10u);
-  // Once the entry is readable again, service resumes by itself.
-  c.state.put(entry.first, entry.second);
-  EXPECT_TRUE(c.submit_until("j-2", 30));
-  expect_all_known(c, {"j-1", "j-2"});
+  EXPECT_GT(leaders.size(), 1u) << "each controller becomes leader in turn";
+  EXPECT_GT(renewed_leases, 10u);
+  // Once the entry is readable again, service resumes without intervention.
+  cluster.state.put(entry.first, entry.second);
+  EXPECT_TRUE(cluster.submit_until("j-2", 30));
+  expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
 }
 
 }  // namespace
--- a/tests/short_jobs_test.cpp
+++ b/tests/short_jobs_test.cpp
@@ -131,10 +131,10 @@
   ClusterState restored({Team{"red", {}, {1e6, 0, 0}, {}}}, max_record_bytes(1843));
   LedgerReader reader(restored, 1, 4);
   for (const auto& [key, value] : load.entries) {
-    ASSERT_TRUE(reader.add_entry(Ledger::row(key, value, load.mod_revisions[key]))) << reader.error();
+    ASSERT_TRUE(reader.add_entry(InMemoryLedger::row(key, value, load.mod_revisions[key]))) << reader.error();
   }
   ASSERT_TRUE(reader.finish()) << reader.error();
-  expect_same(restored, load.cluster_state, 5);
+  expect_same_state(restored, load.cluster_state, 5);
 }
 
 }  // namespace
--- a/tests/stored_test.cpp
+++ b/tests/stored_test.cpp
@@ -1,6 +1,6 @@
-// What is stored and said, byte for byte as each level writes it: kept in tests/stored, where people read
-// it. What an earlier build wrote must be read for ever, and what is written at its level must be just what
-// it reads.
+// Stored values and messages between controllers, byte for byte as each format version writes them, compared with the files in
+// tests/stored. Data written by earlier builds must remain readable, and data written in an older format version must be exactly what
+// earlier builds read.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -24,8 +24,8 @@
 namespace thistlefront {
 namespace {
 
-// One line a value; the first word is its name.
-std::map<std::string, std::string> kept(const std::string& file) {
+// Reads a file in tests/stored: one value per line, preceded by its name.
+std::map<std::string, std::string> read_stored_file(const std::string& file) {
   std::ifstream in(std::string(TRACES) + "/../stored/" + file);
   std::map<std::string, std::string> out;
   for (std::string line; std::getline(in, line);) {
@@ -36,27 +36,27 @@
   return out;
 }
 
-std::vector<Record> some_of_each_kind() {
+std::vector<Record> example_records() {
   MachineType big;
   big.name = "big";
   big.capacity = {8, 0, 32};
   big.image_cache_gb = 50, big.image_fetch_gb_per_s = 1, big.price = 1, big.spot_price = 0.5, big.boot_s = 30;
   big.zones = {"x"};
-  const JobAcceptedRecord accept{submission("j-1", 4, 1.5), 0.25, 12.5};
-  JobSnapshotRecord job{accept, JobStatus::queued, 2, {{0, 1}}, {{"m-1", 3, 2, 13.5, {{1, 3}}}}, 0, false, true};
+  const JobAcceptedRecord accepted{submission("j-1", 4, 1.5), 0.25, 12.5};
+  JobSnapshotRecord snapshot{accepted, JobStatus::queued, 2, {{0, 1}}, {{"m-1", 3, 2, 13.5, {{1, 3}}}}, 0, false, true};
   return {MachineTypesRecord{{big}},
-          accept,
+          accepted,
           TasksStartedRecord{"j-1", 1, 13, {{"m-1", 3, {{0, 2}}}}},
           TasksCompletedRecord{"j-1", {{0, 1}}},
           TasksRemovedRecord{"j-1", 1, {{1, 2}}, 14.5},
           JobCancelledRecord{"j-1"},
-          job,
+          snapshot,
           JobsEndedRecord{JobStatus::done, {"j-2", "j-3"}}};
 }
 
-TEST(Stored, EntriesOfEachLevelAreWhatTheyWere) {
-  const auto lines = kept("entries.txt");
-  const auto records = some_of_each_kind();
+TEST(StoredFormat, EntriesKeepTheirBytesInEachFormatVersion) {
+  const auto lines = read_stored_file("entries.txt");
+  const auto records = example_records();
   EXPECT_EQ(stored_entry(records, {1, 0, 7, 0}), lines.at("level-1"));
   EXPECT_EQ(stored_entry(records, {2, 0, 7, 0x0123456789abcdef}), lines.at("level-2"));
   const TeamQuota quota{{8, 0, 0}, {16, 4, 0}};
@@ -69,31 +69,31 @@
   for (const auto* name : {"level-1", "level-2"}) {
     const auto entry = parse_entry(lines.at(name));
     EXPECT_EQ(entry.seq, 7u);
-    EXPECT_EQ(stored_entry(entry.records, {1, 0, 7, 0}), lines.at("level-1")) << "nothing is lost from " << name;
+    EXPECT_EQ(stored_entry(entry.records, {1, 0, 7, 0}), lines.at("level-1")) << "parsing lost something of " << name;
   }
-  // Level 4: jobs that wait for others, and what is kept of their ends; an entry that tells its number.
-  auto waits = submission("j-9", 2, 1);
-  waits.depends_on = {"j-1", "j-2"};
-  JobSnapshotRecord ready{{submission("j-8", 1, 1), 0.25, 12.5}, JobStatus::queued, 0, {}, {}, 0, false, false, 14.5};
-  const std::vector<Record> dependency_graph{JobAcceptedRecord{waits, 0.25, 12.5}, TasksCompletedRecord{"j-1", {{0, 1}}, 13.5}, ready,
-                                             JobsEndedRecord{JobStatus::done, {"j-2", "j-3"}, {{1, 11.5}}, {}},
-                                             JobsEndedRecord{JobStatus::cancelled, {"j-4"}, {}, {0}}};
+  // Format version 4: dependencies between jobs, completion times that they need, and an entry that contains its number.
+  auto dependent = submission("j-9", 2, 1);
+  dependent.depends_on = {"j-1", "j-2"};
+  JobSnapshotRecord eligible{{submission("j-8", 1, 1), 0.25, 12.5}, JobStatus::queued, 0, {}, {}, 0, false, false, 14.5};
+  const std::vector<Record> dependency_records{JobAcceptedRecord{dependent, 0.25, 12.5}, TasksCompletedRecord{"j-1", {{0, 1}}, 13.5},
+                                               eligible, JobsEndedRecord{JobStatus::done, {"j-2", "j-3"}, {{1, 11.5}}, {}},
+                                               JobsEndedRecord{JobStatus::cancelled, {"j-4"}, {}, {0}}};
   const EntryHead head{4, 0, 9, 0x0123456789abcdef, 31, 24};
-  EXPECT_EQ(stored_entry(dependency_graph, head), lines.at("level-4"));
-  const auto four = parse_entry(lines.at("level-4"));
-  EXPECT_EQ(four.number, 31u);
-  EXPECT_EQ(four.first_needed, 24u);
-  EXPECT_EQ(stored_entry(four.records, head), lines.at("level-4")) << "nothing is lost";
-  // Another spelling of the same values, as a state service may give them back.
+  EXPECT_EQ(stored_entry(dependency_records, head), lines.at("level-4"));
+  const auto entry = parse_entry(lines.at("level-4"));
+  EXPECT_EQ(entry.number, 31u);
+  EXPECT_EQ(entry.first_needed, 24u);
+  EXPECT_EQ(stored_entry(entry.records, head), lines.at("level-4")) << "parsing lost something";
+  // Another spelling of the same values, as a key-value store may return them.
   EXPECT_EQ(parse_entry(lines.at("level-2-respelled")).records.size(), records.size());
-  // Named extras of a writer that knows more are passed over; the check is of them as well.
+  // Named extras of a newer writer are ignored, but the checksum covers them.
   EXPECT_EQ(parse_entry(lines.at("level-2-extras")).records.size(), 2u);
 }
 
-TEST(Stored, KeysOfTheLeadAreWhatTheyWere) {
-  const auto lines = kept("keys.txt");
+TEST(StoredFormat, LeadershipKeysKeepTheirBytes) {
+  const auto lines = read_stored_file("keys.txt");
   EXPECT_EQ(leader_value({"host-1", 42}), lines.at("leader"));
-  EXPECT_EQ(parked_leader_value(2), lines.at("leader-parked"));
+  EXPECT_EQ(placeholder_leader_value(2), lines.at("leader-parked"));
   EXPECT_EQ(active_version_value({2, 0}), lines.at("lead-level"));
   EXPECT_EQ(active_version_value({2, 1}), lines.at("lead-level-lowering"));
   EXPECT_EQ(version_readiness_value({2, 100.5}), lines.at("lead-ready"));
@@ -101,10 +101,10 @@
   EXPECT_EQ(parse_active_version(lines.at("lead-level-lowering")), (ActiveVersion{2, 1}));
   EXPECT_EQ(parse_version_readiness(lines.at("lead-ready")), (VersionReadiness{2, 100.5}));
   EXPECT_EQ(parse_supported_versions(lines.at("roster")), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}));
-  // What a later build has more is passed over.
+  // Fields of a later build are ignored.
   EXPECT_EQ(parse_active_version(R"({"level":2,"towards":1,"why":"x"})"), (ActiveVersion{2, 1}));
-  for (const auto* bad : {"{}", R"({"level":0})", R"({"level":"2"})", "2", "[", R"({"level":-1})"})
-    EXPECT_THROW(parse_active_version(bad), ProtocolError) << bad;
+  for (const auto* malformed : {"{}", R"({"level":0})", R"({"level":"2"})", "2", "[", R"({"level":-1})"})
+    EXPECT_THROW(parse_active_version(malformed), ProtocolError) << malformed;
 }
 
 std::string hex(const Frame& frame) {
@@ -116,8 +116,8 @@
   return out;
 }
 
-TEST(Stored, FramesOfLevelOneAreWhatTheyWere) {
-  const auto lines = kept("frames.txt");
+TEST(StoredFormat, FramesKeepTheirBytes) {
+  const auto lines = read_stored_file("frames.txt");
   EXPECT_EQ(lines.at("version"), std::to_string(kFrameVersion));
   EXPECT_EQ(hex(pack(PeerHeartbeat{"host-1", 9, 7, 5, 1234, 6})), lines.at("beat"));
   EXPECT_EQ(hex(pack(PeerHeartbeatAck{9, "host-1", 5, 1234, 6})), lines.at("beat-ack"));
@@ -129,29 +129,30 @@
   EXPECT_EQ(hex({0, supported_versions}), lines.at("able"));
   EXPECT_EQ(unpack_supported_versions(supported_versions), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}));
   EXPECT_EQ(unpack_supported_versions(supported_versions + "more"), (SupportedVersions{1, 2, 2, 42, "0.2.0", 0xab}))
-      << "of a later version";
-  for (std::size_t cut = 0; cut < supported_versions.size(); ++cut)
-    EXPECT_FALSE(unpack_supported_versions(supported_versions.substr(0, cut))) << cut;
+      << "fields that a later build appends are ignored";
+  for (std::size_t length = 0; length < supported_versions.size(); ++length)
+    EXPECT_FALSE(unpack_supported_versions(supported_versions.substr(0, length))) << "truncated to " << length;
   const std::map<std::string, TeamQuota> teams{{"red", {{8, 0.5, 0}, {16, 4, 0}}}, {"blue", {}}};
-  const auto packed = pack(teams);
-  EXPECT_EQ(hex({0, packed}), lines.at("teams"));
-  EXPECT_EQ(unpack_teams(packed), teams);
-  for (std::size_t cut = 0; cut < packed.size(); ++cut) EXPECT_FALSE(unpack_teams(packed.substr(0, cut))) << cut;
+  const auto packed_teams = pack(teams);
+  EXPECT_EQ(hex({0, packed_teams}), lines.at("teams"));
+  EXPECT_EQ(unpack_teams(packed_teams), teams);
+  for (std::size_t length = 0; length < packed_teams.size(); ++length)
+    EXPECT_FALSE(unpack_teams(packed_teams.substr(0, length))) << "truncated to " << length;
 }
 
-// A flipped bit, an older version of an entry, a missing one: each is told, with its place.
-TEST(Stored, WhatWasAlteredIsLostOrIsOlderIsTold) {
-  std::vector<std::string> values, older;
+// A flipped bit, an outdated version of an entry and a missing entry are each detected, and the error names the entry.
+TEST(StoredFormat, AlteredOutdatedAndMissingEntriesAreDetected) {
+  std::vector<std::string> values, outdated_values;
   std::uint64_t link = 0;
   for (std::uint64_t n = 0; n < 4; ++n) {
     std::vector<Record> records{JobAcceptedRecord{submission("j-" + std::to_string(n), 1, 1), 0.5, 1.0 * static_cast<double>(n)}};
-    older.push_back(stored_entry(records, {2, 0, 2 * n + 1, link}));
+    outdated_values.push_back(stored_entry(records, {2, 0, 2 * n + 1, link}));
     records.emplace_back(JobCancelledRecord{"j-" + std::to_string(n)});
     values.push_back(stored_entry(records, {2, 0, 2 * n + 2, link}));
     const auto entry = parse_entry(values.back());
-    link = link_of(entry.previous_link, n, entry.check);
+    link = link_of(entry.previous_link, n, entry.checksum);
   }
-  const auto why = [](const std::map<std::uint64_t, std::string>& entries) {
+  const auto read_error = [](const std::map<std::uint64_t, std::string>& entries) {
     ClusterState cluster_state = book_of_red(10);
     LedgerReader reader(cluster_state, 1, 2);
     for (const auto& [n, value] : entries) {
@@ -160,76 +161,79 @@
     }
     return reader.finish() ? std::string() : reader.error();
   };
-  const std::map<std::uint64_t, std::string> whole{{0, values[0]}, {1, values[1]}, {2, values[2]}, {3, values[3]}};
-  EXPECT_EQ(why(whole), "");
-  auto suffix = whole;
+  const std::map<std::uint64_t, std::string> complete{{0, values[0]}, {1, values[1]}, {2, values[2]}, {3, values[3]}};
+  EXPECT_EQ(read_error(complete), "");
+  auto suffix = complete;
   suffix.erase(0);
-  EXPECT_EQ(why(suffix), "") << "the oldest go when they are not needed any more";
-  auto hole = whole;
-  hole.erase(1);
-  EXPECT_NE(why(hole).find("ledger/000000000002 can't be read: it does not follow entry 0"), std::string::npos) << why(hole);
-  auto back = whole;
-  back[2] = older[2];
-  EXPECT_NE(why(back).find("ledger/000000000003 can't be read: it does not follow entry 2"), std::string::npos) << why(back);
-  // Each byte of an entry, changed: unreadable, or the same values.
-  std::size_t told = 0;
+  EXPECT_EQ(read_error(suffix), "") << "the oldest entries are removed when they are no longer needed";
+  auto without_entry_one = complete;
+  without_entry_one.erase(1);
+  EXPECT_NE(read_error(without_entry_one).find("ledger/000000000002 can't be read: it does not follow entry 0"), std::string::npos)
+      << read_error(without_entry_one);
+  auto with_outdated_entry = complete;
+  with_outdated_entry[2] = outdated_values[2];
+  EXPECT_NE(read_error(with_outdated_entry).find("ledger/000000000003 can't be read: it does not follow entry 2"), std::string::npos)
+      << read_error(with_outdated_entry);
+  // A bit is flipped in each byte of an entry in turn. Results that are not valid JSON are skipped.
+  std::size_t detected = 0;
   for (std::size_t i = 0; i < values[2].size(); ++i) {
-    auto altered = whole;
+    auto altered = complete;
     altered[2][i] = static_cast<char>(altered[2][i] ^ 1);
     if (!nlohmann::json::accept(altered[2])) continue;
-    EXPECT_NE(why(altered), "") << altered[2];
-    ++told;
+    EXPECT_NE(read_error(altered), "") << altered[2];
+    ++detected;
   }
-  EXPECT_GT(told, 100u);
-  auto future = whole;
-  future[2].replace(future[2].find("\"level\":2"), 9, "\"level\":3");
-  EXPECT_NE(why(future).find("it is of state level 3, and this build reads 1 to 2"), std::string::npos) << why(future);
+  EXPECT_GT(detected, 100u);
+  auto with_newer_entry = complete;
+  with_newer_entry[2].replace(with_newer_entry[2].find("\"level\":2"), 9, "\"level\":3");
+  EXPECT_NE(read_error(with_newer_entry).find("it is of state level 3, and this build reads 1 to 2"), std::string::npos)
+      << read_error(with_newer_entry);
 }
 
-TEST(LeadershipBackoff, IsLongerWhereItComesToThatAgainAndAgain) {
-  LeadershipBackoff s;
-  EXPECT_EQ(s.remaining(100), 0);
-  EXPECT_EQ(s.record_hand_over(100), 15);
-  EXPECT_EQ(s.record_hand_over(150), 30);
-  EXPECT_EQ(s.record_hand_over(200), 60);
-  EXPECT_EQ(s.record_hand_over(250), 120);
-  EXPECT_EQ(s.record_hand_over(300), 120);
-  EXPECT_EQ(s.record_hand_over(500), 15);
-  s.extend_until(510);
-  EXPECT_EQ(s.remaining(503), 7);
+TEST(LeadershipBackoff, DoublesUpToALimitAndResetsAfterAPause) {
+  LeadershipBackoff backoff;
+  EXPECT_EQ(backoff.remaining(100), 0);
+  EXPECT_EQ(backoff.record_hand_over(100), 15);
+  EXPECT_EQ(backoff.record_hand_over(150), 30);
+  EXPECT_EQ(backoff.record_hand_over(200), 60);
+  EXPECT_EQ(backoff.record_hand_over(250), 120);
+  EXPECT_EQ(backoff.record_hand_over(300), 120);
+  EXPECT_EQ(backoff.record_hand_over(500), 15);
+  backoff.extend_until(510);
+  EXPECT_EQ(backoff.remaining(503), 7);
 }
 
-TEST(StartStallDetector, TellsOnceForEachStall) {
-  StartStallDetector w;
-  EXPECT_FALSE(w.should_report(50));
-  w.record_planned(50);
-  w.record_planned(55);
-  EXPECT_FALSE(w.should_report(59));
-  EXPECT_TRUE(w.should_report(61));
-  EXPECT_FALSE(w.should_report(70));
-  EXPECT_EQ(w.stalled_for(70), 20);
-  w.record_started();
-  EXPECT_EQ(w.stalled_for(71), 0);
-  w.record_planned(80);
-  EXPECT_TRUE(w.should_report(91));
+TEST(StartStallDetector, ReportsEachStallOnce) {
+  StartStallDetector detector;
+  EXPECT_FALSE(detector.should_report(50));
+  detector.record_planned(50);
+  detector.record_planned(55);
+  EXPECT_FALSE(detector.should_report(59));
+  EXPECT_TRUE(detector.should_report(61));
+  EXPECT_FALSE(detector.should_report(70));
+  EXPECT_EQ(detector.stalled_for(70), 20);
+  detector.record_started();
+  EXPECT_EQ(detector.stalled_for(71), 0);
+  detector.record_planned(80);
+  EXPECT_TRUE(detector.should_report(91));
 }
 
-TEST(WriteRateLimiter, KeepsSomeForUsersAndNeverPassesTheRate) {
-  WriteRateLimiter b(40);
-  double now = 100, made = 0;
-  EXPECT_EQ(b.delay_s(now, false), 0) << "full at first";
-  while (b.delay_s(now, false) == 0) b.charge(1), ++made;
-  EXPECT_GT(b.delay_s(now, false), 0);
-  EXPECT_EQ(b.delay_s(now, true), 0) << "kept for users";
+TEST(WriteRateLimiter, ReservesWritesForUsersAndNeverExceedsTheRate) {
+  WriteRateLimiter limiter(40);
+  double now = 100, writes = 0;
+  EXPECT_EQ(limiter.delay_s(now, false), 0) << "the bucket is full at first";
+  while (limiter.delay_s(now, false) == 0) limiter.charge(1), ++writes;
+  EXPECT_GT(limiter.delay_s(now, false), 0);
+  EXPECT_EQ(limiter.delay_s(now, true), 0) << "reserved for users";
   while (now < 110) {
-    if (const double wait = b.delay_s(now, true); wait > 0) {
+    if (const double wait = limiter.delay_s(now, true); wait > 0) {
       now += wait + 1e-6;
     } else {
-      b.charge(1), ++made;
+      limiter.charge(1), ++writes;
     }
   }
-  EXPECT_LE(made, 40 * 10.0);
-  EXPECT_GT(made, 300);
+  EXPECT_LE(writes, 40 * 10.0);
+  EXPECT_GT(writes, 300);
 }
 
 }  // namespace
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -625,7 +625,7 @@
   EXPECT_EQ(store_path("ledger/000000000007"), "/store/ledger/000000000007");
   EXPECT_EQ(list_path("ledger/", ""), "/store?prefix=ledger/&page=1000");
   EXPECT_EQ(list_path("ledger/", "ledger/7"), "/store?prefix=ledger/&page=1000&from=ledger/7");
-  EXPECT_EQ(follow_path("lead", 431, 10000), "/follow?prefix=lead&from=431&blockMs=10000");
+  EXPECT_EQ(watch_path("lead", 431, 10000), "/follow?prefix=lead&from=431&blockMs=10000");
   EXPECT_EQ(session_lease_path(7, true), "/holds/7/renew");
   EXPECT_EQ(session_lease_path(7, false), "/holds/7");
 }
@@ -650,8 +650,8 @@
   EXPECT_EQ(entry_key(0), "ledger/000000000000");
   EXPECT_EQ(entry_key(31), "ledger/000000000031");
   EXPECT_EQ(entry_key(123456789012345678u), "ledger/123456789012345678");
-  EXPECT_EQ(entry_number(entry_key(31)), 31u);
-  EXPECT_EQ(entry_number("ledger/0031"), 31u);
+  EXPECT_EQ(parse_key_number(entry_key(31)), 31u);
+  EXPECT_EQ(parse_key_number("ledger/0031"), 31u);
 }
 
 TEST(WireFormatState, AHoldIsAskedForWithItsLifeInMilliseconds) {
@@ -669,10 +669,10 @@
 }
 
 TEST(WireFormatState, AnswersToTransactions) {
-  EXPECT_EQ(parse_revision(R"({"ledgerRev":432})"), 432u);
-  EXPECT_EQ(error_of([] { parse_revision("{}"); }), "ledgerRev: missing");
-  EXPECT_EQ(parse_failed(R"({"failed":["a/b","a/c"],"ledgerRev":431})"), (std::vector<std::string>{"a/b", "a/c"}));
-  EXPECT_EQ(error_of([] { parse_failed("{}"); }), "failed: missing");
+  EXPECT_EQ(parse_txn_revision(R"({"ledgerRev":432})"), 432u);
+  EXPECT_EQ(error_of([] { parse_txn_revision("{}"); }), "ledgerRev: missing");
+  EXPECT_EQ(parse_failed_keys(R"({"failed":["a/b","a/c"],"ledgerRev":431})"), (std::vector<std::string>{"a/b", "a/c"}));
+  EXPECT_EQ(error_of([] { parse_failed_keys("{}"); }), "failed: missing");
 }
 
 TEST(WireFormatState, ARowIsReadFieldByField) {
@@ -712,10 +712,10 @@
 }
 
 TEST(WireFormatState, AWatchTellsWhetherAnythingChanged) {
-  EXPECT_TRUE(parse_changed(R"({"ledgerRev":433,"events":[{"set":"c/9","value":{},"stamp":433}]})"));
-  EXPECT_TRUE(parse_changed(R"({"ledgerRev":433,"events":[{"remove":"c/d","stamp":432}]})"));
-  EXPECT_FALSE(parse_changed(R"({"ledgerRev":433,"events":[]})"));
-  EXPECT_EQ(error_of([] { parse_changed("{}"); }), "events: missing");
+  EXPECT_TRUE(reports_change(R"({"ledgerRev":433,"events":[{"set":"c/9","value":{},"stamp":433}]})"));
+  EXPECT_TRUE(reports_change(R"({"ledgerRev":433,"events":[{"remove":"c/d","stamp":432}]})"));
+  EXPECT_FALSE(reports_change(R"({"ledgerRev":433,"events":[]})"));
+  EXPECT_EQ(error_of([] { reports_change("{}"); }), "events: missing");
 }
 
 LeaderValue leader_named(const std::string& label, std::uint64_t incarnation) {
@@ -727,28 +727,28 @@
 
 TEST(WireFormatState, TheValueOfTheLeadersKey) {
   EXPECT_EQ(leader_value(leader_named("host-1", 42)), R"({"incarnation":42,"label":"host-1"})");
-  const auto leader = parse_leader(R"({"incarnation":42,"label":"host-1"})");
+  const auto leader = parse_leader_value(R"({"incarnation":42,"label":"host-1"})");
   EXPECT_EQ(leader.label, "host-1");
   EXPECT_EQ(leader.incarnation, 42u);
-  EXPECT_EQ(error_of([] { parse_leader(R"({"incarnation":42})"); }), "label: missing");
-  EXPECT_EQ(error_of([] { parse_leader(R"({"label":"host-1"})"); }), "incarnation: missing");
+  EXPECT_EQ(error_of([] { parse_leader_value(R"({"incarnation":42})"); }), "label: missing");
+  EXPECT_EQ(error_of([] { parse_leader_value(R"({"label":"host-1"})"); }), "incarnation: missing");
 }
 
 TEST(WireFormatState, TheLevelOneKeyWhileAHigherLevelIsOn) {
-  EXPECT_EQ(parked_leader_value(2), R"~({"incarnation":0,"label":"(state level 2)"})~");
-  EXPECT_EQ(parked_leader_value(4), R"~({"incarnation":0,"label":"(state level 4)"})~");
+  EXPECT_EQ(placeholder_leader_value(2), R"~({"incarnation":0,"label":"(state level 2)"})~");
+  EXPECT_EQ(placeholder_leader_value(4), R"~({"incarnation":0,"label":"(state level 4)"})~");
 }
 
 const std::string kAbleText = R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3})";
 
 SupportedVersions able_of_host() {
   SupportedVersions supported_versions;
-  supported_versions.least = 1;
-  supported_versions.most = 4;
-  supported_versions.wants = 3;
+  supported_versions.min_version = 1;
+  supported_versions.max_version = 4;
+  supported_versions.max_allowed_version = 3;
   supported_versions.incarnation = 42;
   supported_versions.build = "0.3.0";
-  supported_versions.teams = 0xab;
+  supported_versions.teams_digest = 0xab;
   return supported_versions;
 }
 
@@ -756,7 +756,7 @@
   auto supported_versions = able_of_host();
   EXPECT_EQ(supported_versions_value(supported_versions), kAbleText);
   EXPECT_EQ(parse_supported_versions(kAbleText), supported_versions);
-  supported_versions.teams = 0;
+  supported_versions.teams_digest = 0;
   EXPECT_EQ(supported_versions_value(supported_versions), R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})");
   EXPECT_EQ(parse_supported_versions(R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})"), supported_versions);
   EXPECT_EQ(error_of([] { parse_supported_versions(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }),
@@ -777,7 +777,7 @@
 TEST(WireFormatState, RecordsOfReadiness) {
   VersionReadiness ready;
   ready.format_version = 2;
-  ready.at = 100.5;
+  ready.since_wall_s = 100.5;
   EXPECT_EQ(version_readiness_value(ready), R"({"at":100.5,"level":2})");
   EXPECT_EQ(parse_version_readiness(R"({"at":100.5,"level":2})"), ready);
   EXPECT_EQ(error_of([] { parse_version_readiness(R"({"at":100.5,"level":0})"); }), "level: not a level");
@@ -791,7 +791,7 @@
 
 rollout::LeadershipSnapshot look_at_level(std::uint32_t format_version) {
   rollout::LeadershipSnapshot snapshot;
-  snapshot.on.format_version = format_version;
+  snapshot.active.format_version = format_version;
   snapshot.active_mod_revision = format_version > 1 ? 77 : 0;
   snapshot.leader_mod_revision = 90;
   return snapshot;
@@ -809,7 +809,7 @@
 
 TEST(WireFormatState, TransactionsThatRaiseTheEpoch) {
   const auto body_at = [](std::uint32_t format_version) {
-    return rollout::raise_token_step(look_at_level(format_version).on, leader_named("host-1", 42), 90, 7).body();
+    return rollout::raise_token_step(look_at_level(format_version).active, leader_named("host-1", 42), 90, 7).body();
   };
   EXPECT_EQ(body_at(1),
             R"({"if":[{"path":"leader","stamp":90}],"apply":[{"set":"leader","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
@@ -842,7 +842,7 @@
   known.mod_revision = 12;
   rollout::ControllerRegistry registry;
   registry["host-1"] = known;
-  rollout::Leading leading;
+  rollout::LeaderState leading;
   leading.value = leader_named("host-1", 42);
   leading.fencing_token = 90;
   leading.session_lease = 7;
@@ -858,9 +858,9 @@
 TEST(WireFormatState, ATransactionThatRaisesTheLevel) {
   auto snapshot = look_at_level(1);
   snapshot.readiness_mod_revision = 80;
-  snapshot.ready.emplace();
-  snapshot.ready->format_version = 3;
-  snapshot.ready->at = 100;
+  snapshot.readiness.emplace();
+  snapshot.readiness->format_version = 3;
+  snapshot.readiness->since_wall_s = 100;
   EXPECT_EQ(next_step_of(snapshot).body(),
             R"~({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":80},)~"
             R"~({"path":"roster/host-1","stamp":12}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7},)~"
@@ -1099,7 +1099,7 @@
     const auto encoded = encode_record(record, head.format_version);
     if (!text.empty()) text += ',';
     text += encoded.text;
-    digest = digest_with_record(digest, encoded);
+    digest = extend_digest_with_record(digest, encoded);
   }
   return entry_value(head, text, digest);
 }
@@ -1155,7 +1155,7 @@
   EXPECT_EQ(digest_text(0xab), "00000000000000ab");
   EXPECT_EQ(parse_digest("00000000000000ab"), 0xabu);
   EXPECT_EQ(digest_text(digest_of_text("123456789")), "3d1b615099f6cbca");
-  EXPECT_EQ(digest_text(digest_with(1, 2)), "2e596ff41153b982");
+  EXPECT_EQ(digest_text(extend_digest(1, 2)), "2e596ff41153b982");
   EXPECT_EQ(digest_text(link_of(1, 2, 3)), "238415fc0e0f68af");
   EXPECT_EQ(error_of([] { parse_digest("ab"); }), "not a digest: ab");
 }
@@ -1222,7 +1222,7 @@
   EXPECT_EQ(digest_text(entry.previous_link), "0123456789abcdef");
   EXPECT_EQ(entry.number, 31u);
   EXPECT_EQ(entry.first_needed, 24u);
-  EXPECT_EQ(digest_text(entry.check), "2fefa7fe74797301");
+  EXPECT_EQ(digest_text(entry.checksum), "2fefa7fe74797301");
   ASSERT_EQ(entry.records.size(), 1u);
   EXPECT_EQ(std::get<JobCancelledRecord>(entry.records[0]).uid, "j-1");
 }
@@ -1235,7 +1235,7 @@
   EXPECT_EQ(entry.previous_link, 0u);
   EXPECT_EQ(entry.number, 0u);
   EXPECT_EQ(entry.first_needed, 0u);
-  EXPECT_EQ(entry.check, 0u);
+  EXPECT_EQ(entry.checksum, 0u);
 }
 
 TEST(WireFormatLedger, AcceptRecordsAreReadFieldByField) {
