--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -46,8 +46,8 @@
     if (round.may_decide) {
       service_monitor_.observe();
       releaser_.check_worker_reachability();
-      releaser_.release_silent(cloud, stop);
-      releaser_.release_unneeded(cloud);
+      releaser_.release_silent_nodes(cloud, stop);
+      releaser_.release_unneeded_nodes(cloud);
       scale_out_.run(cloud);
     }
     if (!pause_for(stop, std::max(kMinRoundPauseS, kCallsPerRound / settings.cloud_rps))) return;
@@ -91,7 +91,7 @@
 void CloudManager::store_machine_types(std::vector<MachineType> types) {
   spdlog::info("cloud: {} machine types known", types.size());
   MachineTypesRecord record{std::move(types)};
-  if (LedgerWriter::fits_in_entry(record, commit_queue_.entry_bytes())) {
+  if (LedgerWriter::fits_in_entry(record, commit_queue_.max_entry_bytes())) {
     commit_queue_.enqueue({std::move(record)});
   } else {
     spdlog::info("ledger: machine types too large for any entry, each leader asks the cloud for them");
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 constexpr double kCommandTimeoutS = 1.5;
-constexpr double kPauseAfterFailureS = 1.5;
+constexpr double kFailureBackoffS = 1.5;
 constexpr std::size_t kSlots = 6;
-constexpr double kSlotPatienceS = 0.15;  // a node that takes longer to answer is waited for without a slot
-constexpr std::size_t kSlowShare = 4;    // one thread in so many may wait for slow nodes
+constexpr double kSlotTimeoutS = 0.15;          // a thread whose node has not replied by then goes on waiting without a slot
+constexpr std::size_t kSlowThreadsDivisor = 4;  // one in this many threads may wait for slow nodes
 }  // namespace
 
 CommandSender::CommandSender(SharedState& shared, AgentMessages& agent_messages)
     : shared_(shared),
       agent_messages_(agent_messages),
-      queue_(std::max<std::size_t>(shared.config.budget.senders / kSlowShare, 1)),
+      queue_(std::max<std::size_t>(shared.config.budget.senders / kSlowThreadsDivisor, 1)),
       connections_(shared.config.budget.worker_connections) {
-  shared_.on_step_down([this] {
+  shared_.add_step_down_listener([this] {
     queue_.clear();
     connections_.clear();
   });
@@ -35,7 +35,7 @@
   assign_slots();
 }
 
-void CommandSender::enqueue_for(const Job& job) {
+void CommandSender::enqueue_nodes_of(const Job& job) {
   std::set<NodeIndex> nodes;
   for (const auto& [task, placement] : job.placed) nodes.insert(placement.node);
   for (const NodeIndex node : nodes) enqueue(node);
@@ -51,14 +51,14 @@
   return {threads_.size(), busy, connections_.size(), queue_.size()};
 }
 
-// Preempting for 58 starts at once kept a controller of half speed busy past the end of its lease: so only a few threads make
-// and read commands at a time, and the rest of them wait for slow nodes, or idle.
+// Only kSlots threads build requests and process replies at a time; the others wait for slow nodes or are idle. Without this limit,
+// preemptions for 58 simultaneous starts kept a controller on a half-speed CPU busy until its leader lease had expired.
 void CommandSender::assign_slots() {
   while (busy_slots_ < kSlots && assigned_slots_ < queue_.size() && queue_.has_ready()) {
     if (idle_threads_ > assigned_slots_) {
       slot_assigned_.notify_one();
     } else if (!add_thread()) {
-      // All threads wait for slow nodes: the next one that is free goes on.
+      // All threads wait for slow nodes. The next thread that becomes free serves the queue.
       return;
     }
     ++busy_slots_;
@@ -86,16 +86,16 @@
     --assigned_slots_;
     --idle_threads_;
     bool has_slot = true;
-    serve(lock, stop, has_slot);
+    serve_due_nodes(lock, stop, has_slot);
     if (has_slot) --busy_slots_;
     ++idle_threads_;
     assign_slots();
   }
 }
 
-void CommandSender::serve(Lock& lock, std::stop_token stop, bool& has_slot) {
+void CommandSender::serve_due_nodes(Lock& lock, std::stop_token stop, bool& has_slot) {
   while (!stop.stop_requested()) {
-    // Its slot was given up for a slow node: it goes on if there is another.
+    // The thread lost its slot to a slow node and continues only if another slot is free.
     if (!has_slot && busy_slots_ >= kSlots) return;
     const auto item = queue_.dequeue();
     if (!item) return;
@@ -116,13 +116,13 @@
   auto client = connections_.acquire(request->address);
   if (request->has_start) shared_.term->cluster_state->node(item.node).commands.in_flight_token = request->fencing_token;
   lock.unlock();
-  bool unanswered = false;
-  const auto report = post(*client, *request, has_slot, unanswered);
+  bool unacknowledged = false;
+  const auto report = post(*client, *request, has_slot, unacknowledged);
   lock.lock();
   if (!shared_.is_term(term)) return;
   connections_.release(request->address, std::move(client));
-  record_outcome(*request, report.has_value(), unanswered);
-  if (report) apply_answer(lock, *request, *report);
+  record_outcome(*request, report.has_value(), unacknowledged);
+  if (report) apply_reply(lock, *request, *report);
 }
 
 std::optional<CommandSender::Request> CommandSender::make_request(const CommandQueue::Item& item) {
@@ -140,33 +140,33 @@
   return request;
 }
 
-std::optional<Heartbeat> CommandSender::post(HttpClient& client, const Request& request, bool& has_slot, bool& unanswered) {
-  Late give_up_slot{steady_now() + kSlotPatienceS, [&] {
+std::optional<Heartbeat> CommandSender::post(HttpClient& client, const Request& request, bool& has_slot, bool& unacknowledged) {
+  Late give_up_slot{steady_now() + kSlotTimeoutS, [&] {
                       Lock lock(shared_.mutex);
                       has_slot = false;
                       --busy_slots_;
                       assign_slots();
                     }};
   const auto result = client.post(kCommandsPath, request.body, kCommandTimeoutS, &give_up_slot);
-  unanswered = result.delivery == Delivery::in_doubt;
+  unacknowledged = result.delivery == Delivery::in_doubt;
   if (!result.is(200) && !result.is(409)) return std::nullopt;
   try {
     return parse_heartbeat(result.body);
   } catch (const ProtocolError& e) {
-    spdlog::error("command sender: malformed answer from a worker: {}", e.what());
+    spdlog::error("command sender: malformed reply from an agent: {}", e.what());
     return std::nullopt;
   }
 }
 
-void CommandSender::record_outcome(const Request& request, bool understood, bool unanswered) {
+void CommandSender::record_outcome(const Request& request, bool understood, bool unacknowledged) {
   Term& term = *shared_.term;
   Node& node = term.cluster_state->node(request.node);
   node.commands.in_flight_token = 0;
-  if (request.has_start && unanswered) {
-    // It may be executed much later. Until the agent has seen a higher token, nothing is concluded there.
+  if (request.has_start && unacknowledged) {
+    // The start may be executed much later. Until the agent has seen a higher token, the node counts as possibly starting it.
     node.commands.uncertain_token = std::max(node.commands.uncertain_token, request.fencing_token);
     shared_.request_pass();
-    spdlog::debug("node {}: start command unanswered", node.name);
+    spdlog::debug("node {}: start command unacknowledged", node.name);
   }
   node.commands.failing = !understood;
   if (understood) {
@@ -175,10 +175,10 @@
     return;
   }
   if (term.commands_failing_since == 0) term.commands_failing_since = steady_now();
-  queue_.back_off(request.node, steady_now() + kPauseAfterFailureS);
+  queue_.back_off(request.node, steady_now() + kFailureBackoffS);
 }
 
-void CommandSender::apply_answer(const Lock& lock, const Request& request, const Heartbeat& report) {
+void CommandSender::apply_reply(const Lock& lock, const Request& request, const Heartbeat& report) {
   Term& term = *shared_.term;
   if (report.fencing_token > term.fencing_token) {
     shared_.step_down(lock, "a worker reports a higher fencing token");
--- a/src/controller/command_sender.hpp
+++ b/src/controller/command_sender.hpp
@@ -1,5 +1,5 @@
-// Sends commands directly to agents: a bounded set of threads serves the nodes that have commands due. Commands also go out
-// with the answers to heartbeats (HeartbeatHandler); these here are for what must not wait for the next heartbeat.
+// Sends commands directly to agents, with a bounded number of threads, so that the commands need not wait for the next heartbeat.
+// Commands are also sent in replies to heartbeats (HeartbeatHandler).
 #pragma once
 #include <condition_variable>
 #include <cstddef>
@@ -22,24 +22,24 @@
 class CommandSender {
  public:
   CommandSender(SharedState& shared, AgentMessages& agent_messages);
-  // Ends the threads.
+  // Joins the threads.
   ~CommandSender() { stop(); }
   CommandSender(const CommandSender&) = delete;
   CommandSender& operator=(const CommandSender&) = delete;
 
-  // Commands are due on the node. `announce`: it is told of this leader's fencing token even if there are none.
+  // Queues a node that has commands due. `announce`: sends this leader's fencing token to the agent even if no commands are due.
   void enqueue(NodeIndex node, bool announce = false);
-  // The same for all nodes that hold tasks of the job.
-  void enqueue_for(const Job& job);
+  // Queues all nodes with placed tasks of the job.
+  void enqueue_nodes_of(const Job& job);
   void stop();
 
   struct Load {
-    std::size_t threads = 0, busy_threads = 0, connections = 0, nodes_due = 0;
+    std::size_t threads = 0, busy_threads = 0, connections = 0, due_nodes = 0;
   };
   [[nodiscard]] Load load() const;
 
  private:
-  // One request under way.
+  // A request to an agent.
   struct Request {
     NodeIndex node;
     std::uint64_t fencing_token = 0;
@@ -47,28 +47,28 @@
     bool has_start = false;
   };
 
-  // Gives slots to idle threads, or to new ones, while nodes are due and slots are left.
+  // Assigns free slots to idle or new threads, as long as nodes are due. Only threads with a slot build requests and process replies.
   void assign_slots();
   bool add_thread();
   void run(std::stop_token stop);
-  // Serves nodes until none is due; `has_slot` tells whether the thread still holds its slot, which it loses while a node is
-  // slow to answer.
-  void serve(Lock& lock, std::stop_token stop, bool& has_slot);
+  // Serves nodes until none is due. The thread loses its slot, and `has_slot` becomes false, if a node is slow to reply.
+  void serve_due_nodes(Lock& lock, std::stop_token stop, bool& has_slot);
   void send(Lock& lock, const CommandQueue::Item& item, bool& has_slot);
-  // Nothing where there is nothing to send.
+  // Returns nullopt if there is nothing to send.
   std::optional<Request> make_request(const CommandQueue::Item& item);
-  // The agent's report in its answer; nothing where it did not answer, or not understandably.
-  std::optional<Heartbeat> post(HttpClient& client, const Request& request, bool& has_slot, bool& unanswered);
-  void record_outcome(const Request& request, bool understood, bool unanswered);
-  void apply_answer(const Lock& lock, const Request& request, const Heartbeat& report);
+  // Returns the heartbeat in the agent's reply; nullopt if there was no reply or it was malformed. `unacknowledged`: the request may
+  // have been executed, or may be later.
+  std::optional<Heartbeat> post(HttpClient& client, const Request& request, bool& has_slot, bool& unacknowledged);
+  void record_outcome(const Request& request, bool understood, bool unacknowledged);
+  void apply_reply(const Lock& lock, const Request& request, const Heartbeat& report);
 
   SharedState& shared_;
   AgentMessages& agent_messages_;
   // Guarded by SharedState::mutex:
   CommandQueue queue_;
   ConnectionPool connections_;
-  std::size_t busy_slots_ = 0;      // held by threads, or assigned to some that have not woken yet
-  std::size_t assigned_slots_ = 0;  // the latter
+  std::size_t busy_slots_ = 0;      // held by threads or assigned
+  std::size_t assigned_slots_ = 0;  // assigned to threads that have not woken up yet
   std::size_t idle_threads_ = 0;
   std::condition_variable_any slot_assigned_;
   std::vector<std::jthread> threads_;
--- a/src/controller/commit_queue.cpp
+++ b/src/controller/commit_queue.cpp
@@ -11,22 +11,22 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kDeferredWrites = 2.5;  // a deferrable record waits for the time of this many writes
+constexpr double kDeferralInWrites = 2.5;  // a deferrable record waits for the duration of this many writes at the allowed rate
 constexpr double kMinValueKb = 1;
-constexpr std::size_t kMinChanges = 4;       // in one transaction
-constexpr std::size_t kMaxPuts = 6;          // entries written in one transaction
-constexpr double kUsableShareOfValue = 0.9;  // of the store's limit for one value
+constexpr std::size_t kMinChanges = 4;        // in one transaction
+constexpr std::size_t kMaxPuts = 6;           // entries written in one transaction
+constexpr double kUsableValueFraction = 0.9;  // of the store's size limit for a value
 constexpr double kBytesPerKb = 1024;
 
-auto seconds(double s) {
-  return std::chrono::duration<double>(s);
+auto to_duration(double seconds) {
+  return std::chrono::duration<double>(seconds);
 }
 }  // namespace
 
 CommitQueue::CommitQueue(SharedState& shared, double allowed_writes_per_s) : shared_(shared), write_limiter_(allowed_writes_per_s) {
-  shared_.on_step_down([this] {
+  shared_.add_step_down_listener([this] {
     clear();
-    failing_since_ = 0;  // of the writes of that term: a later one must not refuse users for it
+    failing_since_ = 0;  // a later term must not refuse users because writes of this term failed
     work_added_.notify_all();
     progress_.notify_all();
   });
@@ -39,7 +39,7 @@
 }
 
 std::uint64_t CommitQueue::enqueue(std::vector<Record> records, CommitPriority priority) {
-  const double deferred = priority == CommitPriority::deferrable ? kDeferredWrites / write_limiter_.rate() : 0;
+  const double deferred = priority == CommitPriority::deferrable ? kDeferralInWrites / write_limiter_.rate() : 0;
   const double due_at = steady_now() + deferred;
   due_at_ = records_.empty() ? due_at : std::min(due_at_, due_at);
   if (priority == CommitPriority::user_waiting) users_waiting_ = true;
@@ -51,12 +51,12 @@
 
 bool CommitQueue::wait_applied(Lock& lock, std::uint64_t ticket, double timeout_s) {
   const auto term = shared_.term_number;
-  progress_.wait_for(lock, seconds(timeout_s), [&] { return !shared_.is_term(term) || is_applied(ticket); });
+  progress_.wait_for(lock, to_duration(timeout_s), [&] { return !shared_.is_term(term) || is_applied(ticket); });
   return shared_.is_term(term) && is_applied(ticket);
 }
 
 void CommitQueue::wait_for_progress(Lock& lock, double timeout_s, const std::function<bool()>& done) {
-  progress_.wait_for(lock, seconds(timeout_s), done);
+  progress_.wait_for(lock, to_duration(timeout_s), done);
 }
 
 std::optional<std::uint64_t> CommitQueue::ticket_of_submission(const std::string& uid) const {
@@ -64,14 +64,14 @@
   return it == submissions_.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::size_t CommitQueue::entry_bytes() const {
-  return static_cast<std::size_t>(shared_.config.settings.value_kb * kBytesPerKb * kUsableShareOfValue) / shrink_factor_;
+std::size_t CommitQueue::max_entry_bytes() const {
+  return static_cast<std::size_t>(shared_.config.settings.value_kb * kBytesPerKb * kUsableValueFraction) / shrink_factor_;
 }
 
 LedgerWriter::Limits CommitQueue::transaction_limits() const {
   const auto changes = static_cast<std::size_t>(shared_.config.settings.txn_ops) / shrink_factor_;
   const auto puts = std::max<std::size_t>(2, std::min<std::size_t>(changes - 1, kMaxPuts));
-  return {entry_bytes(), puts, changes, write_limiter_.length_factor(entry_bytes())};
+  return {max_entry_bytes(), puts, changes, write_limiter_.length_factor(max_entry_bytes())};
 }
 
 bool CommitQueue::shrink_writes() {
@@ -88,20 +88,20 @@
 }
 
 void CommitQueue::wait_for_work(Lock& lock, std::stop_token stop, double timeout_s, const std::function<bool()>& wanted) {
-  work_added_.wait_for(lock, stop, seconds(timeout_s), wanted);
+  work_added_.wait_for(lock, stop, to_duration(timeout_s), wanted);
 }
 
-void CommitQueue::await_write(Lock& lock, std::stop_token stop, bool for_users) {
+void CommitQueue::wait_for_write_permit(Lock& lock, std::stop_token stop, bool for_users) {
   const auto term = shared_.term_number;
   while (!stop.stop_requested() && shared_.is_term(term)) {
-    const bool users = for_users || users_waiting_;
-    const double delay = write_limiter_.delay_s(steady_now(), users);
+    const bool use_reserve = for_users || users_waiting_;
+    const double delay = write_limiter_.delay_s(steady_now(), use_reserve);
     if (delay == 0) return;
-    work_added_.wait_for(lock, stop, seconds(delay), [&] { return !shared_.is_term(term) || (users_waiting_ && !users); });
+    work_added_.wait_for(lock, stop, to_duration(delay), [&] { return !shared_.is_term(term) || (users_waiting_ && !use_reserve); });
   }
 }
 
-void CommitQueue::records_taken() {
+void CommitQueue::handle_records_taken() {
   due_at_ = 0;
   if (records_.empty()) users_waiting_ = false;
 }
@@ -118,7 +118,7 @@
 }
 
 double CommitQueue::record_success(double now) {
-  const double failed_for = failing_for(now);
+  const double failed_for = failing_duration_s(now);
   failing_since_ = 0;
   return failed_for;
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -26,7 +26,7 @@
   Lock lock(shared.mutex);
   FramePool* pool = shared.role == Role::follower ? shared.leader_pool() : nullptr;
   if (!pool) return std::nullopt;
-  return HeartbeatRelay::Lead{pool, shared.known_leader.number, shared.known_leader.takeover_token};
+  return HeartbeatRelay::Lead{pool, shared.known_leader.change_count, shared.known_leader.takeover_token};
 }
 
 bool reaches_store(StoreClient& store) {
@@ -127,7 +127,7 @@
 }
 
 Frame Controller::on_frame(const Frame& frame) {
-  if (const auto heartbeat = unpack_peer_heartbeat(frame)) return pack(peer_monitor_.receive(*heartbeat));
+  if (const auto heartbeat = unpack_peer_heartbeat(frame)) return pack(peer_monitor_.receive_heartbeat(*heartbeat));
   if (frame.kind == static_cast<std::uint8_t>(PeerKind::heartbeat_batch)) return heartbeats_.handle_batch(frame);
   if (const auto call = unpack_call(frame)) return on_peer_call(*call);
   spdlog::error("peer: malformed frame, kind {}", frame.kind);
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -55,7 +55,7 @@
   if (result.outcome == Outcome::not_supported || cut_off) return std::nullopt;
   // Under the lead that made it alone: from when a later one is confirmed nothing is answered under an older token.
   const bool stands =
-      result.outcome == Outcome::answered && shared_.role == Role::follower && result.lead_number == shared_.known_leader.number;
+      result.outcome == Outcome::answered && shared_.role == Role::follower && result.lead_number == shared_.known_leader.change_count;
   if (!stands || result.answer.outcome != HeartbeatAnswer::Outcome::renewed) return redirect_to("");
   ++metrics_.counters.relayed;
   HttpReply reply{200, heartbeat_response_body(result.fencing_token, result.answer.commands)};
@@ -94,7 +94,7 @@
   // Shortly after a takeover the token more likely came with a command: the agent has not tried yet. Nor does it tell anything
   // where agents stay with any controller.
   const bool was_with_leader =
-      !relaying && heartbeat.fencing_token >= leader.takeover_token && now - leader.since > kAnnouncedShareOfLease * settings.lease_s;
+      !relaying && heartbeat.fencing_token >= leader.takeover_token && now - leader.known_since > kAnnouncedShareOfLease * settings.lease_s;
   const bool left_leader = was_with_leader || now - redirect.redirected_at < kRedirectWindowS;
   if (now < redirect.forward_until) return false;
   if (!left_leader || redirect.forward_until > 0) {
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -68,8 +68,8 @@
   const auto& config = shared_.config;
   const bool needed = config.options.relay_mode == RelayMode::automatic && term.cluster_state &&
                       is_relay_needed(term.cluster_state->node_count(), config.settings.cpu, config.budget.clients);
-  if (config.options.relay_mode == RelayMode::on || needed) term.accepts_batches = true;
-  if (term.accepts_batches) return {200, "{}"};
+  if (config.options.relay_mode == RelayMode::on || needed) term.accepts_heartbeat_batches = true;
+  if (term.accepts_heartbeat_batches) return {200, "{}"};
   if (!term.cluster_state) return unavailable_reply();
   return error_reply(404, "batches of reports are not taken");
 }
@@ -77,7 +77,7 @@
 HttpReply HeartbeatHandler::handle_as_leader(Lock& lock, const Heartbeat& heartbeat, Route route) {
   if (!shared_.term->cluster_state && route == Route::direct && shared_.ledger_unreadable_since == 0) await_ledger(lock);
   if (shared_.role == Role::follower) return refuse();
-  if (shared_.term->accepts_batches && route == Route::direct && shared_.may_decide()) {
+  if (shared_.term->accepts_heartbeat_batches && route == Route::direct && shared_.may_decide()) {
     const double now = steady_now();
     if (const auto other = shared_.term->balancer.redirect_from_leader(count_direct_agents(now), now)) return redirect_to(*other);
   }
@@ -96,13 +96,13 @@
 
 std::size_t HeartbeatHandler::count_direct_agents(double now) {
   Term& term = *shared_.term;
-  if (now - term.direct_agents_at < kCountPeriodS) return term.direct_agents;
-  term.direct_agents_at = now;
+  if (now - term.direct_agents_counted_at < kCountPeriodS) return term.direct_agent_count;
+  term.direct_agents_counted_at = now;
   const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
   const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent;
   const auto at_relays = term.balancer.workers_at_relays(now);
-  term.direct_agents = heard > at_relays ? heard - at_relays : 0;
-  return term.direct_agents;
+  term.direct_agent_count = heard > at_relays ? heard - at_relays : 0;
+  return term.direct_agent_count;
 }
 
 HeartbeatAnswer HeartbeatHandler::answer(const Lock& lock, const Heartbeat& heartbeat, Route route) {
@@ -131,7 +131,7 @@
   }
   ++metrics_.counters.heartbeats;
   if (!ledger_read) {
-    shared_.term->early_answers[heartbeat.node] = now;
+    shared_.term->early_reply_times[heartbeat.node] = now;
     return {HeartbeatAnswer::Outcome::renewed, {}};
   }
   return answer_with_commands(heartbeat, route, now);
@@ -178,7 +178,7 @@
   // Of another leader, or of none: its sender looks again who leads.
   if (shared_.role == Role::follower) return pack(out);
   Term& term = *shared_.term;
-  if (!term.accepts_batches || batch->takeover_token != term.takeover_token) return pack(out);
+  if (!term.accepts_heartbeat_batches || batch->takeover_token != term.takeover_token) return pack(out);
   out.takeover_token = batch->takeover_token;
   out.fencing_token = term.fencing_token;
   const double now = steady_now();
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -20,16 +20,16 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kMaxReleases = 50;  // in one round
-constexpr double kQuietS = 20.0;          // no work is pending or runs, services aside, for so long
-constexpr double kIdleLimitQuietS = 20.0;
-constexpr double kIdleLimitBusyS = 300.0;
-constexpr double kSilentHeartbeats = 2.0;   // heartbeat intervals
-constexpr double kDirectHeartbeats = 1.45;  // heartbeat intervals within which a node that reaches this leader has been heard
-constexpr std::size_t kDirectShare = 3;     // one node in so many must be heard directly, or this leader does not judge
+constexpr std::size_t kMaxReleases = 50;       // in one round
+constexpr double kClusterIdleAfterS = 20.0;    // without pending or running work apart from services
+constexpr double kMaxIdleWithoutWorkS = 20.0;  // of an instance, while the cluster is idle
+constexpr double kMaxIdleWithWorkS = 300.0;    // of an instance, while the cluster has work
+constexpr double kRecentHeartbeatIntervals = 2.0;
+constexpr double kDirectContactIntervals = 1.45;  // heartbeat intervals within which a node that reaches this leader contacts it
+constexpr std::size_t kDirectContactDivisor = 3;  // this leader judges silence only if one in this many nodes contacts it directly
 constexpr double kProbeTimeoutS = 1.0;
 constexpr std::size_t kProbesBeforeHandOver = 5;
-constexpr double kMuteLeases = 3.0;  // leases for which a running instance may go unheard of
+constexpr double kFirstHeartbeatLeases = 3.0;  // leases within which a running instance has to send its first heartbeat
 
 const char* describe(std::size_t reason) {
   constexpr const char* kTexts[] = {
@@ -58,24 +58,24 @@
   }
 }
 
-void InstanceReleaser::release_unneeded(HttpClient& cloud) {
+void InstanceReleaser::release_unneeded_nodes(HttpClient& cloud) {
   const Releases releases = choose_releases();
   for (std::size_t reason = 0; reason < releases.size(); ++reason) release(cloud, releases[reason], static_cast<Reason>(reason));
 }
 
-InstanceReleaser::Look InstanceReleaser::look() const {
+InstanceReleaser::FleetSummary InstanceReleaser::summarize_fleet() const {
   const Term& term = *shared_.term;
   const ClusterState& cluster_state = *term.cluster_state;
   const double lease_s = shared_.config.settings.lease_s;
-  Look out;
+  FleetSummary out;
   out.now = steady_now();
-  // With no work about, an instance is released soon; else it is kept a while, for boots and image fetches take time.
-  out.is_quiet = out.now - std::max(term.last_active_at, term.taken_over_at) > kQuietS;
-  out.idle_limit_s = out.is_quiet ? kIdleLimitQuietS : kIdleLimitBusyS;
-  out.is_settled = out.now - term.taken_over_at > kMuteLeases * lease_s;
+  // While there is work, idle instances are kept longer, since booting another one and fetching its images takes time.
+  out.is_cluster_idle = out.now - std::max(term.last_work_at, term.taken_over_at) > kClusterIdleAfterS;
+  out.max_idle_s = out.is_cluster_idle ? kMaxIdleWithoutWorkS : kMaxIdleWithWorkS;
+  out.is_heartbeat_grace_over = out.now - term.taken_over_at > kFirstHeartbeatLeases * lease_s;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
-    if (out.now - node.agent.last_direct_contact_at < lease_s) out.heard_zones.insert(node.zone);
+    if (out.now - node.agent.last_direct_contact_at < lease_s) out.zones_in_contact.insert(node.zone);
   }
   return out;
 }
@@ -86,21 +86,21 @@
   if (!shared_.may_decide()) return out;
   Term& term = *shared_.term;
   ClusterState& cluster_state = *term.cluster_state;
-  const Look seen = look();
+  const FleetSummary fleet = summarize_fleet();
   const auto names = [&](Reason reason) -> std::vector<std::string>& { return out[static_cast<std::size_t>(reason)]; };
-  for (const NodeIndex index : unresponsive_nodes_to_replace(cluster_state, seen.now, shared_.config.settings.lease_s)) {
+  for (const NodeIndex index : unresponsive_nodes_to_replace(cluster_state, fleet.now, shared_.config.settings.lease_s)) {
     if (term.starting_nodes.contains(index) || names(Reason::unresponsive).size() >= kMaxReleases) continue;
     cluster_state.node(index).releasing = true;
     names(Reason::unresponsive).push_back(cluster_state.node(index).name);
   }
-  const auto chosen = [&] {
-    return names(Reason::dead).size() + names(Reason::idle).size() + names(Reason::late).size() + names(Reason::mute).size();
+  const auto chosen_count = [&] {
+    return names(Reason::dead).size() + names(Reason::idle).size() + names(Reason::late).size() + names(Reason::never_reported).size();
   };
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
-    if (!node.instance.listed || node.terminated || chosen() >= kMaxReleases) continue;
+    if (!node.instance.listed || node.terminated || chosen_count() >= kMaxReleases) continue;
     Reason reason{};
-    if (choose_release(NodeIndex{i}, seen, reason)) names(reason).push_back(node.name);
+    if (should_release(NodeIndex{i}, fleet, reason)) names(reason).push_back(node.name);
   }
   return out;
 }
@@ -110,52 +110,53 @@
   return term.cluster_state->node(index).placed.empty() && !term.starting_nodes.contains(index);
 }
 
-bool InstanceReleaser::choose_release(NodeIndex index, const Look& look, Reason& reason) {
+bool InstanceReleaser::should_release(NodeIndex index, const FleetSummary& fleet, Reason& reason) {
   Term& term = *shared_.term;
   ClusterState& cluster_state = *term.cluster_state;
   Node& node = cluster_state.node(index);
   const MachineType* machine_type = cluster_state.machine_type(node.machine_type);
-  if (node.instance.status == Instance::Status::failed || has_failed_to_boot(node, machine_type, look.now)) {
+  if (node.instance.status == Instance::Status::failed || has_failed_to_boot(node, machine_type, fleet.now)) {
     reason = Reason::dead;
     return true;
   }
-  // A late one is kept while there is work.
-  if (look.is_quiet && look.is_settled && boot_progress(node, machine_type, look.now) == BootProgress::late) {
+  // An instance that is late to boot is kept while there is work.
+  if (fleet.is_cluster_idle && fleet.is_heartbeat_grace_over && boot_progress(node, machine_type, fleet.now) == BootProgress::late) {
     reason = Reason::late;
     return true;
   }
-  // Running for long, by the list, and never heard of; not where a partition may be the reason.
-  const bool never_heard = !node.agent.has_reported && node.placed.empty() && node.instance.status == Instance::Status::running;
-  const bool long_running = look.now - node.instance.running_since > kMuteLeases * shared_.config.settings.lease_s;
-  if (never_heard && long_running && look.heard_zones.contains(node.zone)) {
-    reason = Reason::mute;
+  // The instance list shows it running for long, but it never sent a heartbeat. If no node of its zone is in contact, the reason may be
+  // a partition.
+  const bool never_reported = !node.agent.has_reported && node.placed.empty() && node.instance.status == Instance::Status::running;
+  const bool long_running = fleet.now - node.instance.running_since > kFirstHeartbeatLeases * shared_.config.settings.lease_s;
+  if (never_reported && long_running && fleet.zones_in_contact.contains(node.zone)) {
+    reason = Reason::never_reported;
     return true;
   }
-  // Tasks failed there once more after it was uncordoned: another node in its place serves better.
+  // Tasks failed on the node again after it was uncordoned, so it is replaced.
   if (is_unused(index) && cluster_state.failure_attribution().should_replace(index, wall_now())) {
     node.releasing = true;
     reason = Reason::faulty;
     return true;
   }
   const bool is_idle = is_unused(index) && node.idle_since > 0;
-  const bool is_needed = !look.is_quiet && !term.unserved.empty();
-  if (!node.releasing && (!is_idle || is_needed || look.now - node.idle_since <= look.idle_limit_s)) return false;
+  const bool is_needed = !fleet.is_cluster_idle && !term.unserved.empty();
+  if (!node.releasing && (!is_idle || is_needed || fleet.now - node.idle_since <= fleet.max_idle_s)) return false;
   node.releasing = true;
   reason = Reason::idle;
   return true;
 }
 
-// A node that has fallen silent while the others report is most likely dead or hangs. Its lease may have long to run; an answered
-// release ends it for certain, so that its services can start elsewhere at once. All are probed at once: one after the other,
-// the replicas of the last of 13 dead nodes waited 20 s.
-void InstanceReleaser::probe(std::vector<Probe>& probes) {
+// A node that became silent while others send heartbeats has most likely died or hangs. A confirmed release lets its services start on
+// other nodes at once, without waiting for its lease to expire. The probes run in parallel: when they ran one after the other, the
+// replicas on the last of 13 dead nodes waited 20 s.
+void InstanceReleaser::probe_agents(std::vector<Probe>& probes) {
   std::vector<std::function<void()>> work;
   work.reserve(probes.size());
-  for (auto& target : probes) work.emplace_back([this, &target] { probe_one(target); });
+  for (auto& target : probes) work.emplace_back([this, &target] { probe_agent(target); });
   run_at_once(work);
 }
 
-void InstanceReleaser::probe_one(Probe& target) {
+void InstanceReleaser::probe_agent(Probe& target) {
   HttpClient agent(target.address);
   const auto response = agent.get(kWorkerStatusPath, kProbeTimeoutS);
   if (!response.ok()) return;
@@ -175,72 +176,72 @@
   }
 }
 
-// Cut from the agents only, this controller keeps its lease and its peers: heartbeats reach it by way of them, its commands fail,
-// and sound nodes look dead to it. A few are probed before it gives up, so that agents which only go by way of others, though
-// they need not, are no reason.
+// A leader that is partitioned only from the agents keeps its leader lease and its peers: heartbeats reach it through the peers, its
+// commands fail, and healthy nodes look dead to it. It probes a few agents before it hands over, because agents may also use other
+// controllers without need.
 void InstanceReleaser::check_worker_reachability() {
-  std::vector<Probe> probes = probes_of_indirect_nodes();
-  probe(probes);
+  std::vector<Probe> probes = probes_of_relayed_nodes();
+  probe_agents(probes);
   if (probes.empty() || std::any_of(probes.begin(), probes.end(), [](const Probe& p) { return p.answered; })) return;
   Lock lock(shared_.mutex);
   if (shared_.may_decide()) shared_.term->hand_over_reason = "workers reach other controllers but not this one";
 }
 
-std::vector<InstanceReleaser::Probe> InstanceReleaser::probes_of_indirect_nodes() const {
+std::vector<InstanceReleaser::Probe> InstanceReleaser::probes_of_relayed_nodes() const {
   std::vector<Probe> out;
   Lock lock(shared_.mutex);
-  if (!shared_.may_decide() || !are_workers_heard_through_peers(shared_)) return out;
+  if (!shared_.may_decide() || !are_most_heartbeats_relayed(shared_)) return out;
   const double now = steady_now();
-  const double recent_s = shared_.config.settings.heartbeat_interval_s * kSilentHeartbeats;
+  const double recent_s = shared_.config.settings.heartbeat_interval_s * kRecentHeartbeatIntervals;
   const ClusterState& cluster_state = *shared_.term->cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count() && out.size() < kProbesBeforeHandOver; ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
     if (!node.agent.has_reported || node.terminated || node.lease_expired || node.address.empty()) continue;
     const bool is_recent = now - node.agent.last_heartbeat_at < recent_s;
-    const bool is_indirect = now - node.agent.last_direct_contact_at > now - node.agent.last_heartbeat_at;
-    if (is_recent && is_indirect) out.push_back({node.name, node.address});
+    const bool is_relayed = now - node.agent.last_direct_contact_at > now - node.agent.last_heartbeat_at;
+    if (is_recent && is_relayed) out.push_back({node.name, node.address});
   }
   return out;
 }
 
-// Not the one to judge is a leader that hears most nodes by way of its peers, or not at all just now: in the first seconds of a
-// partition between it and the agents, 12 sound ones were released. One that is short of processor time hears late.
-std::vector<NodeIndex> InstanceReleaser::suspect_nodes_heard_directly() const {
+// A leader that most nodes do not contact directly may itself be partitioned from them: in the first seconds of such a partition, 12
+// healthy nodes were released. A leader that is short of CPU time also processes heartbeats late.
+std::vector<NodeIndex> InstanceReleaser::find_suspect_nodes() const {
   const double now = steady_now();
   const double interval_s = shared_.config.settings.heartbeat_interval_s;
   const Term& term = *shared_.term;
-  const auto heard = measure_reachability(*term.cluster_state, now, kDirectHeartbeats * interval_s);
-  if (kDirectShare * heard.direct < heard.known) return {};
+  const auto reachability = measure_reachability(*term.cluster_state, now, kDirectContactIntervals * interval_s);
+  if (kDirectContactDivisor * reachability.direct < reachability.known) return {};
   return suspect_nodes(measure_silence(*term.cluster_state, now, term.taken_over_at), interval_s);
 }
 
 std::vector<InstanceReleaser::Probe> InstanceReleaser::probes_of_silent_nodes() const {
   std::vector<Probe> out;
   Lock lock(shared_.mutex);
-  if (!shared_.may_decide() || are_workers_heard_through_peers(shared_)) return out;
-  for (const NodeIndex index : suspect_nodes_heard_directly()) {
+  if (!shared_.may_decide() || are_most_heartbeats_relayed(shared_)) return out;
+  for (const NodeIndex index : find_suspect_nodes()) {
     const Node& node = shared_.term->cluster_state->node(index);
     if (out.size() < shared_.config.budget.probes) out.push_back({node.name, node.address});
   }
   return out;
 }
 
-void InstanceReleaser::release_silent(HttpClient& cloud, std::stop_token stop) {
-  const double began = steady_now();
+void InstanceReleaser::release_silent_nodes(HttpClient& cloud, std::stop_token stop) {
+  const double started_at = steady_now();
   std::vector<Probe> probes = probes_of_silent_nodes();
   if (probes.empty()) return;
-  probe(probes);
+  probe_agents(probes);
   std::erase_if(probes, [](const Probe& p) { return p.answered; });
   if (probes.empty()) return;
-  // A partition may refuse connections at once: by the second look it must show in what is heard of the zone.
-  if (!pause_for(stop, std::max(0.0, began + kProbeTimeoutS - steady_now()))) return;
+  // In a partition connections may fail at once. Before the recheck, there must be time for the zone's other nodes to become silent too.
+  if (!pause_for(stop, std::max(0.0, started_at + kProbeTimeoutS - steady_now()))) return;
   std::vector<std::string> names;
   {
-    // Looked at once more: a partition may have begun just before they were probed, or one was heard of through a peer.
+    // Recheck: a partition may have begun just before the probes, or a node's heartbeat may have arrived through a peer.
     Lock lock(shared_.mutex);
     if (!shared_.may_decide()) return;
     std::set<std::string> still_suspect;
-    for (const NodeIndex index : suspect_nodes_heard_directly()) still_suspect.insert(shared_.term->cluster_state->node(index).name);
+    for (const NodeIndex index : find_suspect_nodes()) still_suspect.insert(shared_.term->cluster_state->node(index).name);
     for (const auto& target : probes)
       if (still_suspect.contains(target.name)) names.push_back(target.name);
   }
--- a/src/controller/instance_releaser.hpp
+++ b/src/controller/instance_releaser.hpp
@@ -1,5 +1,5 @@
-// Releases instances that are dead, idle, faulty, late, or unreachable, and hands leadership over where it is this controller that
-// the agents can't reach. An answered release ends everything on the instance for certain.
+// Releases instances that are dead, idle, faulty, late to boot, silent or unresponsive. Hands over leadership if the agents can reach
+// other controllers but not this one. Once the cloud has confirmed a release, nothing runs on the instance any more.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -19,24 +19,24 @@
  public:
   InstanceReleaser(SharedState& shared, CommitQueue& commit_queue, AgentMessages& agent_messages);
 
-  // Releases what the cluster state shows to be of no use.
-  void release_unneeded(HttpClient& cloud);
-  // Releases nodes that are silent, while others of their zones are not, and that don't answer a probe.
-  void release_silent(HttpClient& cloud, std::stop_token stop);
-  // Hands leadership over when most agents reach other controllers and this one reaches none of them.
+  // Releases the instances that the cluster state shows to be of no use.
+  void release_unneeded_nodes(HttpClient& cloud);
+  // Releases nodes that are silent while others of their zones are not, and that do not answer a probe.
+  void release_silent_nodes(HttpClient& cloud, std::stop_token stop);
+  // Hands over leadership if most agents reach only other controllers and none of the probed ones answers this controller.
   void check_worker_reachability();
 
  private:
-  // Why an instance is released; in the order in which releases are sent.
-  enum class Reason { dead, unresponsive, idle, faulty, late, mute, silent, count };
+  // Why an instance is released, in the order in which releases are sent. `never_reported`: no heartbeat since it began to run.
+  enum class Reason { dead, unresponsive, idle, faulty, late, never_reported, silent, count };
   using Releases = std::array<std::vector<std::string>, static_cast<std::size_t>(Reason::count)>;
-  // What holds for one look at all nodes.
-  struct Look {
+  // Facts about all nodes, determined once for each check.
+  struct FleetSummary {
     double now = 0;
-    bool is_quiet = false;    // no work has been about for a while
-    bool is_settled = false;  // this leader has had the time to hear of all that is up
-    double idle_limit_s = 0;
-    std::set<ZoneIndex> heard_zones;
+    bool is_cluster_idle = false;          // no work apart from services, for kClusterIdleAfterS
+    bool is_heartbeat_grace_over = false;  // every running agent has had time to send this leader a heartbeat
+    double max_idle_s = 0;                 // an instance that is idle for longer is released
+    std::set<ZoneIndex> zones_in_contact;  // zones with a node that contacted this leader directly within a lease
   };
   struct Probe {
     std::string name, address;
@@ -44,18 +44,18 @@
   };
 
   Releases choose_releases();
-  [[nodiscard]] Look look() const;
-  // Nothing where the node is kept. Marks a node that still runs as being released.
-  bool choose_release(NodeIndex index, const Look& look, Reason& reason);
+  [[nodiscard]] FleetSummary summarize_fleet() const;
+  // Returns whether to release the node, and sets `reason`. Marks a node that is still running as being released.
+  bool should_release(NodeIndex index, const FleetSummary& fleet, Reason& reason);
   [[nodiscard]] bool is_unused(NodeIndex index) const;
   void release(HttpClient& cloud, const std::vector<std::string>& names, Reason reason);
-  // Asks all of them at once for their status.
-  void probe(std::vector<Probe>& probes);
-  void probe_one(Probe& target);
-  // Those silent though they should not be, where this leader hears enough itself to judge.
-  [[nodiscard]] std::vector<NodeIndex> suspect_nodes_heard_directly() const;
+  // Asks all agents for their status in parallel.
+  void probe_agents(std::vector<Probe>& probes);
+  void probe_agent(Probe& target);
+  // Returns the suspiciously silent nodes; none if too few nodes contact this leader directly for it to judge.
+  [[nodiscard]] std::vector<NodeIndex> find_suspect_nodes() const;
   [[nodiscard]] std::vector<Probe> probes_of_silent_nodes() const;
-  [[nodiscard]] std::vector<Probe> probes_of_indirect_nodes() const;
+  [[nodiscard]] std::vector<Probe> probes_of_relayed_nodes() const;
 
   SharedState& shared_;
   CommitQueue& commit_queue_;
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -16,18 +16,18 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLeaseMarginS = 0.05;
-constexpr unsigned kWatchMs = 10000;
-constexpr double kStorePauseS = 0.3;      // where the key-value store does not answer
-constexpr double kMalformedPauseS = 1.0;  // where its keys can't be read
-constexpr double kLookAgainS = 0.3;
-constexpr double kLeasePauseS = 0.2;
-constexpr double kIsolationBackoffS = 4.0;  // of one that was cut off, before it tries to lead again
-constexpr double kOthersFirstS = 3.0;       // one that backs off leads all the same when nobody else has for so long
-constexpr double kMaxJitterS = 0.05;
-constexpr double kLagMemory = 0.7;      // of the lateness before, at each renewal
-constexpr double kLastCommitS = 0.4;    // what is queued may go into the ledger before the lease is given back
-constexpr double kBehindOthersS = 0.3;  // one that cleared the key of its own earlier process lets the others go first
+constexpr double kLeaseMarginS = 0.05;  // safety margin on the lease
+constexpr unsigned kWatchTimeoutMs = 10000;
+constexpr double kStoreRetryPauseS = 0.3;     // after the key-value store did not answer
+constexpr double kMalformedKeysPauseS = 1.0;  // after the leadership keys could not be parsed
+constexpr double kRecheckPauseS = 0.3;
+constexpr double kLeaseRetryPauseS = 0.2;
+constexpr double kIsolationBackoffS = 4.0;  // of an isolated leader that handed over, before it campaigns again
+constexpr double kMaxVacancyS = 3.0;        // without any leader for this long, a controller campaigns despite its backoff
+constexpr double kMaxCampaignJitterS = 0.05;
+constexpr double kLagSmoothing = 0.7;         // weight of the previous average of the renewal lag, at each renewal
+constexpr double kFinalCommitTimeoutS = 0.4;  // for committing the queued records before a hand-over
+constexpr double kOwnKeyBackoffS = 0.3;       // after removing the key of an earlier process of this controller
 constexpr double kRenewalsPerLease = 4.0;
 }  // namespace
 
@@ -39,29 +39,29 @@
   StoreClient store(shared_.config.settings.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
   while (!stop.stop_requested()) {
-    if (!step(store, stop)) return;
+    if (!run_once(store, stop)) return;
   }
 }
 
-bool LeaderElection::step(StoreClient& store, std::stop_token stop) {
+bool LeaderElection::run_once(StoreClient& store, std::stop_token stop) {
   std::uint64_t revision = 0;
   const auto snapshot = read_snapshot(store, stop, revision);
   if (!snapshot) return !stop.stop_requested();
   log_unreadable_version(snapshot->on);
   if (!snapshot->leader) return campaign(store, stop, *snapshot);
-  vacant_since_ = 0;
+  no_leader_since_ = 0;
   {
     Lock lock(shared_.mutex);
     shared_.observe_leader(snapshot->leader_mod_revision, snapshot->leader->label);
   }
-  if (snapshot->leader->label == shared_.config.settings.label && !clear_own_key(store, stop, *snapshot)) return true;
-  return store.watch(kLeadershipPrefix, revision, kWatchMs) == StoreStatus::ok || pause_for(stop, kStorePauseS);
+  if (snapshot->leader->label == shared_.config.settings.label && !remove_key_of_earlier_process(store, stop, *snapshot)) return true;
+  return store.watch(kLeadershipPrefix, revision, kWatchTimeoutMs) == StoreStatus::ok || pause_for(stop, kStoreRetryPauseS);
 }
 
 std::optional<LeaderElection::Snapshot> LeaderElection::read_snapshot(StoreClient& store, std::stop_token stop, std::uint64_t& revision) {
   Rows rows;
   if (store.list(kLeadershipPrefix, rows) != StoreStatus::ok) {
-    pause_for(stop, kStorePauseS);
+    pause_for(stop, kStoreRetryPauseS);
     return std::nullopt;
   }
   revision = rows.revision;
@@ -69,49 +69,49 @@
     return rollout::parse_leadership_keys(rows.rows);
   } catch (const std::exception& e) {
     spdlog::error("key-value store: leader keys malformed: {}", e.what());
-    pause_for(stop, kMalformedPauseS);
+    pause_for(stop, kMalformedKeysPauseS);
     return std::nullopt;
   }
 }
 
-// What is active may be beyond this build, which then forwards as any follower does.
+// The active format version may be newer than this build supports. The controller then only forwards requests, as a follower.
 void LeaderElection::log_unreadable_version(const ActiveVersion& active) {
   const auto& supported = shared_.config.supported_versions;
-  if (active.format_version != logged_version_ && active.format_version > supported.most)
+  if (active.format_version != last_logged_version_ && active.format_version > supported.most)
     spdlog::error("format version {}: active, this build reads {} to {}, so it never leads and only forwards", active.format_version,
                   supported.least, supported.most);
-  logged_version_ = active.format_version;
+  last_logged_version_ = active.format_version;
 }
 
 bool LeaderElection::campaign(StoreClient& store, std::stop_token stop, const Snapshot& snapshot) {
   const double now = steady_now();
-  if (vacant_since_ == 0) vacant_since_ = now;
-  // One that handed over lets the others go first; not for long, since a leader that the agents reach badly is better than none.
+  if (no_leader_since_ == 0) no_leader_since_ = now;
+  // After a hand-over, the other controllers campaign first. The wait is bounded: a leader that few agents reach is better than none.
   const double backoff = backoff_.remaining(now);
-  if (backoff > 0 && now - vacant_since_ < kOthersFirstS) return pause_for(stop, std::min(backoff, kLookAgainS));
-  // Controllers that saw the key go at the same moment try one after the other.
-  const double jitter = std::uniform_real_distribution<double>(0, kMaxJitterS)(random_);
+  if (backoff > 0 && now - no_leader_since_ < kMaxVacancyS) return pause_for(stop, std::min(backoff, kRecheckPauseS));
+  // The jitter keeps controllers that saw the key disappear at the same moment from campaigning simultaneously.
+  const double jitter = std::uniform_real_distribution<double>(0, kMaxCampaignJitterS)(random_);
   if (!pause_for(stop, jitter)) return false;
-  if (take_leadership(store, stop, snapshot)) {
+  if (acquire_leadership(store, stop, snapshot)) {
     hold_leadership(store, stop);
-    vacant_since_ = 0;
+    no_leader_since_ = 0;
   }
   return true;
 }
 
-bool LeaderElection::take_leadership(StoreClient& store, std::stop_token stop, const Snapshot& snapshot) {
+bool LeaderElection::acquire_leadership(StoreClient& store, std::stop_token stop, const Snapshot& snapshot) {
   const auto& config = shared_.config;
   const LeaderValue value{config.settings.label, config.incarnation};
   if (!rollout::acquire_leadership_step(snapshot, config.supported_versions, value, 0)) {
-    pause_for(stop, kLookAgainS);
+    pause_for(stop, kRecheckPauseS);
     return false;
   }
-  // While nobody leads, nothing in the ledger changes. Read first, an outage that begins just now leaves the agents with a leader
-  // that knows what is cancelled, uncertain as it is; taken first, with one that knows nothing and must let the leases of all
-  // nodes expire.
+  // The ledger is read before the key is acquired; it does not change while there is no leader. If a store outage begins now, the
+  // agents keep the earlier leader, which knows the cancelled jobs although its leadership is uncertain. If the key were acquired
+  // first, the new leader would not know them and would have to let the leases of all nodes expire.
   auto result = recovery_.read(store, stop, [] { return false; });
   if (std::holds_alternative<ReadAborted>(result)) {
-    pause_for(stop, kLookAgainS);
+    pause_for(stop, kRecheckPauseS);
     return false;
   }
   std::optional<ReadLedger> ledger;
@@ -128,7 +128,7 @@
   AcquiredLease lease;
   lease.requested_at = steady_now();
   if (store.create_lease(config.options.leader_lease_ms, lease.session_lease) != StoreStatus::ok) {
-    pause_for(stop, kLeasePauseS);
+    pause_for(stop, kLeaseRetryPauseS);
     return std::nullopt;
   }
   const LeaderValue value{config.settings.label, config.incarnation};
@@ -136,9 +136,9 @@
   std::vector<std::string> failed;
   const auto status = store.commit(transaction->body(), lease.fencing_token, failed);
   if (status == StoreStatus::ok) return lease;
-  // It may have been committed all the same: the key tells.
+  // The transaction may have been committed nevertheless: the key shows it.
   if (status == StoreStatus::in_doubt || status == StoreStatus::conflict) {
-    if (const auto token = find_own_key(store, leader_key_for(snapshot.on.format_version), lease.session_lease)) {
+    if (const auto token = find_own_fencing_token(store, leader_key_for(snapshot.on.format_version), lease.session_lease)) {
       lease.fencing_token = *token;
       return lease;
     }
@@ -147,9 +147,10 @@
   return std::nullopt;
 }
 
-// With this lease: an earlier try of this process, committed only now, attached the key to one that is not renewed, and the key
-// went with that lease while this controller led on under one that held nothing.
-std::optional<std::uint64_t> LeaderElection::find_own_key(StoreClient& store, const char* key, std::uint64_t session_lease) const {
+// The key must be attached to this session lease: a late transaction of an earlier attempt of this process may have attached it to
+// a lease that nobody renews. The key would expire with that lease while this controller continued to lead.
+std::optional<std::uint64_t> LeaderElection::find_own_fencing_token(StoreClient& store, const char* key,
+                                                                    std::uint64_t session_lease) const {
   Row row;
   if (store.get(key, row) != StoreStatus::ok) return std::nullopt;
   try {
@@ -195,8 +196,8 @@
   ++shared_.term_number;
   shared_.role = Role::recovering;
   shared_.observe_leader(lease.fencing_token, config.settings.label);
-  // What the leader before did is gone on with, so that workers stay where they are.
-  term.accepts_batches = config.options.relay_mode != RelayMode::off && relay_.is_in_use();
+  // Continues the relay mode of the earlier leader, so that agents keep their controllers.
+  term.accepts_heartbeat_batches = config.options.relay_mode != RelayMode::off && relay_.is_in_use();
   relay_.fail_waiting();
   spdlog::info("leader: this controller takes over, fencing token {}", lease.fencing_token);
   shared_.role_changed.notify_all();
@@ -210,18 +211,18 @@
     session_lease = shared_.term->session_lease;
     term = shared_.term_number;
   }
-  uncertain_ = false;
+  leadership_uncertain_ = false;
   const double period = shared_.config.options.leader_lease_ms / 1000.0 / kRenewalsPerLease;
-  for (double slept_at = steady_now(); pause_for(stop, period); slept_at = steady_now()) {
-    const double late = std::max(0.0, steady_now() - slept_at - period);
+  for (double sleep_started_at = steady_now(); pause_for(stop, period); sleep_started_at = steady_now()) {
+    const double late = std::max(0.0, steady_now() - sleep_started_at - period);
     auto& lag = metrics_.counters.renewal_lag_s;
-    lag = late + kLagMemory * (lag - late);
-    if (!renew(store, session_lease, term, slept_at)) break;
+    lag = late + kLagSmoothing * (lag - late);
+    if (!renew_lease(store, session_lease, term, sleep_started_at)) break;
   }
-  if (stop.stop_requested()) give_back_on_stop(session_lease, term);
+  if (stop.stop_requested()) release_on_stop(session_lease, term);
 }
 
-bool LeaderElection::renew(StoreClient& store, std::uint64_t session_lease, std::uint64_t term, double slept_at) {
+bool LeaderElection::renew_lease(StoreClient& store, std::uint64_t session_lease, std::uint64_t term, double sleep_started_at) {
   const double woken_at = steady_now();
   const auto is_over = [&] { return !shared_.is_term(term) || shared_.role == Role::follower; };
   {
@@ -233,15 +234,16 @@
   const double answered_at = steady_now();
   Lock lock(shared_.mutex);
   const double period = shared_.config.options.leader_lease_ms / 1000.0 / kRenewalsPerLease;
-  const double late = woken_at - slept_at - period;
-  if (const double whole = steady_now() - slept_at - period; whole > period)
+  const double late = woken_at - sleep_started_at - period;
+  if (const double whole = steady_now() - sleep_started_at - period; whole > period)
     spdlog::debug("leader: lease renewal {:.0f} ms late: wake-up {:.0f}, lock {:.0f}, answer {:.0f}, lock {:.0f}", whole * 1000,
                   late * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000, (steady_now() - answered_at) * 1000);
   if (is_over()) return false;
-  return apply_renewal(lock, store, session_lease, status, requested_at);
+  return apply_renewal_result(lock, store, session_lease, status, requested_at);
 }
 
-bool LeaderElection::apply_renewal(Lock& lock, StoreClient& store, std::uint64_t session_lease, StoreStatus status, double requested_at) {
+bool LeaderElection::apply_renewal_result(Lock& lock, StoreClient& store, std::uint64_t session_lease, StoreStatus status,
+                                          double requested_at) {
   const auto& settings = shared_.config.settings;
   Term& term = *shared_.term;
   if (status == StoreStatus::missing || status == StoreStatus::refused) {
@@ -249,10 +251,10 @@
     return false;
   }
   if (status != StoreStatus::ok) {
-    if (uncertain_ || steady_now() < term.lease_valid_until) return true;
-    // An outage, or a refusal of this controller alone: it can't tell. It answers agents under its token, so that their leases
-    // do not expire, and decides nothing until it knows.
-    uncertain_ = true;
+    if (leadership_uncertain_ || steady_now() < term.lease_valid_until) return true;
+    // Either the store has an outage or it is out of reach of this controller alone; the controller cannot tell which. It goes on
+    // replying to agents under its token, so that their leases do not expire, and makes no decisions until a renewal succeeds.
+    leadership_uncertain_ = true;
     spdlog::info("leader: lease could not be renewed, leadership uncertain");
     return true;
   }
@@ -269,52 +271,52 @@
     hand_over(lock, store, session_lease, term.hand_over_reason, backoff_.record_hand_over(steady_now()));
     return false;
   }
-  if (uncertain_) {
+  if (leadership_uncertain_) {
     spdlog::info("leader: lease renewed, leadership certain again");
     shared_.request_pass();
   }
-  uncertain_ = false;
+  leadership_uncertain_ = false;
   return true;
 }
 
-// First it ceases to decide and to answer, and then another may lead: with the lease dropped before, there were some milliseconds
-// in which both told users what they knew.
-void LeaderElection::give_back_on_stop(std::uint64_t session_lease, std::uint64_t term) {
+// Steps down before the lease is revoked: in the other order, this controller and its successor both replied to users for some
+// milliseconds.
+void LeaderElection::release_on_stop(std::uint64_t session_lease, std::uint64_t term) {
   {
     Lock lock(shared_.mutex);
     if (shared_.is_term(term)) shared_.step_down(lock, "stopping");
-    wait_out_answers(lock);
+    wait_for_outstanding_replies(lock);
   }
-  // The other client refuses calls once the duty is asked to stop.
+  // A new client: the thread's own client refuses calls once a stop is requested.
   StoreClient store(shared_.config.settings.store_address);
   store.revoke_lease(session_lease);
 }
 
 void LeaderElection::hand_over(Lock& lock, StoreClient& store, std::uint64_t session_lease, const char* reason, double backoff_s) {
   const auto term = shared_.term_number;
-  shared_.term->hand_over_reason = reason;  // from here on nothing is decided
-  commit_queue_.wait_for_progress(lock, kLastCommitS, [&] { return !shared_.is_term(term) || commit_queue_.is_idle(); });
+  shared_.term->hand_over_reason = reason;  // no decisions are made from here on
+  commit_queue_.wait_for_progress(lock, kFinalCommitTimeoutS, [&] { return !shared_.is_term(term) || commit_queue_.is_idle(); });
   if (shared_.is_term(term)) shared_.step_down(lock, reason);
   ++metrics_.counters.handed_over;
   backoff_.extend_until(steady_now() + backoff_s);
-  wait_out_answers(lock);
+  wait_for_outstanding_replies(lock);
   lock.unlock();
   store.revoke_lease(session_lease);
 }
 
-void LeaderElection::wait_out_answers(Lock& lock) const {
-  const double left = shared_.answers_valid_until - steady_now();
+void LeaderElection::wait_for_outstanding_replies(Lock& lock) const {
+  const double left = shared_.replies_valid_until - steady_now();
   if (left <= 0) return;
   lock.unlock();
   std::this_thread::sleep_for(std::chrono::duration<double>(left));
   lock.lock();
 }
 
-bool LeaderElection::clear_own_key(StoreClient& store, std::stop_token stop, const Snapshot& snapshot) {
+bool LeaderElection::remove_key_of_earlier_process(StoreClient& store, std::stop_token stop, const Snapshot& snapshot) {
   const auto& config = shared_.config;
   if (snapshot.leader->incarnation == config.incarnation) return true;
-  // What that process told the others may be on its way to users for a moment yet.
-  if (const double left = config.started_at + kAnswerLifeS + kLeaseMarginS - steady_now(); left > 0) {
+  // Replies of the earlier process may still be on their way to users.
+  if (const double left = config.started_at + kReplyLifetimeS + kLeaseMarginS - steady_now(); left > 0) {
     pause_for(stop, left);
     return false;
   }
@@ -322,13 +324,13 @@
   std::vector<std::string> failed;
   const auto status = store.commit(rollout::release_leadership_step(snapshot).body(), revision, failed);
   if (status != StoreStatus::ok) {
-    // Another one's key by now, or no answer: it is looked at once more.
-    pause_for(stop, kLookAgainS);
+    // The key belongs to another controller by now, or the outcome is unknown: the key is read again.
+    pause_for(stop, kRecheckPauseS);
     return false;
   }
   spdlog::info("leader: key of an earlier process of this controller removed, fencing token {}", snapshot.leader_mod_revision);
-  // A process that ends as soon as it leads must not be the next one again and again.
-  backoff_.extend_until(std::max(backoff_.ends_at(), steady_now() + kBehindOthersS));
+  // Lets other controllers campaign first: a process that crashes whenever it leads must not become the leader every time.
+  backoff_.extend_until(std::max(backoff_.ends_at(), steady_now() + kOwnKeyBackoffS));
   return false;
 }
 
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -1,6 +1,6 @@
-// Leader election. The leader holds one key of the key-value store, attached to a session lease that it renews; the key's
-// modification revision is the fencing token. This duty watches the key, takes it when it is free, and holds it until leadership
-// is lost or handed over.
+// Leader election. The leader owns one key of the key-value store, attached to a session lease that it renews. The key's
+// modification revision is the fencing token. LeaderElection watches the key, acquires it when it does not exist, and keeps it
+// until leadership is lost or handed over.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -23,58 +23,61 @@
  public:
   LeaderElection(SharedState& shared, CommitQueue& commit_queue, LedgerRecovery& recovery, HeartbeatRelay& relay,
                  ControllerMetrics& metrics);
-  // Until asked to stop; then leadership is given back, so that another controller takes over at once.
+  // Runs until a stop is requested. Then releases leadership, so that another controller takes over at once.
   void run(std::stop_token stop);
 
  private:
   using Snapshot = rollout::LeadershipSnapshot;
 
-  // The leader's lease as the key-value store granted it.
+  // The leader lease as the key-value store granted it.
   struct AcquiredLease {
     std::uint64_t session_lease = 0;
     std::uint64_t fencing_token = 0;
     double requested_at = 0;  // steady seconds
   };
 
-  // Looks at the keys once and acts on what it sees; false when the thread is to stop.
-  bool step(StoreClient& store, std::stop_token stop);
+  // Reads the leadership keys once and acts on them. Returns false if the thread has to stop.
+  bool run_once(StoreClient& store, std::stop_token stop);
   std::optional<Snapshot> read_snapshot(StoreClient& store, std::stop_token stop, std::uint64_t& revision);
   void log_unreadable_version(const ActiveVersion& active);
-  // Nobody leads: takes the lead, unless it is better left to others for a moment. False when the thread is to stop.
+  // Called while there is no leader: tries to acquire leadership, unless this controller is backing off. Returns false if the
+  // thread has to stop.
   bool campaign(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
-  bool take_leadership(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
+  bool acquire_leadership(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
   std::optional<AcquiredLease> acquire_lease(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
-  // After a transaction without a clear answer: the token, if the key is this process's and attached to this lease.
-  std::optional<std::uint64_t> find_own_key(StoreClient& store, const char* key, std::uint64_t session_lease) const;
+  // Resolves a transaction whose outcome is unknown: returns the fencing token if the key belongs to this process and is attached
+  // to this session lease.
+  std::optional<std::uint64_t> find_own_fencing_token(StoreClient& store, const char* key, std::uint64_t session_lease) const;
   void begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<ReadLedger> ledger);
   std::unique_ptr<Term> make_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<ReadLedger> ledger) const;
   [[nodiscard]] double lease_valid_until(double requested_at) const;
 
-  // Renews the lease until leadership ends.
+  // Renews the lease periodically until leadership ends.
   void hold_leadership(StoreClient& store, std::stop_token stop);
-  // One renewal; false when leadership has ended.
-  bool renew(StoreClient& store, std::uint64_t session_lease, std::uint64_t term, double slept_at);
-  // What the answer to a renewal means; false when leadership has ended.
-  bool apply_renewal(Lock& lock, StoreClient& store, std::uint64_t session_lease, StoreStatus status, double requested_at);
-  void give_back_on_stop(std::uint64_t session_lease, std::uint64_t term);
-  // Gives the lease back when nothing is on its way into the ledger, so that another controller leads at once.
+  // Renews the lease once. Returns false if leadership has ended.
+  bool renew_lease(StoreClient& store, std::uint64_t session_lease, std::uint64_t term, double sleep_started_at);
+  // Applies the result of a renewal. Returns false if leadership has ended.
+  bool apply_renewal_result(Lock& lock, StoreClient& store, std::uint64_t session_lease, StoreStatus status, double requested_at);
+  void release_on_stop(std::uint64_t session_lease, std::uint64_t term);
+  // Revokes the lease once no commit is under way, so that another controller takes over at once.
   void hand_over(Lock& lock, StoreClient& store, std::uint64_t session_lease, const char* reason, double backoff_s);
-  // Waits until no answer that may become outdated can be given any more, by this controller or one that it was passed on to.
-  void wait_out_answers(Lock& lock) const;
-  // The leader's key is of an earlier process of this controller: it goes, so that another one leads. Whether it was not.
-  bool clear_own_key(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
+  // Waits until every reply that may become outdated has expired, including replies forwarded by other controllers.
+  void wait_for_outstanding_replies(Lock& lock) const;
+  // Removes the leader's key if an earlier process of this controller left it, so that another controller can lead. Returns true
+  // if the key belongs to this process.
+  bool remove_key_of_earlier_process(StoreClient& store, std::stop_token stop, const Snapshot& snapshot);
 
   SharedState& shared_;
   CommitQueue& commit_queue_;
   LedgerRecovery& recovery_;
   HeartbeatRelay& relay_;
   ControllerMetrics& metrics_;
-  // Used by this duty's thread alone:
+  // Only used by the election thread:
   LeadershipBackoff backoff_;
   std::mt19937_64 random_{std::random_device{}()};
-  std::uint32_t logged_version_ = 0;
-  double vacant_since_ = 0;  // steady seconds; 0: some controller leads, as far as is known
-  bool uncertain_ = false;   // the lease could not be renewed in time
+  std::uint32_t last_logged_version_ = 0;
+  double no_leader_since_ = 0;         // steady seconds; 0: there is a leader, as far as this controller knows
+  bool leadership_uncertain_ = false;  // the lease could not be renewed in time
 };
 
 }  // namespace thistlefront
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -8,21 +8,21 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kPeersLostS = 3.0;  // no peer has answered for so long
+constexpr double kPeerSilenceLimitS = 3.0;  // the leader counts as isolated if no peer has answered for this long
 
 Reachability recent_reachability(const SharedState& shared, double now) {
-  return measure_reachability(*shared.term->cluster_state, now, kPeersLostS + shared.config.settings.heartbeat_interval_s);
+  return measure_reachability(*shared.term->cluster_state, now, kPeerSilenceLimitS + shared.config.settings.heartbeat_interval_s);
 }
 
-void extend(std::vector<double>& until_by_zone, ZoneIndex zone, double until) {
+void raise_to(std::vector<double>& until_by_zone, ZoneIndex zone, double until) {
   if (until_by_zone.size() <= zone.value) until_by_zone.resize(zone.value + 1, 0);
   until_by_zone[zone.value] = std::max(until_by_zone[zone.value], until);
 }
 }  // namespace
 
-// A leader inside a partition would keep its agents' leases alive for as long as the partition lasts, while its successor tells
-// users that their jobs are cancelled. A majority that knows of the successor leaves it without a quorum, so the successor can
-// count on its silence soon after.
+// The quorum bounds how long a leader renews leases inside a partition. Without it, the leader would keep its agents' leases alive as
+// long as the partition lasts, while its successor confirms cancellations to users. Once a majority knows of the successor, the
+// earlier leader has no quorum and soon stops replying to agents, on which the successor relies.
 LeadershipEvidence leadership_evidence(const SharedState& shared, const Heartbeat& heartbeat, double now) {
   const Term& term = *shared.term;
   LeadershipEvidence evidence;
@@ -40,7 +40,7 @@
          heartbeat.fencing_token <= shared.partition_lease.fencing_token();
 }
 
-bool may_confirm(const SharedState& shared, const Job& job) {
+bool may_confirm_status(const SharedState& shared, const Job& job) {
   if (job.status != JobStatus::cancelled || job.placed.empty()) return true;
   return shared.term->quorum.is_takeover_known(shared.term->takeover_token);
 }
@@ -49,17 +49,17 @@
   const double now = steady_now();
   if (shared.peers.empty() || shared.role != Role::leading) return false;
   const Term& term = *shared.term;
-  if (now - term.taken_over_at < shared.config.settings.lease_s || !term.quorum.is_isolated(now, kPeersLostS)) return false;
-  const auto heard = recent_reachability(shared, now);
-  return heard.known > 2 * heard.recent;
+  if (now - term.taken_over_at < shared.config.settings.lease_s || !term.quorum.is_isolated(now, kPeerSilenceLimitS)) return false;
+  const auto reachability = recent_reachability(shared, now);
+  return reachability.known > 2 * reachability.recent;
 }
 
-bool are_workers_heard_through_peers(const SharedState& shared) {
+bool are_most_heartbeats_relayed(const SharedState& shared) {
   const double now = steady_now();
   if (shared.peers.empty() || shared.role != Role::leading) return false;
   if (now - shared.term->taken_over_at < shared.config.settings.lease_s / 2) return false;
-  const auto heard = recent_reachability(shared, now);
-  return heard.via_peers > 2 * heard.direct && 4 * heard.via_peers > heard.known;
+  const auto reachability = recent_reachability(shared, now);
+  return reachability.via_peers > 2 * reachability.direct && 4 * reachability.via_peers > reachability.known;
 }
 
 FencingState fencing_state(SharedState& shared, double now) {
@@ -70,11 +70,11 @@
   out.taken_over_at = term.taken_over_at;
   out.peers_acked_at = term.quorum.sole_leader_since(term.takeover_token, now);
   const auto zone_of = [&](const std::string& site) { return cluster_state.intern_zone(site); };
-  extend(out.earlier_renewed_until_by_zone, zone_of(shared.config.settings.site), shared.partition_lease.last_renewal());
+  raise_to(out.earlier_renewed_until_by_zone, zone_of(shared.config.settings.site), shared.partition_lease.last_renewal());
   for (const auto& link : shared.peers) {
     const ZoneIndex zone = zone_of(link.peer.site);
-    extend(out.renewed_until_by_zone, zone, link.partition_lease.renewals_until(now));
-    extend(out.earlier_renewed_until_by_zone, zone, link.partition_lease.earlier_renewals_until(now));
+    raise_to(out.renewed_until_by_zone, zone, link.partition_lease.renewals_until(now));
+    raise_to(out.earlier_renewed_until_by_zone, zone, link.partition_lease.earlier_renewals_until(now));
   }
   return out;
 }
--- a/src/controller/leadership_conditions.hpp
+++ b/src/controller/leadership_conditions.hpp
@@ -1,5 +1,5 @@
-// Under which conditions this controller may answer an agent, tell a user, or go on leading. Functions of the shared state, to be
-// called with SharedState::mutex held; the rules themselves are pure and stand in worker_control/lease_renewal_policy and
+// The conditions under which this controller may reply to an agent or a user, or has to hand over leadership. Functions of the
+// shared state, called with SharedState::mutex held. The rules themselves are pure: see worker_control/lease_renewal_policy and
 // leadership/.
 #pragma once
 #include "cluster_state/cluster_state.hpp"
@@ -10,23 +10,24 @@
 
 namespace thistlefront {
 
-// How firmly this controller leads, as far as this agent's lease is concerned; only while it has taken the lead.
+// What this controller can prove about its leadership when it decides on this agent's lease. Requires a term.
 LeadershipEvidence leadership_evidence(const SharedState& shared, const Heartbeat& heartbeat, double now);
 
-// Whether it goes on renewing the agent's lease in a partition, though it can't tell what the leader, or another one, decides.
+// Whether this controller may renew the agent's lease in a partition, without knowing what the current leader decides.
 bool may_renew_in_partition(const SharedState& shared, const Heartbeat& heartbeat, double now);
 
-// Whether users may be told the job's state: that it is cancelled only when nothing of it is on a node, or when no earlier leader
-// can go on renewing leases without knowing of it.
-bool may_confirm(const SharedState& shared, const Job& job);
+// Whether the job's status may be reported to users. A cancellation may be reported only if no task of the job is placed, or if no
+// earlier leader can go on renewing leases without knowing of the cancellation.
+bool may_confirm_status(const SharedState& shared, const Job& job);
 
-// Cut off from its peers and from most agents, though not from the key-value store: another controller serves better.
+// Whether the leader is partitioned from its peers and from most agents, although it reaches the key-value store. Another controller
+// should then lead.
 bool is_isolated(const SharedState& shared);
 
-// Whether most agents are heard by way of other controllers only.
-bool are_workers_heard_through_peers(const SharedState& shared);
+// Whether the heartbeats of most agents arrive only through other controllers.
+bool are_most_heartbeats_relayed(const SharedState& shared);
 
-// Since when, and in which zones until when, nobody but this leader can have renewed a lease.
+// Since when no other controller can have renewed an agent's lease, and for each zone until when one may have.
 FencingState fencing_state(SharedState& shared, double now);
 
 }  // namespace thistlefront
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -12,13 +12,13 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kRewriteShare = 0.2;  // of the writes: for entries of another format version, while nothing else is to be written
+constexpr double kRewriteFraction = 0.2;  // of the allowed writes, for rewriting entries of another format version
 constexpr double kRetryPauseS = 0.15;
 constexpr double kRecoveryPauseS = 0.2;
 constexpr double kRaisePauseS = 0.2;
-constexpr double kLeastWaitS = 0.001;
+constexpr double kMinWaitS = 0.001;
 
-// Processor cores that the tasks gave back, on nodes without accelerators.
+// CPU cores that the completed tasks released on nodes without accelerators.
 double released_cores(const ClusterState& cluster_state, const TasksCompletedRecord& completion) {
   const JobIndex index = cluster_state.find(completion.uid);
   if (!index.valid()) return 0;
@@ -52,13 +52,13 @@
       continue;
     }
     lock.lock();
-    lead(store, stop, lock, term);
+    run_term(store, stop, lock, term);
   }
 }
 
-void LedgerCommitter::lead(StoreClient& store, std::stop_token stop, Lock& lock, std::uint64_t term) {
+void LedgerCommitter::run_term(StoreClient& store, std::stop_token stop, Lock& lock, std::uint64_t term) {
   while (!stop.stop_requested() && shared_.is_term(term)) {
-    if (!wait_for_work(lock, stop, term)) return;
+    if (!wait_for_due_work(lock, stop, term)) return;
     if (!has_urgent_change(term) && !is_rewrite_due() && !commit_queue_.is_due(steady_now())) continue;
     if (shared_.term->raise_token_requested && !raise_fencing_token(store, stop, lock)) continue;
     if (!shared_.is_term(term)) return;
@@ -72,9 +72,9 @@
   }
 }
 
-// First for something to write, then for the moment when it must go: with one wait for both, a record that can wait a little
-// would wait for the next one to come.
-bool LedgerCommitter::wait_for_work(Lock& lock, std::stop_token stop, std::uint64_t term) {
+// Waits first for work, then until it is due. With a single wait for both, a deferrable record would not be committed before the
+// next record is queued.
+bool LedgerCommitter::wait_for_due_work(Lock& lock, std::stop_token stop, std::uint64_t term) {
   const auto has_work = [&] {
     return !shared_.is_term(term) || has_urgent_change(term) || is_rewrite_due() || !commit_queue_.records().empty();
   };
@@ -87,7 +87,7 @@
     commit_queue_.wait_for_work(lock, stop, has_work);
   }
   if (!stop.stop_requested() && !is_due())
-    commit_queue_.wait_for_work(lock, stop, std::max(commit_queue_.due_at() - steady_now(), kLeastWaitS), is_due);
+    commit_queue_.wait_for_work(lock, stop, std::max(commit_queue_.due_at() - steady_now(), kMinWaitS), is_due);
   return !stop.stop_requested() && shared_.is_term(term);
 }
 
@@ -100,12 +100,12 @@
 }
 
 double LedgerCommitter::rewrite_period_s() const {
-  return 1 / (commit_queue_.allowed_writes_per_s() * kRewriteShare);
+  return 1 / (commit_queue_.allowed_writes_per_s() * kRewriteFraction);
 }
 
 void LedgerCommitter::commit(StoreClient& store, std::stop_token stop, Lock& lock) {
   const auto term = shared_.term_number;
-  commit_queue_.await_write(lock, stop, false);
+  commit_queue_.wait_for_write_permit(lock, stop, false);
   if (stop.stop_requested() || !shared_.is_term(term)) return;
   auto transaction = prepare();
   if (!transaction) return;
@@ -113,7 +113,7 @@
   lock.unlock();
   charge_writes(transaction->pending.changes());
   const double began = steady_now();
-  const Outcome outcome = send(store, stop, *transaction);
+  const Outcome outcome = send_until_resolved(store, stop, *transaction);
   lock.lock();
   if (!shared_.is_term(term)) return;
   if (const auto* deposed = std::get_if<Deposed>(&outcome)) {
@@ -136,11 +136,11 @@
   out.term = shared_.term_number;
   out.pending = term.ledger_writer.prepare_commit(*term.cluster_state, commit_queue_.records(), commit_queue_.transaction_limits());
   auto& pending = out.pending;
-  for (const auto& what : pending.too_large) spdlog::error("ledger: record too large for any entry: {}", what);
-  commit_queue_.records_taken();
+  for (const auto& description : pending.too_large) spdlog::error("ledger: record too large for any entry: {}", description);
+  commit_queue_.handle_records_taken();
   if (pending.changes() == 0) return std::nullopt;
   out.leader_key = term.leader_key();
-  out.only_leader_guards =
+  out.only_leader_key_guards =
       std::all_of(pending.conditions.begin(), pending.conditions.end(), [](const Condition& c) { return c.mod_revision == 0; });
   pending.conditions.insert(pending.conditions.begin(), {out.leader_key, term.fencing_token});
   out.body = txn_body(pending.conditions, pending.puts, pending.removes);
@@ -149,18 +149,19 @@
   return out;
 }
 
-LedgerCommitter::Outcome LedgerCommitter::send(StoreClient& store, std::stop_token stop, Transaction& transaction) {
+LedgerCommitter::Outcome LedgerCommitter::send_until_resolved(StoreClient& store, std::stop_token stop, Transaction& transaction) {
   for (;;) {
     std::uint64_t revision = 0;
     std::vector<std::string> failed;
     const auto status = store.commit(transaction.body, revision, failed);
     if (status == StoreStatus::ok) return Committed{revision};
-    if (status == StoreStatus::in_doubt) transaction.was_in_doubt = true;
+    if (status == StoreStatus::in_doubt) transaction.has_unacknowledged_attempt = true;
     if (status == StoreStatus::refused)
       spdlog::error("key-value store: transaction refused, {} bytes, {} changes, largest value {} bytes", transaction.body.size(),
                     transaction.pending.changes(), transaction.largest_value);
-    // Refused after its limits were lowered, an earlier try may yet have been committed before.
-    const bool maybe_committed = status == StoreStatus::conflict || (status == StoreStatus::refused && transaction.was_in_doubt);
+    // A store that lowered its limits may refuse the transaction although it committed an earlier attempt.
+    const bool maybe_committed =
+        status == StoreStatus::conflict || (status == StoreStatus::refused && transaction.has_unacknowledged_attempt);
     if (maybe_committed)
       if (auto outcome = resolve_conflict(store, status, failed, transaction)) return *outcome;
     if (status == StoreStatus::refused) return Refused{};
@@ -201,7 +202,7 @@
     shared_.step_down(lock, "key-value store refused a transaction");
     return;
   }
-  // In smaller pieces, in the same order.
+  // The records are committed again in smaller transactions, in the same order.
   commit_queue_.requeue(std::move(transaction.pending.batch));
 }
 
@@ -210,11 +211,11 @@
   if (const double failed_for = commit_queue_.record_success(steady_now()); failed_for > 0)
     spdlog::info("ledger: writable again after {:.1f} s", failed_for);
   term.ledger_writer.record_committed(transaction.pending, revision);
-  // An earlier try of it may be carried out late, when that entry is gone again: fenced by a higher token.
-  if (transaction.was_in_doubt && transaction.only_leader_guards) term.raise_token_requested = true;
+  // The store may execute an earlier attempt later, after the entry was trimmed. A higher token fences it off.
+  if (transaction.has_unacknowledged_attempt && transaction.only_leader_key_guards) term.raise_token_requested = true;
   const auto& batch = transaction.pending.batch;
   for (std::size_t i = 0; i < batch.size(); ++i) apply_record(batch[i], transaction.pending.batch_entries[i]);
-  log_verdicts();
+  log_failure_verdicts();
 }
 
 void LedgerCommitter::apply_record(const QueuedRecord& queued, std::uint64_t entry) {
@@ -235,13 +236,13 @@
 
 void LedgerCommitter::observe_before_apply(const Record& record) {
   if (const auto* accepted = std::get_if<JobAcceptedRecord>(&record)) commit_queue_.remove_submission(accepted->job.uid);
-  if (const auto* start = std::get_if<TasksStartedRecord>(&record)) record_start(*start);
-  if (const auto* completion = std::get_if<TasksCompletedRecord>(&record)) record_completion(*completion);
+  if (const auto* start = std::get_if<TasksStartedRecord>(&record)) record_task_start(*start);
+  if (const auto* completion = std::get_if<TasksCompletedRecord>(&record)) record_task_completion(*completion);
 }
 
-void LedgerCommitter::record_start(const TasksStartedRecord& start) {
+void LedgerCommitter::record_task_start(const TasksStartedRecord& start) {
   Term& term = *shared_.term;
-  shared_.start_stalls.record_started();
+  shared_.start_stall_detector.record_started();
   if (!std::exchange(term.first_start_committed, true))
     spdlog::info("leader: first task start {:.1f} s after the takeover", steady_now() - term.taken_over_at);
   const ClusterState& cluster_state = *term.cluster_state;
@@ -253,16 +254,16 @@
     spdlog::debug("job {}: started, {} {} of {} tasks, after {:.1f} s", job.uid, job.spec.job_class,
                   job.spec.job_type == JobType::gang ? "gang" : "job", job.tasks.size(), waited);
   if (term.within_guarantee.contains(index)) metrics_.guarantee_waits.add(waited);
-  // One for each start: a job's tasks that start together waited alike.
+  // One sample for each record: tasks of a job that start together have waited equally long.
   metrics_.start_waits[metrics_.service_levels.class_label(job.spec.job_class)].add(waited);
 }
 
-void LedgerCommitter::record_completion(const TasksCompletedRecord& completion) {
+void LedgerCommitter::record_task_completion(const TasksCompletedRecord& completion) {
   for (const auto& range : completion.tasks) metrics_.counters.finished += range.last - range.first;
-  shared_.release_rate.add(released_cores(*shared_.term->cluster_state, completion), steady_now());
+  shared_.capacity_release_rate.add(released_cores(*shared_.term->cluster_state, completion), steady_now());
 }
 
-void LedgerCommitter::log_verdicts() {
+void LedgerCommitter::log_failure_verdicts() {
   ClusterState& cluster_state = *shared_.term->cluster_state;
   using Kind = FailureAttribution::Verdict::Kind;
   for (const auto& verdict : cluster_state.failure_attribution().take_verdicts()) {
@@ -291,9 +292,9 @@
 }
 
 bool LedgerCommitter::raise_fencing_token(StoreClient& store, std::stop_token stop, Lock& lock) {
-  const auto number = shared_.term_number;
-  commit_queue_.await_write(lock, stop, true);
-  if (!shared_.is_term(number)) return false;
+  const auto term_number = shared_.term_number;
+  commit_queue_.wait_for_write_permit(lock, stop, true);
+  if (!shared_.is_term(term_number)) return false;
   Term& term = *shared_.term;
   const auto old_token = term.fencing_token;
   const auto& config = shared_.config;
@@ -301,7 +302,7 @@
       rollout::raise_token_step(term.active_version, {config.settings.label, config.incarnation}, old_token, term.session_lease);
   const std::string key = term.leader_key();
   charge_writes(1);
-  term.leader_key_in_doubt = true;
+  term.leader_key_update_unacknowledged = true;
   lock.unlock();
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
@@ -309,25 +310,25 @@
   std::optional<std::uint64_t> token;
   if (status == StoreStatus::ok) token = revision;
   bool deposed = status == StoreStatus::refused;
-  if (status == StoreStatus::conflict) resolve_raise(store, key, old_token, token, deposed);
+  if (status == StoreStatus::conflict) read_back_raised_token(store, key, old_token, token, deposed);
   if (!deposed && !token) pause_for(stop, kRaisePauseS);
   lock.lock();
-  if (!shared_.is_term(number)) return false;
+  if (!shared_.is_term(term_number)) return false;
   if (deposed) {
     shared_.step_down(lock, "leader key belongs to another controller");
     return false;
   }
   if (!token) return false;
   term.fencing_token = *token;
-  term.raise_token_requested = term.leader_key_in_doubt = false;
+  term.raise_token_requested = term.leader_key_update_unacknowledged = false;
   term.token_raised_at = steady_now();
   shared_.observe_leader(*token, config.settings.label);
   spdlog::info("leader: fencing token raised to {} to fence unanswered commands", *token);
   return true;
 }
 
-void LedgerCommitter::resolve_raise(StoreClient& store, const std::string& key, std::uint64_t old_token,
-                                    std::optional<std::uint64_t>& token, bool& deposed) const {
+void LedgerCommitter::read_back_raised_token(StoreClient& store, const std::string& key, std::uint64_t old_token,
+                                             std::optional<std::uint64_t>& token, bool& deposed) const {
   Row row;
   const auto got = store.get(key, row);
   if (got == StoreStatus::missing) deposed = true;
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 constexpr double kRereadPauseS = 1.0;
-constexpr double kRetryPauseS = 0.1;         // where the key-value store does not answer
-constexpr double kKeepUnreadableForS = 8.0;  // so long one that can't read keeps the lead, where nobody can
+constexpr double kRetryPauseS = 0.1;          // after the key-value store did not answer
+constexpr double kUnreadableHandOverS = 8.0;  // a leader hands over this long after taking over an unreadable ledger
 
-std::vector<Team> teams_in(const Settings& settings) {
+std::vector<Team> configured_teams(const Settings& settings) {
   std::vector<Team> teams;
   teams.reserve(settings.teams.size());
   for (const auto& team : settings.teams) teams.push_back({team.name, team.guarantee, team.limit, {}});
@@ -28,7 +28,8 @@
 
 LedgerReadResult LedgerRecovery::read(StoreClient& store, std::stop_token stop, const std::function<bool()>& retry) const {
   ReadLedger out;
-  out.cluster_state = std::make_unique<ClusterState>(teams_in(shared_.config.settings), max_record_bytes(commit_queue_.entry_bytes()));
+  out.cluster_state =
+      std::make_unique<ClusterState>(configured_teams(shared_.config.settings), max_record_bytes(commit_queue_.max_entry_bytes()));
   LedgerReader reader(*out.cluster_state, shared_.config.supported_versions.least, shared_.config.supported_versions.most);
   std::string from;
   for (bool first = true;; first = false) {
@@ -59,21 +60,21 @@
     ledger = std::exchange(shared_.term->preread_ledger, std::nullopt);
   }
   if (!ledger) return std::nullopt;
-  // Another controller may have led in between.
+  // Another controller may have been the leader in between.
   bool changed = true;
   while (store.has_changed(kLedgerPrefix, ledger->revision, changed) != StoreStatus::ok) {
-    const bool is_current = [&] {
+    const bool is_current_term = [&] {
       Lock lock(shared_.mutex);
       return shared_.is_term(term);
     }();
-    aborted = !is_current || !pause_for(stop, kRetryPauseS);
+    aborted = !is_current_term || !pause_for(stop, kRetryPauseS);
     if (aborted) return std::nullopt;
   }
   return changed ? std::nullopt : std::move(ledger);
 }
 
 bool LedgerRecovery::recover(StoreClient& store, std::stop_token stop, std::uint64_t term) {
-  const double began = steady_now();
+  const double started_at = steady_now();
   bool aborted = false;
   auto ledger = unchanged_preread(store, stop, term, aborted);
   if (aborted) return false;
@@ -92,11 +93,11 @@
   }
   Lock lock(shared_.mutex);
   if (!shared_.is_term(term)) return false;
-  begin_leading(std::move(*ledger), began);
+  begin_leading(std::move(*ledger), started_at);
   return true;
 }
 
-void LedgerRecovery::begin_leading(ReadLedger ledger, double began) {
+void LedgerRecovery::begin_leading(ReadLedger ledger, double started_at) {
   Term& term = *shared_.term;
   shared_.ledger_unreadable_since = 0;
   const auto entries = ledger.entries;
@@ -104,17 +105,17 @@
   term.ledger_writer = LedgerWriter(std::move(ledger.contents), term.active_version.writes());
   term.cluster_state = std::move(ledger.cluster_state);
   ClusterState& cluster_state = *term.cluster_state;
-  for (const auto& [name, answered_at] : term.early_answers)
+  for (const auto& [name, answered_at] : term.early_reply_times)
     cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_answered_at = answered_at;
-  term.early_answers.clear();
+  term.early_reply_times.clear();
   shared_.partition_lease.revoke();
   commit_queue_.clear();
-  cluster_state.failure_attribution().take_verdicts();  // these were logged by the leader that reached them
+  cluster_state.failure_attribution().take_verdicts();  // discarded: an earlier leader logged them
   shared_.role = Role::leading;
   if (const auto counts = cluster_state.dependency_graph().counts(); counts.unresolved_names > 0)
     spdlog::error("ledger: {} jobs that others depend on are missing, their dependents do not start", counts.unresolved_names);
   spdlog::info("ledger: read, {} entries, {} live jobs, {:.0f} ms after the takeover", entries, cluster_state.live().size(),
-               (steady_now() - began) * 1000);
+               (steady_now() - started_at) * 1000);
   shared_.role_changed.notify_all();
   commit_queue_.notify_progress();
   shared_.request_pass();
@@ -125,11 +126,11 @@
   if (shared_.role != Role::recovering) return;
   spdlog::error("{}", reason);
   const double now = steady_now();
-  const bool again = shared_.ledger_unreadable_since != 0;
-  if (!again) shared_.ledger_unreadable_since = now;
-  // Nobody else could read it either: for the sake of the agents' leases one keeps the lead for a while, and then lets others
-  // try.
-  if (again && now < shared_.term->taken_over_at + kKeepUnreadableForS) return;
+  const bool known_unreadable = shared_.ledger_unreadable_since != 0;
+  if (!known_unreadable) shared_.ledger_unreadable_since = now;
+  // Hands over at the first failure, so that another controller tries. If no leader could read the ledger before either, keeps
+  // leadership for a while to renew the agents' leases.
+  if (known_unreadable && now < shared_.term->taken_over_at + kUnreadableHandOverS) return;
   shared_.term->hand_over_reason = "ledger unreadable";
 }
 
--- a/src/controller/ledger_recovery.hpp
+++ b/src/controller/ledger_recovery.hpp
@@ -1,5 +1,5 @@
-// Reads the ledger into a cluster state: before this controller takes the lead, and after, when something changed in between.
-// Used by LeaderElection and LedgerCommitter, each on its own thread; reads from the key-value store without any lock held.
+// Reads the ledger into a cluster state: before a takeover, and again after it if the ledger changed in between. Used by
+// LeaderElection and LedgerCommitter, each on its own thread. Reads from the key-value store without holding a lock.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,11 +15,11 @@
 
 namespace thistlefront {
 
-// The ledger holds something that this build can't read.
+// This build cannot read the ledger.
 struct UnreadableLedger {
   std::string reason;
 };
-// The key-value store did not answer, or reading was given up.
+// The key-value store did not answer, or the read was cancelled.
 struct ReadAborted {};
 
 using LedgerReadResult = std::variant<ReadLedger, UnreadableLedger, ReadAborted>;
@@ -28,15 +28,16 @@
  public:
   LedgerRecovery(SharedState& shared, CommitQueue& commit_queue);
 
-  // Reads the whole ledger. Where the store does not answer, `retry` says whether to ask again.
+  // Reads the whole ledger. `retry` decides whether to repeat a request that the store did not answer.
   LedgerReadResult read(StoreClient& store, std::stop_token stop, const std::function<bool()>& retry) const;
-  // Makes the cluster state of the given term, which then leads; false when it could not, or the term has ended.
+  // Builds the cluster state of the given term and makes this controller the deciding leader. Returns false if it could not, or if
+  // the term has ended.
   bool recover(StoreClient& store, std::stop_token stop, std::uint64_t term);
 
  private:
-  // The ledger as it was read before the lead was taken, if nothing was written since. `aborted`: that is not known.
+  // Returns the ledger that was read before the takeover, if it has not changed since. Sets `aborted` if that is not known.
   std::optional<ReadLedger> unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted);
-  void begin_leading(ReadLedger ledger, double began);
+  void begin_leading(ReadLedger ledger, double started_at);
   void handle_unreadable(const std::string& reason);
 
   SharedState& shared_;
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -92,7 +92,7 @@
   add_line(out, "commit_seconds_total", counters.commit_seconds.load());
   add_line(out, "writes_total", counters.writes.load());
   add_line(out, "writes_allowed_per_second", commit_queue_.allowed_writes_per_s());
-  add_line(out, "start_stalled_seconds", shared_.start_stalls.stalled_for(steady_now()));
+  add_line(out, "start_stalled_seconds", shared_.start_stall_detector.stalled_for(steady_now()));
   add_line(out, "reports_total", counters.heartbeats.load());
   add_line(out, "reports_repeated_total", counters.repeated_heartbeats.load());
   add_line(out, "reports_passed_on_total", counters.relayed.load());
@@ -124,7 +124,7 @@
   add_line(out, "senders_most", budget.senders);
   add_line(out, "worker_connections", load.connections);
   add_line(out, "worker_connections_most", budget.worker_connections);
-  add_line(out, "workers_due", load.nodes_due);
+  add_line(out, "workers_due", load.due_nodes);
 }
 
 void MetricsReporter::add_cluster_state(std::string& out) const {
--- a/src/controller/peer_link.hpp
+++ b/src/controller/peer_link.hpp
@@ -1,5 +1,5 @@
-// What a controller knows of another one, and its connections to it. Guarded by SharedState::mutex, but for the pools, which
-// have locks of their own.
+// A controller's state about one peer, and its connections to it. Guarded by SharedState::mutex, except for the pools, which have
+// locks of their own.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -15,11 +15,11 @@
   std::unique_ptr<FramePool> calls;       // forwarded requests and heartbeats, while the peer leads
   std::unique_ptr<FramePool> heartbeats;  // between controllers
 
-  // On the leader, of the present term:
-  PartitionLeaseGrant partition_lease;  // what this leader granted to the peer
+  // Used on the leader, for the current term:
+  PartitionLeaseGrant partition_lease;  // granted to the peer
   std::uint64_t last_ack_process = 0;   // incarnation of the process that sent the latest acknowledgement; 0: none
-  std::uint64_t last_ack_clock_ms = 0;  // that process's steady clock at that moment
-  double last_acked_sent_at = 0;        // steady seconds: when the heartbeat was sent that it acknowledged
+  std::uint64_t last_ack_clock_ms = 0;  // steady clock of that process when it sent the acknowledgement
+  double last_acked_sent_at = 0;        // steady seconds at which the acknowledged heartbeat was sent
 };
 
 }  // namespace thistlefront
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -20,24 +20,24 @@
   auto& link = shared_.peers[peer];
   bool reachable = true;
   while (pause_for(stop, kPeerHeartbeatPeriodS)) {
-    const auto sent = next_heartbeat(stop, link);
-    if (!sent) return;
+    const auto outgoing = next_heartbeat(stop, link);
+    if (!outgoing) return;
     const double sent_at = steady_now();
-    const auto answer = link.heartbeats->ask(pack(sent->heartbeat), kPeerHeartbeatTimeoutS);
+    const auto answer = link.heartbeats->ask(pack(outgoing->heartbeat), kPeerHeartbeatTimeoutS);
     const auto ack = answer ? unpack_peer_heartbeat_ack(*answer) : std::nullopt;
     if (reachable != ack.has_value()) {
       reachable = ack.has_value();
       spdlog::info("peer {}: {}", link.peer.label, reachable ? "reachable" : "not reachable");
     }
-    if (ack) apply_ack(peer, *sent, sent_at, *ack);
+    if (ack) apply_ack(peer, *outgoing, sent_at, *ack);
   }
 }
 
-std::optional<PeerMonitor::Outgoing> PeerMonitor::next_heartbeat(std::stop_token stop, PeerLink& link) {
+std::optional<PeerMonitor::OutgoingHeartbeat> PeerMonitor::next_heartbeat(std::stop_token stop, PeerLink& link) {
   Lock lock(shared_.mutex);
   shared_.role_changed.wait(lock, stop, [&] { return shared_.role != Role::follower; });
   if (stop.stop_requested()) return std::nullopt;
-  Outgoing out;
+  OutgoingHeartbeat out;
   out.term = shared_.term_number;
   out.heartbeat = make_heartbeat(link);
   if (out.heartbeat.echoed_process != 0) out.echoed_sent_at = link.last_acked_sent_at;
@@ -61,9 +61,9 @@
   return out;
 }
 
-void PeerMonitor::apply_ack(std::size_t peer, const Outgoing& sent, double sent_at, const PeerHeartbeatAck& ack) {
+void PeerMonitor::apply_ack(std::size_t peer, const OutgoingHeartbeat& outgoing, double sent_at, const PeerHeartbeatAck& ack) {
   Lock lock(shared_.mutex);
-  if (shared_.role == Role::follower || !shared_.is_term(sent.term)) return;
+  if (shared_.role == Role::follower || !shared_.is_term(outgoing.term)) return;
   Term& term = *shared_.term;
   if (ack.fencing_token > term.fencing_token && !is_own_raised_token(ack)) {
     shared_.observe_leader(ack.fencing_token, ack.leader);
@@ -74,30 +74,30 @@
   term.quorum.record_ack(peer, ack.process, sent_at, ack.fencing_token, now < term.lease_valid_until);
   term.quorum.sole_leader_since(term.takeover_token, now);
   auto& link = shared_.peers[peer];
-  link.partition_lease.record_ack(sent.echoed_sent_at, steady_now(), ack.last_renewal_age_ms / kMsPerSecond);
+  link.partition_lease.record_ack(outgoing.echoed_sent_at, steady_now(), ack.last_renewal_age_ms / kMsPerSecond);
   link.last_ack_process = ack.process;
   link.last_ack_clock_ms = ack.clock_ms;
   link.last_acked_sent_at = sent_at;
 }
 
-// A raise that is committed at once and whose answer is lost is seen by the peers first. While its lease lasts nobody else can
-// lead, and the ledger is not written before the key has been looked at.
+// If a raise of the token is committed but its response is lost, the peers see the new token first. Ignoring it is safe: while the
+// lease is valid no other controller can lead, and the ledger is not written before the key has been read again.
 bool PeerMonitor::is_own_raised_token(const PeerHeartbeatAck& ack) const {
   const Term& term = *shared_.term;
-  return term.leader_key_in_doubt && ack.leader == shared_.config.settings.label && steady_now() < term.lease_valid_until;
+  return term.leader_key_update_unacknowledged && ack.leader == shared_.config.settings.label && steady_now() < term.lease_valid_until;
 }
 
-PeerHeartbeatAck PeerMonitor::receive(const PeerHeartbeat& heartbeat) {
+PeerHeartbeatAck PeerMonitor::receive_heartbeat(const PeerHeartbeat& heartbeat) {
   Lock lock(shared_.mutex);
   const auto& config = shared_.config;
   KnownLeader& leader = shared_.known_leader;
   if (heartbeat.fencing_token >= leader.fencing_token) observe_heartbeat(lock, heartbeat);
   const double now = steady_now();
   const bool from_leader = heartbeat.fencing_token == leader.fencing_token && heartbeat.label == leader.label;
-  // Its own acknowledgement of an earlier heartbeat, echoed by the leader: what the leader knew then holds since before that was
-  // sent.
+  // The leader echoes this controller's acknowledgement of an earlier heartbeat. The partition lease runs from the time of that
+  // acknowledgement.
   if (shared_.role == Role::follower && from_leader && heartbeat.echoed_process == config.incarnation) {
-    shared_.ledger_unreadable_since = 0;  // that leader may decide, so it has read the ledger
+    shared_.ledger_unreadable_since = 0;  // only a leader that has read the ledger echoes acknowledgements
     shared_.partition_lease.grant(heartbeat.fencing_token, static_cast<double>(heartbeat.echoed_clock_ms) / kMsPerSecond,
                                   heartbeat.oldest_cancellation_age_ms / kMsPerSecond);
   }
@@ -113,11 +113,11 @@
 void PeerMonitor::observe_heartbeat(const Lock& lock, const PeerHeartbeat& heartbeat) {
   KnownLeader& leader = shared_.known_leader;
   leader.last_heartbeat_at = steady_now();
-  // The same controller, and a later takeover: its process began anew and leads once more.
+  // A later takeover of the same controller: its process was restarted and leads again.
   const bool restarted =
       heartbeat.label == leader.label && leader.takeover_token != UINT64_MAX && heartbeat.takeover_token > leader.takeover_token;
   leader.takeover_token = heartbeat.takeover_token;
-  if (restarted && shared_.role == Role::follower) shared_.on_leader_change(true);
+  if (restarted && shared_.role == Role::follower) shared_.handle_leader_change(true);
   if (shared_.role == Role::follower) shared_.partition_lease.observe_leader(heartbeat.takeover_token);
   if (shared_.role != Role::follower && heartbeat.fencing_token > shared_.term->fencing_token) {
     shared_.observe_leader(heartbeat.fencing_token, heartbeat.label);
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -9,15 +9,19 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kAskTimeoutS = 1.0;
+constexpr double kPeerCallTimeoutS = 1.0;
 constexpr double kRetryPauseS = 1.0;
 }  // namespace
 
-RegistryView::RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas file, std::vector<FramePool*> pools)
-    : settings_(settings), supported_versions_(std::move(supported_versions)), file_(std::move(file)), pools_(std::move(pools)) {
-  expected_.push_back(settings.label);
-  for (const auto& p : settings.peers) expected_.push_back(p.label);
-  while (expected_.size() < settings.count) expected_.push_back("unnamed-" + std::to_string(expected_.size()));
+RegistryView::RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas own_quotas,
+                           std::vector<FramePool*> pools)
+    : settings_(settings),
+      supported_versions_(std::move(supported_versions)),
+      own_quotas_(std::move(own_quotas)),
+      pools_(std::move(pools)) {
+  controller_labels_.push_back(settings.label);
+  for (const auto& peer : settings.peers) controller_labels_.push_back(peer.label);
+  while (controller_labels_.size() < settings.count) controller_labels_.push_back("unnamed-" + std::to_string(controller_labels_.size()));
 }
 
 bool RegistryView::register_self(StoreClient& store, std::stop_token stop) const {
@@ -31,7 +35,7 @@
       const auto step = rollout::registration_step(settings_.label, supported_versions_, got == StoreStatus::ok ? &known : nullptr);
       std::uint64_t revision = 0;
       std::vector<std::string> failed;
-      // Without an answer the record is looked at once more.
+      // If the outcome is unknown, the record is read again.
       if (step.kind == rollout::Step::Kind::none || store.commit(step.body(), revision, failed) == StoreStatus::ok) break;
     }
     if (!pause_for(stop, kRetryPauseS)) return false;
@@ -41,18 +45,18 @@
   return true;
 }
 
-std::optional<HttpReply> RegistryView::ask(FramePool& peer, const char* target) {
-  const double asked = steady_now();
-  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kAskTimeoutS);
-  return answer ? unpack_reply(*answer, asked) : std::nullopt;
+std::optional<HttpReply> RegistryView::call_peer(FramePool& peer, const char* target) {
+  const double sent_at = steady_now();
+  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kPeerCallTimeoutS);
+  return answer ? unpack_reply(*answer, sent_at) : std::nullopt;
 }
 
-std::map<std::string, SupportedVersions> RegistryView::ask_peers(std::stop_token stop) const {
+std::map<std::string, SupportedVersions> RegistryView::read_peer_versions(std::stop_token stop) const {
   std::map<std::string, SupportedVersions> out;
   for (std::size_t i = 0; i < pools_.size() && !stop.stop_requested(); ++i) {
-    const auto reply = ask(*pools_[i], kSupportedVersionsTarget);
+    const auto reply = call_peer(*pools_[i], kSupportedVersionsTarget);
     if (!reply) continue;
-    // An answer other than 200 is that of a build from before format versions.
+    // A build without format versions answers with another status than 200.
     const auto supported_versions =
         reply->status == 200 ? unpack_supported_versions(reply->body) : std::optional<SupportedVersions>(SupportedVersions{});
     if (supported_versions) out[settings_.peers[i].label] = *supported_versions;
@@ -62,45 +66,45 @@
 
 std::map<std::string, std::optional<TeamQuotas>> RegistryView::quotas_of_all_controllers(const rollout::ControllerRegistry& registry) {
   std::map<std::string, std::optional<TeamQuotas>> out;
-  for (const auto& label : expected_) out[label];
-  out[settings_.label] = file_;
-  std::map<std::uint64_t, TeamQuotas> seen;
+  for (const auto& label : controller_labels_) out[label];
+  out[settings_.label] = own_quotas_;
+  std::map<std::uint64_t, TeamQuotas> known_quotas;
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    auto& file = out[settings_.peers[i].label];
+    auto& quotas = out[settings_.peers[i].label];
     const auto it = registry.find(settings_.peers[i].label);
     const auto digest = it == registry.end() ? 0 : it->second.supported_versions.teams;
     if (digest == supported_versions_.teams) {
-      file = file_;
-    } else if (const auto known = files_.find(digest); known != files_.end()) {
-      file = known->second;
+      quotas = own_quotas_;
+    } else if (const auto known = peer_quotas_.find(digest); known != peer_quotas_.end()) {
+      quotas = known->second;
     } else if (digest != 0) {
-      const auto reply = ask(*pools_[i], kTeamQuotasTarget);
+      const auto reply = call_peer(*pools_[i], kTeamQuotasTarget);
       auto teams = reply && reply->status == 200 ? unpack_teams(reply->body) : std::nullopt;
-      if (teams && digest_of(*teams) == digest) file = std::move(teams);
+      if (teams && digest_of(*teams) == digest) quotas = std::move(teams);
     }
-    if (file && digest != supported_versions_.teams) seen[digest] = *file;
+    if (quotas && digest != supported_versions_.teams) known_quotas[digest] = *quotas;
   }
-  files_ = std::move(seen);
+  peer_quotas_ = std::move(known_quotas);
   return out;
 }
 
-std::optional<RegistryView::Seen> RegistryView::observe(StoreClient& store, std::stop_token stop) {
+std::optional<RegistryView::Observation> RegistryView::observe(StoreClient& store, std::stop_token stop) {
   Rows keys, records;
-  // The registry first, then the peers themselves: an answer is newer than the record that it corrects, and a
-  // record written in between makes the correction fail.
+  // Reads the registry first and asks the peers afterwards: an answer is newer than the record that it corrects, and the correction
+  // fails if the record is written in between.
   if (store.list(kLeadershipPrefix, keys) != StoreStatus::ok || store.list(kRegistryPrefix, records) != StoreStatus::ok)
     return std::nullopt;
-  Seen seen;
+  Observation observation;
   try {
-    seen.snapshot = rollout::parse_leadership_keys(keys.rows);
+    observation.snapshot = rollout::parse_leadership_keys(keys.rows);
   } catch (const std::exception& e) {
     spdlog::error("key-value store: leader keys malformed: {}", e.what());
     return std::nullopt;
   }
-  seen.registry = rollout::parse_registry(records.rows);
-  seen.answers = ask_peers(stop);
-  seen.files = quotas_of_all_controllers(seen.registry);
-  return seen;
+  observation.registry = rollout::parse_registry(records.rows);
+  observation.peer_versions = read_peer_versions(stop);
+  observation.quotas_by_controller = quotas_of_all_controllers(observation.registry);
+  return observation;
 }
 
 }  // namespace thistlefront
--- a/src/controller/registry_view.hpp
+++ b/src/controller/registry_view.hpp
@@ -1,5 +1,5 @@
-// What the leader looks at before a step of a roll-out: the leadership keys, the registry of controllers, and the peers
-// themselves. Used by RolloutManager's thread alone; no lock is needed.
+// Reads what the leader needs for planning a rollout step: the leadership keys, the registry of controllers, and the answers of the
+// peers themselves. Used only by RolloutManager's thread; needs no lock.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -18,34 +18,35 @@
 
 class RegistryView {
  public:
-  // `pools`: connections to the peers, in the order of the settings; they outlive this.
-  RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas file, std::vector<FramePool*> pools);
+  // `own_quotas`: the team quotas of this controller's settings. `pools`: connections to the peers, in the order of the settings; they
+  // must outlive this object.
+  RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas own_quotas, std::vector<FramePool*> pools);
 
-  // Writes this controller's own record, and tries again until it is there; false when asked to stop.
+  // Writes this controller's registry record, and retries until it succeeds. Returns false if a stop is requested.
   bool register_self(StoreClient& store, std::stop_token stop) const;
 
-  struct Seen {
+  struct Observation {
     rollout::LeadershipSnapshot snapshot;
     rollout::ControllerRegistry registry;
-    std::map<std::string, SupportedVersions> answers;        // of the peers that answered
-    std::map<std::string, std::optional<TeamQuotas>> files;  // of all controllers; nullopt: not known
+    std::map<std::string, SupportedVersions> peer_versions;                 // of the peers that answered
+    std::map<std::string, std::optional<TeamQuotas>> quotas_by_controller;  // from the settings of all controllers; nullopt: not known
   };
-  // Nothing where the key-value store did not answer.
-  std::optional<Seen> observe(StoreClient& store, std::stop_token stop);
-  // The labels of all controllers of the settings; those that are counted and not named there get labels of their own.
-  [[nodiscard]] const std::vector<std::string>& expected() const { return expected_; }
+  // Returns nullopt if the key-value store did not answer.
+  std::optional<Observation> observe(StoreClient& store, std::stop_token stop);
+  // The labels of all controllers; those that the settings count but do not name get generated labels.
+  [[nodiscard]] const std::vector<std::string>& controller_labels() const { return controller_labels_; }
 
  private:
-  static std::optional<HttpReply> ask(FramePool& peer, const char* target);
-  std::map<std::string, SupportedVersions> ask_peers(std::stop_token stop) const;
+  static std::optional<HttpReply> call_peer(FramePool& peer, const char* target);
+  std::map<std::string, SupportedVersions> read_peer_versions(std::stop_token stop) const;
   std::map<std::string, std::optional<TeamQuotas>> quotas_of_all_controllers(const rollout::ControllerRegistry& registry);
 
   const Settings& settings_;
   const SupportedVersions supported_versions_;
-  const TeamQuotas file_;
+  const TeamQuotas own_quotas_;
   std::vector<FramePool*> pools_;
-  std::vector<std::string> expected_;
-  std::map<std::uint64_t, TeamQuotas> files_;  // of other controllers, by digest
+  std::vector<std::string> controller_labels_;
+  std::map<std::uint64_t, TeamQuotas> peer_quotas_;  // by digest
 };
 
 }  // namespace thistlefront
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -52,8 +52,8 @@
     // Outdated once another controller could lead: held up on its way, it would come after that one's answers, to a user who asks
     // several controllers at once. No longer than any way to the user takes: whoever leads next waits for that where this
     // lead ends before its lease does.
-    reply.valid_until = std::min(shared_.term->lease_valid_until, steady_now() + kAnswerLifeS);
-    shared_.answers_valid_until = std::max(shared_.answers_valid_until, reply.valid_until);
+    reply.valid_until = std::min(shared_.term->lease_valid_until, steady_now() + kReplyLifetimeS);
+    shared_.replies_valid_until = std::max(shared_.replies_valid_until, reply.valid_until);
   }
   return reply;
 }
@@ -75,7 +75,7 @@
   for (int tries = 0; tries < kForwardTries; ++tries) {
     // Cut off from the leader: its users go elsewhere, and are not held until a call times out.
     if (began - shared_.known_leader.last_heartbeat_at > kLeaderFreshS && began - shared_.follower_since > kLeaderFreshS) break;
-    const auto lead = shared_.known_leader.number;
+    const auto lead = shared_.known_leader.change_count;
     const auto result = ask_leader(lock, call, began);
     if (!result.asked) break;
     asked = true;
@@ -84,7 +84,7 @@
       lock.unlock();
       return answer(route, call.body);
     }
-    if (shared_.known_leader.number == lead || shared_.known_leader.label.empty()) {
+    if (shared_.known_leader.change_count == lead || shared_.known_leader.label.empty()) {
       if (result.reply) return *result.reply;
       break;
     }
@@ -121,7 +121,7 @@
 }
 
 bool RequestHandler::is_ledger_failing() const {
-  return commit_queue_.failing_for(steady_now()) > kOutageGraceS;
+  return commit_queue_.failing_duration_s(steady_now()) > kOutageGraceS;
 }
 
 HttpReply RequestHandler::refuse(unsigned status, std::string_view reason) {
@@ -186,7 +186,7 @@
   const std::string uid = spec.uid;
   const double accepted_at = cluster_state.next_acceptance_time(wall_now(), shared_.config.settings.skew_ms / 1000);
   JobAcceptedRecord record{std::move(spec), random_draw, accepted_at};
-  if (!LedgerWriter::fits_in_entry(record, commit_queue_.entry_bytes())) return refuse(422, "its description is too long to be stored");
+  if (!LedgerWriter::fits_in_entry(record, commit_queue_.max_entry_bytes())) return refuse(422, "its description is too long to be stored");
   std::vector<Record> records;
   records.emplace_back(std::move(record));
   ticket = commit_queue_.enqueue(std::move(records), CommitPriority::user_waiting);
@@ -214,7 +214,7 @@
   HttpReply reply{status, with_counts ? status_body(job.uid, shown, job.done, running) : acknowledgement_body(job.uid, shown)};
   // What has ended stays ended, whoever leads by now.
   if (job.ended())
-    return may_confirm(shared_, job) ? UserAnswer::final_answer(std::move(reply)) : UserAnswer(unconfirmed_cancellation_reply());
+    return may_confirm_status(shared_, job) ? UserAnswer::final_answer(std::move(reply)) : UserAnswer(unconfirmed_cancellation_reply());
   if (!shared_.may_decide()) return unavailable_reply();
   return reply;
 }
@@ -249,7 +249,7 @@
   const auto ticket = commit_queue_.enqueue(std::move(records), CommitPriority::user_waiting);
   if (!commit_queue_.wait_applied(lock, ticket, kCommitWaitS) || !shared_.may_decide()) return unavailable_reply();
   const Job& job = shared_.term->cluster_state->job(index);
-  commands_.enqueue_for(job);
+  commands_.enqueue_nodes_of(job);
   return describe(job, 200, false);
 }
 
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -11,9 +11,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kSettledS = 1.0;     // a process that ends again sooner, over and over, costs no change for each start
-constexpr double kLookPeriodS = 5.0;  // between looks at the registry
-constexpr double kStepPeriodS = 1.0;  // the same while there is something to do
+constexpr double kRegistrationDelayS = 1.0;    // a process that crashes repeatedly within this time writes nothing to the store
+constexpr double kRegistryCheckPeriodS = 5.0;  // between checks of the registry
+constexpr double kRolloutCheckPeriodS = 1.0;   // between checks while a rollout is in progress or blocked
 constexpr double kRetryPauseS = 0.2;
 
 const char* describe(const TeamQuotaRecord& record) {
@@ -25,7 +25,7 @@
 
 RolloutManager::RolloutManager(SharedState& shared, CommitQueue& commit_queue, ControllerMetrics& metrics)
     : shared_(shared), commit_queue_(commit_queue), metrics_(metrics) {
-  shared_.on_step_down([this] { blocked_by_.clear(); });
+  shared_.add_step_down_listener([this] { blocked_by_.clear(); });
 }
 
 void RolloutManager::run(std::stop_token stop) {
@@ -36,8 +36,8 @@
   pools.reserve(shared_.peers.size());
   for (auto& link : shared_.peers) pools.push_back(link.calls.get());
   RegistryView view(config.settings, config.supported_versions, config.team_quotas, std::move(pools));
-  // Before anything else its own record: a switch is conditional on what it says.
-  if (!pause_for(stop, kSettledS) || !view.register_self(store, stop)) return;
+  // The controller's own record comes first: a change of the format version is conditional on it.
+  if (!pause_for(stop, kRegistrationDelayS) || !view.register_self(store, stop)) return;
   while (!stop.stop_requested()) {
     {
       Lock lock(shared_.mutex);
@@ -49,7 +49,7 @@
       Lock lock(shared_.mutex);
       return !blocked_by_.empty();
     }();
-    if (!pause_for(stop, stepped || blocked ? kStepPeriodS : kLookPeriodS)) return;
+    if (!pause_for(stop, stepped || blocked ? kRolloutCheckPeriodS : kRegistryCheckPeriodS)) return;
   }
 }
 
@@ -59,25 +59,26 @@
     Lock lock(shared_.mutex);
     term = shared_.term_number;
   }
-  const auto seen = view.observe(store, stop);
-  if (!seen) return false;
-  const auto& snapshot = seen->snapshot;
+  const auto observation = view.observe(store, stop);
+  if (!observation) return false;
+  const auto& snapshot = observation->snapshot;
   Lock lock(shared_.mutex);
   if (!shared_.is_term(term) || !shared_.may_decide() || shared_.term->rollout_step) return false;
   if (snapshot.leader_mod_revision != shared_.term->fencing_token) return false;
-  // A change of its own that came late: with what it knew of its entries it could have lowered a ledger that was not rewritten.
+  // A late transaction of this leader changed the version. What this leader knows of its entries is outdated: it could activate a lower
+  // version before all entries were rewritten.
   if (snapshot.on != shared_.term->active_version) {
     shared_.step_down(lock, "active format version is not the one it knows");
     return false;
   }
-  auto step = rollout::next_step(snapshot, seen->registry, view.expected(), seen->answers, describe_leader(snapshot.on), wall_now(),
-                                 shared_.config.options.format_version_soak_s);
+  auto step = rollout::next_step(snapshot, observation->registry, view.controller_labels(), observation->peer_versions,
+                                 describe_leader(snapshot.on), wall_now(), shared_.config.options.format_version_soak_s);
   if (step.changes() > shared_.config.settings.txn_ops) {
     step = {};
     step.blocked_by = "transactions of more changes than the state service allows";
   }
   set_blocked_by(step.blocked_by, snapshot.on.format_version);
-  if (step.kind == rollout::Step::Kind::none) return agree_on_quotas(seen->files);
+  if (step.kind == rollout::Step::Kind::none) return queue_quota_changes(observation->quotas_by_controller);
   shared_.term->rollout_step = std::move(step);
   commit_queue_.wake_committer();
   return true;
@@ -108,12 +109,12 @@
   if (!reason.empty()) spdlog::info("format version {}: active, a change waits for: {}", active_version, reason);
 }
 
-bool RolloutManager::agree_on_quotas(const std::map<std::string, std::optional<TeamQuotas>>& files) {
+bool RolloutManager::queue_quota_changes(const std::map<std::string, std::optional<TeamQuotas>>& quotas_by_controller) {
   Term& term = *shared_.term;
   if (!has_team_quotas(term.ledger_writer.format_version()) || term.active_version.downgrade_to != 0) return false;
-  // Asked again while they are on their way, they would be sent once more at each look.
+  // Queued quotas that are not applied yet would be queued again at each check.
   if (!commit_queue_.is_applied(term.quotas_ticket)) return false;
-  auto changed = next_quota_records(term.cluster_state->quota_accounts(), shared_.config.team_quotas, files);
+  auto changed = next_quota_records(term.cluster_state->quota_accounts(), shared_.config.team_quotas, quotas_by_controller);
   if (changed.empty()) return false;
   std::vector<Record> records;
   for (auto& record : changed) {
@@ -126,18 +127,18 @@
 
 bool RolloutManager::send_step(StoreClient& store, std::stop_token stop, Lock& lock) {
   const auto term = shared_.term_number;
-  commit_queue_.await_write(lock, stop, false);
+  commit_queue_.wait_for_write_permit(lock, stop, false);
   if (!shared_.is_term(term) || !shared_.term->rollout_step) return false;
   const rollout::Step step = *shared_.term->rollout_step;
   commit_queue_.charge_writes(step.changes());
   metrics_.counters.writes += step.changes();
-  shared_.term->leader_key_in_doubt = step.raises_token();
+  shared_.term->leader_key_update_unacknowledged = step.raises_token();
   lock.unlock();
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
   const auto status = store.commit(step.body(), revision, failed);
-  // Without an answer, or where an earlier try may have been committed, nothing is written until the keys tell: it is not known
-  // in which format, nor under which token.
+  // If the outcome is unknown, or an earlier attempt may have been committed, nothing is written until the keys have been read: neither
+  // the format version nor the fencing token is known.
   std::optional<rollout::LeadershipSnapshot> snapshot;
   if (status == StoreStatus::conflict || status == StoreStatus::in_doubt) {
     snapshot = read_keys(store, stop, term);
@@ -148,12 +149,12 @@
   }
   lock.lock();
   if (!shared_.is_term(term)) return false;
-  shared_.term->leader_key_in_doubt = false;
+  shared_.term->leader_key_update_unacknowledged = false;
   if (status == StoreStatus::unavailable) {
     lock.unlock();
     pause_for(stop, kRetryPauseS);
     lock.lock();
-    if (shared_.is_term(term)) shared_.term->rollout_step.reset();  // planned anew
+    if (shared_.is_term(term)) shared_.term->rollout_step.reset();  // it is planned again
     return false;
   }
   if (status == StoreStatus::refused) {
@@ -174,9 +175,9 @@
         spdlog::error("key-value store: leader keys malformed: {}", e.what());
       }
     }
-    const bool goes_on = pause_for(stop, kRetryPauseS);
+    const bool may_retry = pause_for(stop, kRetryPauseS);
     Lock lock(shared_.mutex);
-    if (!goes_on || !shared_.is_term(term)) return std::nullopt;
+    if (!may_retry || !shared_.is_term(term)) return std::nullopt;
   }
 }
 
--- a/src/controller/rollout_manager.hpp
+++ b/src/controller/rollout_manager.hpp
@@ -1,6 +1,6 @@
-// Roll-outs: registers this controller's build in the registry, and on the leader plans the steps towards another format
-// version and towards team quotas that all controllers agree on. LedgerCommitter sends a planned step between two commits
-// (send_step). The rules are pure and stand in rollout/format_versions and cluster_state/quota_agreement.
+// Rollouts: registers this controller's build in the registry. On the leader, plans the steps that change the active format version,
+// and those that bring team quotas into force once all controllers agree on them. LedgerCommitter sends a planned step between two
+// commits (send_step). The rules are pure: see rollout/format_versions and cluster_state/quota_agreement.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -20,24 +20,25 @@
 class RolloutManager {
  public:
   RolloutManager(SharedState& shared, CommitQueue& commit_queue, ControllerMetrics& metrics);
-  // Until asked to stop.
+  // Runs until a stop is requested.
   void run(std::stop_token stop);
-  // On the committer's thread: sends the step that was planned and takes in what came of it; false when nothing may be written
-  // yet, since the active version or the fencing token is not known for sure.
+  // Called on the committer's thread: sends the planned step and applies its outcome. Returns false if nothing may be written yet,
+  // because the active version or the fencing token is not known.
   bool send_step(StoreClient& store, std::stop_token stop, Lock& lock);
-  // For what the next format version is waited; empty: for nothing.
+  // What prevents the next change of the format version; empty: nothing.
   [[nodiscard]] const std::string& blocked_by() const { return blocked_by_; }
 
  private:
-  // Plans the next step, or queues changed quotas; whether there was one.
+  // Plans the next step or queues changed quotas. Returns whether it did either.
   bool plan_step(RegistryView& view, StoreClient& store, std::stop_token stop);
   [[nodiscard]] rollout::Leading describe_leader(const ActiveVersion& active) const;
   void set_blocked_by(const std::string& reason, std::uint32_t active_version);
-  bool agree_on_quotas(const std::map<std::string, std::optional<TeamQuotas>>& files);
-  // The leadership keys, asked for until they are answered; nothing when the term ends or the thread is to stop.
+  // Queues records for the quotas that changed. Returns whether there were any.
+  bool queue_quota_changes(const std::map<std::string, std::optional<TeamQuotas>>& quotas_by_controller);
+  // Reads the leadership keys, and retries until it succeeds. Returns nullopt if the term ends or the thread has to stop.
   std::optional<rollout::LeadershipSnapshot> read_keys(StoreClient& store, std::stop_token stop, std::uint64_t term) const;
   bool apply_committed_step(const rollout::Step& step, std::uint64_t revision);
-  // An earlier try may have been committed: the keys tell.
+  // Applies the keys that were read after a step with an unknown outcome. Returns false if this controller stepped down.
   bool apply_snapshot(const Lock& lock, const rollout::LeadershipSnapshot& snapshot);
   void adopt_version(const ActiveVersion& active, std::uint64_t mod_revision);
 
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -14,11 +14,11 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kIdlePeriodS = 1.0;  // a pass at least this often
-constexpr double kStartWaitS = 30.0;  // for a commit of starts, after which it is waited for once more
-constexpr double kRaiseTokenPeriodS = 1.0;
+constexpr double kMaxPassIntervalS = 1.0;      // without a pass request
+constexpr double kStartCommitTimeoutS = 30.0;  // of one wait for the commit of starts; the wait is then repeated
+constexpr double kMinTokenRaiseIntervalS = 1.0;
 
-PassParameters pass_parameters(const ControllerConfig& config) {
+PassParameters make_pass_parameters(const ControllerConfig& config) {
   PassParameters out;
   out.weight = config.options.weight;
   out.overrun_s = config.options.overrun_s;
@@ -38,50 +38,50 @@
 SchedulingLoop::SchedulingLoop(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ControllerMetrics& metrics)
     : shared_(shared),
       commit_queue_(commit_queue),
-      commands_(commands),
+      command_sender_(commands),
       metrics_(metrics),
-      plan_input_builder_(pass_parameters(shared.config)) {
-  for (const auto& [job_class, targets] : pass_parameters(shared.config).start_targets) classes_with_start_targets_.insert(job_class);
+      plan_input_builder_(make_pass_parameters(shared.config)) {
+  for (const auto& [job_class, targets] : make_pass_parameters(shared.config).start_targets) classes_with_start_targets_.insert(job_class);
 }
 
 void SchedulingLoop::run(std::stop_token stop) {
   const PassPacing pacing{shared_.config.options.pass_period_s, shared_.config.settings.cpu};
   Lock lock(shared_.mutex);
   while (!stop.stop_requested()) {
-    shared_.wait_for_pass_request(lock, stop, kIdlePeriodS);
+    shared_.wait_for_pass_request(lock, stop, kMaxPassIntervalS);
     if (stop.stop_requested()) return;
     PassCost cost;
-    if (shared_.may_decide()) cost = pass(lock);
+    if (shared_.may_decide()) cost = run_pass(lock);
     lock.unlock();
-    // A pass holds the lock that heartbeats and submissions wait for, and takes the processor from them.
+    // The rest lets heartbeats and submissions proceed: a pass holds the mutex that they wait for, and uses CPU time.
     if (!pause_for(stop, rest_after_pass(cost, pacing))) return;
     lock.lock();
   }
 }
 
-PassCost SchedulingLoop::pass(Lock& lock) {
+PassCost SchedulingLoop::run_pass(Lock& lock) {
   const double processor_before = thread_processor_seconds();
-  const PassContext context = pass_context();
+  const PassContext context = make_pass_context();
   const auto term = shared_.term_number;
   expire_leases(context.steady);
-  fence_uncertain_starts(context.steady);
-  std::set<NodeIndex> touched;
-  mark_stops(context, touched);
+  fence_unacknowledged_starts(context.steady);
+  std::set<NodeIndex> nodes_with_commands;
+  mark_tasks_to_stop(context, nodes_with_commands);
   update_idle_times(context.steady);
-  const Decision decision = plan(context, touched);
+  const Decision decision = make_decision(context, nodes_with_commands);
   const PlannedStarts starts = assign_tasks(*shared_.term->cluster_state, decision.plan.starts, context.wall);
-  touched.insert(starts.nodes.begin(), starts.nodes.end());
-  charge_promoted(decision);
-  const PassCost cost = record_cost(decision, context.steady, processor_before);
+  nodes_with_commands.insert(starts.nodes.begin(), starts.nodes.end());
+  charge_promoted_jobs(decision);
+  const PassCost cost = record_pass_cost(decision, context.steady, processor_before);
   if (!commit_starts(lock, starts, decision.plan.starts, context.steady)) return cost;
-  // Where leadership is uncertain by now, the answers to heartbeats carry the starts once it is certain again.
+  // If leadership has become uncertain, the starts go out with heartbeat replies once it is certain again.
   if (!starts.records.empty() && !shared_.may_decide()) return cost;
   if (shared_.is_term(term))
-    for (const NodeIndex node : touched) commands_.enqueue(node);
+    for (const NodeIndex node : nodes_with_commands) command_sender_.enqueue(node);
   return cost;
 }
 
-PassContext SchedulingLoop::pass_context() const {
+PassContext SchedulingLoop::make_pass_context() const {
   const Term& term = *shared_.term;
   PassContext out;
   out.steady = steady_now();
@@ -106,9 +106,9 @@
   }
 }
 
-void SchedulingLoop::fence_uncertain_starts(double steady) {
+void SchedulingLoop::fence_unacknowledged_starts(double steady) {
   Term& term = *shared_.term;
-  if (steady - term.token_raised_at <= kRaiseTokenPeriodS) return;
+  if (steady - term.token_raised_at <= kMinTokenRaiseIntervalS) return;
   const ClusterState& cluster_state = *term.cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
@@ -119,14 +119,14 @@
   }
 }
 
-void SchedulingLoop::mark_stops(const PassContext& context, std::set<NodeIndex>& touched) {
+void SchedulingLoop::mark_tasks_to_stop(const PassContext& context, std::set<NodeIndex>& nodes_with_commands) {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady, context.wall})) touched.insert(node);
-  for (const NodeIndex node : resume_inherited_stops(cluster_state)) touched.insert(node);
+  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady, context.wall})) nodes_with_commands.insert(node);
+  for (const NodeIndex node : resume_inherited_stops(cluster_state)) nodes_with_commands.insert(node);
   if (!stop_broken_gangs(cluster_state)) return;
   for (const JobIndex job : cluster_state.live())
     for (const auto& [task, placement] : cluster_state.job(job).placed)
-      if (placement.stopping) touched.insert(placement.node);
+      if (placement.stopping) nodes_with_commands.insert(placement.node);
 }
 
 void SchedulingLoop::update_idle_times(double steady) {
@@ -145,28 +145,29 @@
   }
   for (const JobIndex index : cluster_state.live()) {
     const Job& job = cluster_state.job(index);
-    if (job.pending > 0 || job.spec.job_type != JobType::service) term.last_active_at = steady;
+    if (job.pending > 0 || job.spec.job_type != JobType::service) term.last_work_at = steady;
   }
 }
 
-SchedulingLoop::Decision SchedulingLoop::plan(const PassContext& context, std::set<NodeIndex>& touched) {
+SchedulingLoop::Decision SchedulingLoop::make_decision(const PassContext& context, std::set<NodeIndex>& nodes_with_commands) {
   Term& term = *shared_.term;
   ClusterState& cluster_state = *term.cluster_state;
   term.within_guarantee = jobs_within_guarantee(cluster_state);
   Decision out;
   out.input = plan_input_builder_.build(cluster_state, context, term.within_guarantee);
-  out.promoted = promote_starving_jobs(out.input, cluster_state, term.starvation_guard, shared_.release_rate.rate(context.steady), context,
-                                       term.within_guarantee);
-  // Units without a slot before a node requested now could be up.
+  out.promoted_jobs = promote_starving_jobs(out.input, cluster_state, term.starvation_guard,
+                                            shared_.capacity_release_rate.rate(context.steady), context, term.within_guarantee);
+  // Units with a later slot count as late: a node requested now could be up by then.
   out.input.horizon = context.wall + shortest_boot_s(cluster_state);
   out.plan = make_plan(out.input);
   term.unserved = out.plan.unserved;
-  out.preempted_tasks = preempt(out.input, out.plan, context, touched);
+  out.preempted_tasks = preempt_tasks(out.input, out.plan, context, nodes_with_commands);
   return out;
 }
 
-// What is stopped here makes room that later passes give out, highest tier first.
-std::size_t SchedulingLoop::preempt(const PlanInput& input, Plan& plan, const PassContext& context, std::set<NodeIndex>& touched) {
+// Later passes allocate the freed resources, highest priority tier first.
+std::size_t SchedulingLoop::preempt_tasks(const PlanInput& input, Plan& plan, const PassContext& context,
+                                          std::set<NodeIndex>& nodes_with_commands) {
   Term& term = *shared_.term;
   ClusterState& cluster_state = *term.cluster_state;
   const PreemptionInput preemption_input{cluster_state,
@@ -174,7 +175,7 @@
                                          plan,
                                          term.within_guarantee,
                                          context.wall,
-                                         shared_.release_rate.rate(context.steady),
+                                         shared_.capacity_release_rate.rate(context.steady),
                                          classes_with_start_targets_,
                                          term.starvation_guard.protected_jobs()};
   const PreemptionPlan preemption = choose_victims(preemption_input);
@@ -184,22 +185,22 @@
   for (const auto& victim : preemption.victims) {
     Placement* placement = cluster_state.placement(victim.ref);
     mark_for_stop(*placement, victim.grace_period_s);
-    touched.insert(placement->node);
+    nodes_with_commands.insert(placement->node);
     ++metrics_.counters.preempted;
   }
   return preemption.victims.size();
 }
 
-void SchedulingLoop::charge_promoted(const Decision& decision) {
+void SchedulingLoop::charge_promoted_jobs(const Decision& decision) {
   Term& term = *shared_.term;
   for (const auto& slot : decision.plan.starts) {
-    if (!decision.promoted.contains(slot.job)) continue;
+    if (!decision.promoted_jobs.contains(slot.job)) continue;
     term.starvation_guard.charge(slot.job, term.cluster_state->job(slot.job).spec.demand.cores * slot.count);
   }
 }
 
-PassCost SchedulingLoop::record_cost(const Decision& decision, double began, double processor_before) {
-  const PassCost cost{steady_now() - began, thread_processor_seconds() - processor_before};
+PassCost SchedulingLoop::record_pass_cost(const Decision& decision, double started_at, double processor_before) {
+  const PassCost cost{steady_now() - started_at, thread_processor_seconds() - processor_before};
   Counters& counters = metrics_.counters;
   ++counters.passes;
   counters.pass_seconds = counters.pass_seconds + cost.elapsed_s;
@@ -225,9 +226,9 @@
     }
   }
   for (const auto& slot : slots) shared_.term->starting_nodes.insert(slot.node);
-  shared_.start_stalls.record_planned(steady);
+  shared_.start_stall_detector.record_planned(steady);
   const auto ticket = commit_queue_.enqueue(std::move(records));
-  while (!commit_queue_.wait_applied(lock, ticket, kStartWaitS))
+  while (!commit_queue_.wait_applied(lock, ticket, kStartCommitTimeoutS))
     if (!shared_.is_term(term)) return false;
   shared_.term->starting_nodes.clear();
   return true;
--- a/src/controller/scheduling_loop.hpp
+++ b/src/controller/scheduling_loop.hpp
@@ -1,6 +1,6 @@
-// The scheduling loop of the leader: on a change, and at least once a second, it makes one pass. A pass expires leases, marks
-// what must stop, plans (scheduling/), and commits the starts in one transaction; nothing starts, and no other pass is made,
-// until that is known to be committed.
+// The leader's scheduling loop: runs a scheduling pass after each change, and at least once a second. A pass expires leases, marks
+// tasks that have to stop, makes a plan (scheduling/), and commits the task starts in one transaction. No start command is sent, and
+// no further pass is run, before the starts are known to be committed.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -20,38 +20,38 @@
 class SchedulingLoop {
  public:
   SchedulingLoop(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ControllerMetrics& metrics);
-  // Until asked to stop.
+  // Runs until a stop is requested.
   void run(std::stop_token stop);
 
  private:
-  // What one pass decided.
+  // The result of planning in one pass.
   struct Decision {
     PlanInput input;
     Plan plan;
-    std::set<JobIndex> promoted;
+    std::set<JobIndex> promoted_jobs;
     std::size_t preempted_tasks = 0;
   };
 
-  // Makes one plan and commits its starts; what making the plan cost.
-  PassCost pass(Lock& lock);
-  PassContext pass_context() const;
+  // Makes one plan and commits its starts. Returns the cost of making the plan.
+  PassCost run_pass(Lock& lock);
+  PassContext make_pass_context() const;
   void expire_leases(double steady);
-  // Starts without an answer are fenced by a higher token, one for all that came up within a second.
-  void fence_uncertain_starts(double steady);
-  // Marks the tasks that must stop whatever is planned; adds the nodes that have commands due by that.
-  void mark_stops(const PassContext& context, std::set<NodeIndex>& touched);
+  // Requests a higher fencing token if start commands are unacknowledged; at most one token a second, which fences off all of them.
+  void fence_unacknowledged_starts(double steady);
+  // Marks the tasks that have to stop regardless of the plan, and adds their nodes to `nodes_with_commands`.
+  void mark_tasks_to_stop(const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
   void update_idle_times(double steady);
-  Decision plan(const PassContext& context, std::set<NodeIndex>& touched);
-  // Stops running tasks to make room; returns how many.
-  std::size_t preempt(const PlanInput& input, Plan& plan, const PassContext& context, std::set<NodeIndex>& touched);
-  void charge_promoted(const Decision& decision);
-  // Whether the starts are in the ledger, or there are none; false when the term has ended.
+  Decision make_decision(const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
+  // Preempts running tasks and returns how many.
+  std::size_t preempt_tasks(const PlanInput& input, Plan& plan, const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
+  void charge_promoted_jobs(const Decision& decision);
+  // Returns true once the starts are committed, or if there are none; false if the term has ended.
   bool commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double steady);
-  PassCost record_cost(const Decision& decision, double began, double processor_before);
+  PassCost record_pass_cost(const Decision& decision, double started_at, double processor_before);
 
   SharedState& shared_;
   CommitQueue& commit_queue_;
-  CommandSender& commands_;
+  CommandSender& command_sender_;
   ControllerMetrics& metrics_;
   PlanInputBuilder plan_input_builder_;  // guarded by SharedState::mutex
   std::set<std::string> classes_with_start_targets_;
--- a/src/controller/service_monitor.cpp
+++ b/src/controller/service_monitor.cpp
@@ -29,9 +29,9 @@
 }
 
 void ServiceMonitor::report_stalled_starts(double now) {
-  if (!shared_.start_stalls.should_report(now)) return;
+  if (!shared_.start_stall_detector.should_report(now)) return;
   spdlog::info("scheduling: stalled, no start for {:.0f} s though work fits, {} records queued for the ledger, store writes {}",
-               shared_.start_stalls.stalled_for(now), commit_queue_.size(), commit_queue_.is_failing() ? "fail" : "succeed");
+               shared_.start_stall_detector.stalled_for(now), commit_queue_.size(), commit_queue_.is_failing() ? "fail" : "succeed");
 }
 
 void ServiceMonitor::report_pending_work() {
--- a/src/controller/shared_state.cpp
+++ b/src/controller/shared_state.cpp
@@ -29,21 +29,21 @@
   if (fencing_token < known_leader.fencing_token) return;
   if (fencing_token == known_leader.fencing_token && !known_leader.label.empty()) return;
   if (label != known_leader.label) {
-    // Until the leader says when it took over, only a raised token of the same leader leaves that as it was.
+    // Assumed to be the takeover token until the leader reports it. A raised token of the same leader does not change it.
     known_leader.takeover_token = fencing_token;
-    on_leader_change(!label.empty());
+    handle_leader_change(!label.empty());
     if (!label.empty()) spdlog::info("leader: now {}, fencing token {}", label, fencing_token);
   }
   known_leader.fencing_token = fencing_token;
   known_leader.label = label;
 }
 
-void SharedState::on_leader_change(bool label_known) {
-  ++known_leader.number;
-  known_leader.since = steady_now();
-  // But for its own takeover: what it was granted holds until it has read the ledger.
+void SharedState::handle_leader_change(bool label_known) {
+  ++known_leader.change_count;
+  known_leader.known_since = steady_now();
+  // At its own takeover this controller keeps its partition lease until it has read the ledger.
   if (role == Role::follower) partition_lease.revoke();
-  // Which workers can't reach the earlier leader says nothing of this one.
+  // Agents that could not reach the earlier leader may reach the new one.
   redirects.clear();
   if (FramePool* pool = leader_pool(); pool && label_known) pool->interrupt();
 }
@@ -61,21 +61,21 @@
   partition_lease.revoke();
   follower_since = steady_now();
   ++term_number;
-  start_stalls.record_started();
+  start_stall_detector.record_started();
   term.reset();
   if (known_leader.label == config.settings.label) known_leader.label.clear();
   for (const auto& listener : step_down_listeners_) listener();
   role_changed.notify_all();
-  pass_wanted_.notify_all();
+  pass_request_added_.notify_all();
 }
 
 void SharedState::request_pass() {
   pass_requested_ = true;
-  pass_wanted_.notify_all();
+  pass_request_added_.notify_all();
 }
 
 void SharedState::wait_for_pass_request(Lock& lock, std::stop_token stop, double timeout_s) {
-  pass_wanted_.wait_for(lock, stop, std::chrono::duration<double>(timeout_s), [&] { return pass_requested_; });
+  pass_request_added_.wait_for(lock, stop, std::chrono::duration<double>(timeout_s), [&] { return pass_requested_; });
   if (!stop.stop_requested()) pass_requested_ = false;
 }
 
--- a/src/controller/shared_state.hpp
+++ b/src/controller/shared_state.hpp
@@ -1,8 +1,8 @@
-// What several duties of a controller need: its role, its term, who leads, and the lock over all of it.
+// State shared by the components of a controller: its role, its term, the known leader, and the mutex that guards them.
 //
-// Locking: there is one mutex. Everything here, and every member of a duty that is marked "guarded by SharedState::mutex", is
-// read and written only while it is held; methods that take no `Lock` argument are called with it held. Nobody holds it across
-// I/O. HeartbeatRelay has a mutex of its own, which is never held while this one is taken.
+// Locking: there is one mutex. All members here, and all members of components marked "guarded by SharedState::mutex", are accessed
+// only while it is held. Methods without a `Lock` argument are called with it held. It is never held across I/O. HeartbeatRelay has
+// a mutex of its own, which is never held while this one is acquired.
 #pragma once
 #include <condition_variable>
 #include <cstdint>
@@ -25,8 +25,8 @@
 
 using Lock = std::unique_lock<std::mutex>;
 
-// Seconds for which an answer that may become outdated can be on its way to its user, other controllers included.
-inline constexpr double kAnswerLifeS = 0.5;
+// Seconds within which a reply that may become outdated must be sent to its user, including forwarding by other controllers.
+inline constexpr double kReplyLifetimeS = 0.5;
 
 enum class Role { follower, recovering, leading };
 
@@ -35,12 +35,12 @@
   std::string label;  // empty: not known
   std::uint64_t fencing_token = 0;
   std::uint64_t takeover_token = UINT64_MAX;
-  std::uint64_t number = 0;  // counts the leads that it learned of; two leads of one controller are two
-  double since = 0;
+  std::uint64_t change_count = 0;  // leader changes that this controller learned of, including a new term of the same leader
+  double known_since = 0;
   double last_heartbeat_at = 0;
 };
 
-// What a follower remembers of a worker that it sent to the leader. Times are steady seconds.
+// What a follower remembers of an agent that it redirected to the leader. Times are steady seconds.
 struct WorkerRedirect {
   double redirected_at = -1e9;
   double forward_until = 0;
@@ -53,50 +53,50 @@
   mutable std::mutex mutex;
 
   Role role = Role::follower;
-  std::uint64_t term_number = 0;  // grows at each begin and end of a term: work begun in an earlier one is dropped
-  std::unique_ptr<Term> term;     // not null while the role is not follower
+  std::uint64_t term_number = 0;  // incremented at each start and end of a term, so that work from an earlier term is discarded
+  std::unique_ptr<Term> term;     // null if and only if the role is follower
   double follower_since = 0;      // steady seconds
   std::condition_variable_any role_changed;
 
   KnownLeader known_leader;
   std::vector<PeerLink> peers;                                // in the order of the settings; never resized
-  PartitionLease partition_lease;                             // under which this controller may renew leases in a partition
-  std::unordered_map<std::string, WorkerRedirect> redirects;  // by node; of the known leader
+  PartitionLease partition_lease;                             // allows this controller to renew agents' leases in a partition
+  std::unordered_map<std::string, WorkerRedirect> redirects;  // by node name; to the known leader
 
-  // Steady seconds: until then answers that this controller gave, and that may become outdated, can be on their way.
-  double answers_valid_until = 0;
-  // Steady seconds: since when no leader is known that could read the ledger; 0: one is.
+  // Steady seconds at which the last reply of this controller that may become outdated expires.
+  double replies_valid_until = 0;
+  // Steady seconds since which no leader is known to have read the ledger; 0: the known leader has read it.
   double ledger_unreadable_since = 0;
-  StartStallDetector start_stalls;
-  CapacityReleaseRate release_rate;  // cores that tasks gave back by ending
+  StartStallDetector start_stall_detector;
+  CapacityReleaseRate capacity_release_rate;  // cores released by completed tasks
 
-  // Whether this controller leads for certain at this moment: it may decide, and may tell users what the cluster state says.
+  // Whether this controller is certain to be the leader now. Only then may it make decisions and report the cluster state to users.
   [[nodiscard]] bool may_decide() const;
-  // Whether `number` is still the present term.
+  // Whether `number` is still the current term.
   [[nodiscard]] bool is_term(std::uint64_t number) const { return term_number == number; }
 
-  // Another controller, or this one, leads under this token. Older news changes nothing.
+  // Records that this or another controller leads under this token. An older token than the known one changes nothing.
   void observe_leader(std::uint64_t fencing_token, const std::string& label);
-  // Another lead than the one known before began, perhaps of the same controller. `label_known`: calls to the earlier leader
-  // are ended, since they are better sent to this one.
-  void on_leader_change(bool label_known);
-  // Connections to the known leader; null when it is not a peer, or not known.
+  // Called when a new term of this or another controller becomes known. `label_known`: pending calls to the earlier leader are
+  // interrupted, so that they are sent to the new one.
+  void handle_leader_change(bool label_known);
+  // Connections to the known leader; null if it is not known or not a peer.
   FramePool* leader_pool();
 
-  // Ends the term. Harmless where there is none.
+  // Ends the term, if there is one.
   void step_down(const Lock& lock, const char* reason);
-  // Called by step_down, with the mutex held, for what duties keep of a term.
-  void on_step_down(std::function<void()> listener) { step_down_listeners_.push_back(std::move(listener)); }
+  // Adds a listener that step_down calls with the mutex held, so that components discard what they keep for the term.
+  void add_step_down_listener(std::function<void()> listener) { step_down_listeners_.push_back(std::move(listener)); }
 
-  // Asks the scheduling loop for a pass.
+  // Requests a pass of the scheduling loop.
   void request_pass();
-  // Waits until a pass is requested, at most this long; takes the request.
+  // Waits until a pass is requested or the time-out expires. Clears the request.
   void wait_for_pass_request(Lock& lock, std::stop_token stop, double timeout_s);
 
  private:
   std::vector<std::function<void()>> step_down_listeners_;
   bool pass_requested_ = false;
-  std::condition_variable_any pass_wanted_;
+  std::condition_variable_any pass_request_added_;
 };
 
 }  // namespace thistlefront
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -1,5 +1,5 @@
-// One term of leadership: everything that ends with it. Guarded by SharedState::mutex; replaced as a whole when this
-// controller takes the lead, destroyed when it steps down.
+// The state of one term of leadership. Guarded by SharedState::mutex; created when this controller takes over, destroyed when it
+// steps down.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -24,47 +24,47 @@
 namespace thistlefront {
 
 struct Term {
-  // ---- the lead itself
-  std::uint64_t takeover_token = 0;        // fencing token with which the term began
-  std::uint64_t fencing_token = 0;         // now; raised to fence commands without an answer
+  // ---- leadership
+  std::uint64_t takeover_token = 0;        // fencing token at the start of the term
+  std::uint64_t fencing_token = 0;         // current; raised to fence off unacknowledged commands
   std::uint64_t session_lease = 0;         // of the key-value store; the leader's key is attached to it
-  double lease_valid_until = 0;            // steady seconds: no other controller can lead before
+  double lease_valid_until = 0;            // steady seconds; no other controller can lead before then
   double taken_over_at = 0;                // steady seconds
-  QuorumTracker quorum;                    // what the other controllers acknowledged in this term
-  const char* hand_over_reason = nullptr;  // not null: leadership is to be given up in order, and nothing is decided any more
+  QuorumTracker quorum;                    // the peers' acknowledgements in this term
+  const char* hand_over_reason = nullptr;  // not null: leadership is to be handed over, and no decisions are made any more
   bool raise_token_requested = false;
-  bool leader_key_in_doubt = false;  // a change of its own leader key is under way, or has no answer yet
-  double token_raised_at = 0;        // steady seconds
+  bool leader_key_update_unacknowledged = false;  // this controller sent a change of its leader key that is not acknowledged yet
+  double token_raised_at = 0;                     // steady seconds
 
-  // ---- the ledger and what it says
-  std::optional<ReadLedger> preread_ledger;     // read before the lead was taken
+  // ---- ledger
+  std::optional<ReadLedger> preread_ledger;     // read before the takeover
   std::unique_ptr<ClusterState> cluster_state;  // null until the ledger has been read
   LedgerWriter ledger_writer;
-  bool first_term_ever = false;  // the ledger was empty: no earlier leader rented or placed anything
+  bool first_term_ever = false;  // the ledger was empty: no earlier leader requested instances or placed tasks
   bool first_start_committed = false;
   double last_commit_at = 0;  // steady seconds
   ActiveVersion active_version;
-  std::uint64_t version_mod_revision = 0;     // of the record that says which format version is active
+  std::uint64_t version_mod_revision = 0;     // of the key that holds the active format version
   std::optional<rollout::Step> rollout_step;  // planned by RolloutManager, sent by LedgerCommitter
-  std::uint64_t quotas_ticket = 0;            // of the team quotas that were queued last
+  std::uint64_t quotas_ticket = 0;            // of the latest queued team quotas
 
   // ---- scheduling
-  std::set<JobIndex> within_guarantee;  // as the last pass found them
+  std::set<JobIndex> within_guarantee;  // jobs within a team guarantee, as of the latest pass
   StarvationGuard starvation_guard;
-  std::vector<Plan::Unserved> unserved;           // by the last pass
-  std::set<NodeIndex> starting_nodes;             // a start on them is on its way into the ledger
-  double last_active_at = 0;                      // steady seconds: when work last waited or ended
-  std::map<MachineOffer, double> refused_offers;  // by the cloud; steady seconds at which to try again
+  std::vector<Plan::Unserved> unserved;           // units that the latest pass did not start
+  std::set<NodeIndex> starting_nodes;             // task starts on these nodes are being committed
+  double last_work_at = 0;                        // steady seconds of the latest pass with a pending task or a job other than a service
+  std::map<MachineOffer, double> refused_offers;  // offers refused by the cloud -> steady seconds at which to request them again
 
   // ---- agents
-  // Heartbeats answered while the ledger was being read, by node, steady seconds: leases count from then.
-  std::unordered_map<std::string, double> early_answers;
+  // By node name: steady seconds of the latest reply sent before the ledger had been read. The nodes' leases run from then.
+  std::unordered_map<std::string, double> early_reply_times;
   HeartbeatDeltaDecoder relayed_heartbeats;
-  bool accepts_batches = false;  // of heartbeats; once true, it stays so to the end of the term
+  bool accepts_heartbeat_batches = false;  // from relaying peers; never reset within the term
   WorkerBalancer balancer;
-  double commands_failing_since = 0;  // steady seconds: no direct command was answered since; 0: the latest one was
-  std::size_t direct_agents = 0;      // that report to this controller itself, as counted last
-  double direct_agents_at = 0;        // steady seconds
+  double commands_failing_since = 0;    // steady seconds; no direct command has been answered since. 0: the latest one was answered
+  std::size_t direct_agent_count = 0;   // agents that send heartbeats to this controller itself, as of the latest count
+  double direct_agents_counted_at = 0;  // steady seconds
 
   [[nodiscard]] const char* leader_key() const { return leader_key_for(active_version.format_version); }
 };
