--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -8,7 +8,7 @@
 namespace thistlefront {
 namespace {
 
-using test_support::status_in;
+using test_support::status_of;
 using test_support::wait;
 
 constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
@@ -29,9 +29,9 @@
 };
 TEST_P(HeldAnswer, IsNotGivenAfterANewerOne) {
   const HeldRequest& held = GetParam();
-  Options options = test_support::one_level();
+  Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 500;  // another controller leads well within the time that a follower waits
-  begin(3, 0, "", options);
+  start_cluster(3, 0, "", options);
   bool met = false;
   for (int round = 1; round <= 4 && !met; ++round) {
     const std::string uid = "j-" + std::to_string(round);
@@ -42,8 +42,8 @@
     const auto leader = cluster->leader(), follower = (leader + 1) % 3, next = (leader + 2) % 3;
     ASSERT_TRUE(cluster->eventually(10, [&] { return cluster->ask(follower, "GET", "/v1/jobs/j-9").is(200); }));
     // The follower does not learn of the next leader.
-    relays.at({next, follower})->cut(true);
-    relays.at({follower, leader})->hold_answers(true);
+    network_relays.at({next, follower})->cut(true);
+    network_relays.at({follower, leader})->hold_answers(true);
     HttpResult answer;
     double answered = 0;
     std::jthread user([&] {
@@ -58,13 +58,13 @@
     cluster->eventually(1.4, [&] {
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
       newer =
-          status_in(held.known || !held.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw") : cluster->submit(next, uid));
-      if (newer == "unknown") newer = status_in(cluster->submit(next, uid));  // a job that was refused before
+          status_of(held.known || !held.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw") : cluster->submit(next, uid));
+      if (newer == "unknown") newer = status_of(cluster->submit(next, uid));  // a job that was refused before
       return !newer.empty();
     });
     met = !newer.empty() && answered == 0;
     const double released_at = steady_now();
-    relays.at({follower, leader})->hold_answers(false);
+    network_relays.at({follower, leader})->hold_answers(false);
     user.join();
     // Only an answer that came when it was let through, and not at its time limit, shows anything.
     met = met && answered - released_at < 0.3;
@@ -72,7 +72,7 @@
       EXPECT_TRUE(answer.is(503)) << held.name << ": " << answer.status << " " << answer.body << " after " << newer;
     }
     cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = false;
-    relays.at({next, follower})->cut(false);
+    network_relays.at({next, follower})->cut(false);
   }
   EXPECT_TRUE(met) << "the answer was held while another one led";
 }
@@ -135,7 +135,7 @@
 
 TEST_P(CloseLooks, NoControllerAnswersSomethingOlder) {
   const auto n = GetParam();
-  begin(n, 3);
+  start_cluster(n, 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   std::vector<std::jthread> users;
   for (unsigned u = 1; u <= 3; ++u) users.emplace_back([this, u] { use(u); });
@@ -163,14 +163,14 @@
   leader = cluster->leader();
   // It reaches nobody but its workers and users.
   depose(leader, 3, kEnoughQuestions + 1, [&](bool is) {
-    part(leader, is);
+    set_partition(leader, is);
     cluster->state.endpoint(leader).refuses = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while it is parted and another one leads";
   leader = cluster->leader();
   // What it sends to the store is executed, and no answer comes; and it reaches nobody but its workers and users.
   depose(leader, 2, kEnoughQuestions + 1, [&](bool is) {
-    part(leader, is);
+    set_partition(leader, is);
     cluster->state.endpoint(leader).frozen = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while nothing answers it and another one leads";
@@ -178,7 +178,7 @@
     leader = cluster->leader();
     cluster->stop(leader);
     wait(pause);
-    cluster->start(leader, test_support::one_level());
+    cluster->start(leader, test_support::fixed_version_options());
     wait(1);
   }
   over = true;
@@ -188,7 +188,7 @@
 // Without any fault: a cancellation meets the end of the last task, a question and a repeated submission at other controllers. The job is
 // done or cancelled, and the same for everybody.
 TEST_P(CloseLooks, ACancellationAtTheEndOfTheLastTaskIsOneOrTheOther) {
-  begin(GetParam(), 3);
+  start_cluster(GetParam(), 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   std::atomic<std::size_t> done{0}, aborted{0};
   std::vector<std::jthread> users;
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -1,5 +1,5 @@
-// A cluster for tests: real controllers in this process on loopback, a fake key-value store, a cloud that has no machines unless a test
-// gives one, and calls as users make them.
+// A cluster for tests: real controllers in this process on loopback, a fake key-value store, a fake cloud (without capacity unless a test
+// provides its handler), and the calls of users.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -25,23 +25,22 @@
 }
 
 // The heartbeat of a node without tasks, in zone x.
-inline std::string heartbeat_body(const std::string& machine, const std::string& address, std::uint64_t serial,
-                                  std::uint64_t fencing_token) {
-  return R"({"host":")" + machine + R"(","address":")" + address + R"(","hostKind":"big","yard":"x","loaners":false,"tenure":1,"serial":)" +
+inline std::string heartbeat_body(const std::string& node, const std::string& address, std::uint64_t serial, std::uint64_t fencing_token) {
+  return R"({"host":")" + node + R"(","address":")" + address + R"(","hostKind":"big","yard":"x","loaners":false,"tenure":1,"serial":)" +
          std::to_string(serial) + R"(,"epoch":)" + std::to_string(fencing_token) + R"(,"recallS":null,"pieces":[]})";
 }
 
-// The job status that an answer tells its user, in the checker's terms; empty: none.
-inline std::string status_in(const HttpResult& r) {
-  if (r.is(404)) return "unknown";
-  if (r.is(400) || r.is(422)) return "refused";
-  if (!r.is(200) && !r.is(201)) return "";
-  return nlohmann::json::parse(r.body).at("status");
+// The job status in a reply to a user, in the checker's terms; empty: none.
+inline std::string status_of(const HttpResult& reply) {
+  if (reply.is(404)) return "unknown";
+  if (reply.is(400) || reply.is(422)) return "refused";
+  if (!reply.is(200) && !reply.is(201)) return "";
+  return nlohmann::json::parse(reply.body).at("status");
 }
 
-// Options of tests that are not about format versions: none is raised while they run. The suites that CMakeLists.txt names run a second
-// time with the heartbeat relay on.
-inline Options one_level() {
+// Options for tests that are not about format versions: the soak time is longer than any test, so that no version is activated. The
+// suites named in CMakeLists.txt run a second time with the heartbeat relay on.
+inline Options fixed_version_options() {
   Options out;
   out.format_version_soak_s = 600;
   out.relay_mode = std::getenv("THISTLEFRONT_TEST_HEARTBEAT_RELAY") != nullptr ? RelayMode::on : RelayMode::off;
@@ -50,10 +49,10 @@
 
 class Cluster {
  public:
-  // `options`: one for each controller; the last one is also that of all further ones. `change` is given the settings before any controller
-  // starts. `cloud`: in place of one that has no machines.
-  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& options = {one_level()},
-                   const std::function<void(std::vector<Settings>&)>& change = {}, const HttpServer::Handler& cloud = {})
+  // `options`: by controller; the last element applies to all further controllers. `change_settings` is called before any controller
+  // starts. `cloud`: replaces the cloud without capacity.
+  explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& options = {fixed_version_options()},
+                   const std::function<void(std::vector<Settings>&)>& change_settings = {}, const HttpServer::Handler& cloud = {})
       : state(n, seed), cloud_address_(free_address()), cloud_(cloud_address_, 20, [cloud](const HttpCall& c) -> HttpReply {
           if (cloud) return cloud(c);
           if (c.target == kMachineTypesPath) return {200, kMachineTypes};
@@ -79,58 +78,58 @@
         if (k != i) settings_[i].peers.push_back({settings_[k].label, "x", settings_[k].peer_listen});
       users.push_back(settings_[i].client_listen);
     }
-    if (change) change(settings_);
-    replicas_.resize(n);
+    if (change_settings) change_settings(settings_);
+    controllers_.resize(n);
     for (std::size_t i = 0; i < n; ++i) start(i, options[std::min(i, options.size() - 1)]);
   }
   ~Cluster() { stop_all(); }
-  // Stops all controllers, at the same time, after whatever trouble there was.
+  // Ends the faults of the store and stops all controllers at the same time.
   void stop_all() {
     for (std::size_t i = 0; i < users.size(); ++i) {
       auto& endpoint = state.endpoint(i);
       endpoint.refuses = endpoint.frozen = false;
       endpoint.loses = endpoint.late = endpoint.repeats = 0;
     }
-    for (auto& replica : replicas_) replica.thread.request_stop();
-    for (std::size_t i = 0; i < replicas_.size(); ++i) stop(i);
+    for (auto& controller : controllers_) controller.thread.request_stop();
+    for (std::size_t i = 0; i < controllers_.size(); ++i) stop(i);
   }
-  // Starts a controller, with other options or as another build, in place of the one that runs.
+  // Starts a controller with these options. Stops it first if it is running.
   void start(std::size_t i, const Options& options) {
     stop(i);
-    replicas_[i].controller = std::make_unique<Controller>(settings_[i], options);
-    replicas_[i].thread = std::jthread([c = replicas_[i].controller.get()](std::stop_token stop) { c->run(stop); });
+    controllers_[i].controller = std::make_unique<Controller>(settings_[i], options);
+    controllers_[i].thread = std::jthread([c = controllers_[i].controller.get()](std::stop_token stop) { c->run(stop); });
   }
   void stop(std::size_t i) {
-    replicas_[i].thread = {};
-    replicas_[i].controller.reset();
+    controllers_[i].thread = {};
+    controllers_[i].controller.reset();
   }
-  // A line of a controller's metrics, the first whose name begins so; empty: there is none.
-  std::string metric(std::size_t replica, const std::string& name) const {
-    const auto text = "\n" + ask(replica, "GET", "/metrics").body;
-    const auto at = text.find("\nthistlefront_" + name);
-    return at == std::string::npos ? "" : text.substr(at + 1, text.find('\n', at + 1) - at - 1);
+  // The first line of a controller's metrics whose name starts with `name`; empty: there is none.
+  std::string metric(std::size_t controller, const std::string& name) const {
+    const auto text = "\n" + ask(controller, "GET", "/metrics").body;
+    const auto line_start = text.find("\nthistlefront_" + name);
+    return line_start == std::string::npos ? "" : text.substr(line_start + 1, text.find('\n', line_start + 1) - line_start - 1);
   }
-  // The settings that a controller gets at its next start.
+  // The settings that apply from the controller's next start.
   Settings& settings(std::size_t i) { return settings_[i]; }
   std::string format_version() { return state.value(kActiveVersionKey); }
 
-  HttpResult ask(std::size_t replica, const std::string& method, const std::string& path, const std::string& body = "") const {
-    HttpClient client(users[replica]);
+  HttpResult ask(std::size_t controller, const std::string& method, const std::string& path, const std::string& body = "") const {
+    HttpClient client(users[controller]);
     return client.call(method, path, body, 5);
   }
-  HttpResult submit(std::size_t replica, const std::string& uid) const { return ask(replica, "POST", "/v1/jobs", job_body(uid)); }
-  // Submits until some controller accepts the job; false when none did in time.
+  HttpResult submit(std::size_t controller, const std::string& uid) const { return ask(controller, "POST", "/v1/jobs", job_body(uid)); }
+  // Submits until some controller accepts the job. Returns false if none does in time.
   bool submit_until(const std::string& uid, double within_s) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
       for (std::size_t i = 0; i < users.size(); ++i) {
-        const auto r = submit(i, uid);
-        if (r.is(201) || r.is(200)) return true;
+        const auto reply = submit(i, uid);
+        if (reply.is(201) || reply.is(200)) return true;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     return false;
   }
-  // Waits until some controller leads.
+  // Waits until there is a leader and returns its index.
   std::size_t leader() {
     for (const double until = steady_now() + 20; steady_now() < until;) {
       const auto label = state.leader();
@@ -141,35 +140,35 @@
     ADD_FAILURE() << "no leader";
     return 0;
   }
-  // Whether it holds within this time.
-  bool eventually(double within_s, const std::function<bool()>& holds) const {
+  // Returns whether the condition becomes true within this time.
+  bool eventually(double within_s, const std::function<bool()>& condition) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
-      if (holds()) return true;
+      if (condition()) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(30));
     }
     return false;
   }
-  // How often the ledger holds the acceptance of each job; once is right.
-  std::map<std::string, int> accepted_in_ledger() {
+  // By job: the number of acceptance records in the ledger, which must be one.
+  std::map<std::string, int> acceptances_in_ledger() {
     std::map<std::string, int> out;
     for (const auto& [key, value] : state.entries())
-      for (const auto& r : parse_entry(value).records)
-        if (const auto* a = std::get_if<JobAcceptedRecord>(&r)) ++out[a->job.uid];
+      for (const auto& record : parse_entry(value).records)
+        if (const auto* accepted = std::get_if<JobAcceptedRecord>(&record)) ++out[accepted->job.uid];
     return out;
   }
 
   FakeStateStore state;
-  std::vector<std::string> users;  // addresses that users call, by controller
+  std::vector<std::string> users;  // client addresses, by controller
 
  private:
   std::string cloud_address_;
   HttpServer cloud_;
-  struct Replica {
+  struct RunningController {
     std::unique_ptr<Controller> controller;
     std::jthread thread;
   };
   std::vector<Settings> settings_;
-  std::vector<Replica> replicas_;
+  std::vector<RunningController> controllers_;
 };
 
 }  // namespace thistlefront::test_support
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -1,5 +1,5 @@
-// A test fixture with a cluster of real controllers, relays on the network between them, stand-in workers that keep to the protocol, and
-// the checker of the protocol's rules: a test fails where any rule is broken.
+// A test fixture with a cluster of real controllers, network relays between them, simulated workers that follow the protocol, and the
+// checker of the protocol's rules. A test fails if any rule is broken.
 #pragma once
 #include "cluster.hpp"
 #include "testbed/checker.hpp"
@@ -16,8 +16,9 @@
 class ClusterFixture : public testing::Test {
  protected:
   explicit ClusterFixture(const testbed::Times& protocol_times) : times(protocol_times), checker({{"red", 1000}}, protocol_times.cancel) {}
-  // Starts `n` controllers, all in zone `site`, and the workers, in zone x.
-  void begin(std::size_t n, std::size_t machines, const std::string& site = "", const Options& options = one_level()) {
+  // Starts `n` controllers, all in zone `site`, and the workers of `node_count` nodes, in zone x.
+  void start_cluster(std::size_t n, std::size_t node_count, const std::string& site = "",
+                     const Options& options = fixed_version_options()) {
     cluster = std::make_unique<Cluster>(
         n, 1, std::vector<Options>{options},
         [&](auto& settings) {
@@ -28,72 +29,72 @@
             for (auto& peer : s.peers) {
               const std::size_t k = std::stoul(peer.label.substr(5));
               peer.site = site;
-              relays[{i, k}] = std::make_unique<testbed::Relay>(peer.address);
-              peer.address = relays[{i, k}]->address();
+              network_relays[{i, k}] = std::make_unique<testbed::Relay>(peer.address);
+              peer.address = network_relays[{i, k}]->address();
             }
           }
         },
         cloud);
-    for (std::size_t i = 0; i < machines; ++i)
+    for (std::size_t i = 0; i < node_count; ++i)
       workers.push_back(
           std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, static_cast<unsigned>(7 + i)));
-    ticker = std::jthread([this](const std::stop_token& stop) {
+    checker_thread = std::jthread([this](const std::stop_token& stop) {
       while (pause_for(stop, 0.02)) checker.tick(steady_now());
     });
   }
   void TearDown() override {
-    ticker = {};
+    checker_thread = {};
     if (cluster) cluster->state.outage(false);
-    // The controllers first: until they have stopped, they may ask the cloud, whose handler looks at the workers.
+    // Stops the controllers first: while they run, they may call the cloud, whose handler accesses the workers.
     if (cluster) cluster->stop_all();
     workers.clear();
     cluster.reset();
-    relays.clear();
+    network_relays.clear();
     EXPECT_TRUE(checker.broken().empty()) << checker.broken().size() << " broken, first " << checker.broken().front();
   }
-  // Makes a call about this job and tells the checker what its user is told; returns that.
-  template <class Ask>
-  std::string told(const std::string& uid, const Ask& ask) {
-    const double sent = steady_now();
-    const auto status = status_in(ask());
-    if (!status.empty()) checker.told(uid, status, sent, steady_now());
+  // Makes a user's call about this job, reports the status in the reply to the checker, and returns it.
+  template <class Call>
+  std::string call_and_check(const std::string& uid, const Call& call) {
+    const double sent_at = steady_now();
+    const auto status = status_of(call());
+    if (!status.empty()) checker.told(uid, status, sent_at, steady_now());
     return status;
   }
-  std::string poll(std::size_t replica, const std::string& uid) {
-    return told(uid, [&] { return cluster->ask(replica, "GET", "/v1/jobs/" + uid); });
+  std::string poll(std::size_t controller, const std::string& uid) {
+    return call_and_check(uid, [&] { return cluster->ask(controller, "GET", "/v1/jobs/" + uid); });
   }
-  std::string submit(std::size_t replica, const std::string& uid) {
-    return told(uid, [&] { return cluster->submit(replica, uid); });
+  std::string submit(std::size_t controller, const std::string& uid) {
+    return call_and_check(uid, [&] { return cluster->submit(controller, uid); });
   }
-  std::string withdraw(std::size_t replica, const std::string& uid) {
-    return told(uid, [&] { return cluster->ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw"); });
+  std::string withdraw(std::size_t controller, const std::string& uid) {
+    return call_and_check(uid, [&] { return cluster->ask(controller, "POST", "/v1/jobs/" + uid + "/withdraw"); });
   }
-  std::size_t running(const std::string& uid) {
-    const auto r = cluster->ask(cluster->leader(), "GET", "/v1/jobs/" + uid);
-    const auto at = r.body.find("\"running\":");
-    return at == std::string::npos ? 0 : std::stoul(r.body.substr(at + 10));
+  std::size_t count_running_tasks(const std::string& uid) {
+    const auto reply = cluster->ask(cluster->leader(), "GET", "/v1/jobs/" + uid);
+    const auto key_start = reply.body.find("\"running\":");
+    return key_start == std::string::npos ? 0 : std::stoul(reply.body.substr(key_start + 10));
   }
-  // Cuts the network between two controllers, both ways; and between one and all others.
-  void part(std::size_t a, std::size_t b, bool is) {
-    relays.at({a, b})->cut(is);
-    relays.at({b, a})->cut(is);
+  // Starts or ends a partition between two controllers, in both directions.
+  void set_partition(std::size_t a, std::size_t b, bool partitioned) {
+    network_relays.at({a, b})->cut(partitioned);
+    network_relays.at({b, a})->cut(partitioned);
   }
-  void part(std::size_t a, bool is) {
+  // Starts or ends a partition between one controller and all others.
+  void set_partition(std::size_t a, bool partitioned) {
     for (std::size_t k = 0; k < cluster->users.size(); ++k)
-      if (k != a) part(a, k, is);
+      if (k != a) set_partition(a, k, partitioned);
   }
-  // Freezes all workers.
-  void hang(double for_s) {
-    for (auto& w : workers) w->hang(steady_now() + for_s);
+  void freeze_agents(double for_s) {
+    for (auto& worker : workers) worker->hang(steady_now() + for_s);
   }
 
-  HttpServer::Handler cloud;  // in place of one that has no machines
+  HttpServer::Handler cloud;  // replaces the cloud without capacity
   const testbed::Times times;
   testbed::Checker checker;
-  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::Relay>> relays;
+  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::Relay>> network_relays;  // by calling and called controller
   std::unique_ptr<Cluster> cluster;
   std::vector<std::unique_ptr<testbed::Worker>> workers;
-  std::jthread ticker;
+  std::jthread checker_thread;
 };
 
 }  // namespace thistlefront::test_support
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -29,12 +29,12 @@
     };
   }
   static Options options(bool relay) {
-    Options out = test_support::one_level();
+    Options out = test_support::fixed_version_options();
     out.relay_mode = relay ? RelayMode::on : RelayMode::off;
     return out;
   }
   void begin_with_work(bool relay = true) {
-    begin(GetParam(), kMachinesPerController * GetParam(), "x", options(relay));
+    start_cluster(GetParam(), kMachinesPerController * GetParam(), "x", options(relay));
     workers_made = true;
     for (int i = 0; i < 6; ++i) {
       jobs.push_back("j-" + std::to_string(i + 1));
@@ -45,7 +45,7 @@
     ASSERT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
   }
   bool all_run() {
-    return std::all_of(jobs.begin(), jobs.end(), [&](const auto& uid) { return running(uid) == kTasks; });
+    return std::all_of(jobs.begin(), jobs.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasks; });
   }
   // No lease expired: each agent is in its first incarnation.
   void expect_no_lease_expired(const char* when) {
@@ -133,9 +133,9 @@
   begin_with_work();
   const auto leader = cluster->leader();
   const auto relay = (leader + 1) % GetParam();
-  part(relay, leader, true);
+  set_partition(relay, leader, true);
   wait(3 * kTimes.lease);
-  part(relay, leader, false);
+  set_partition(relay, leader, false);
   expect_no_lease_expired("after the cut");
   EXPECT_TRUE(all_run());
   // Afterwards it relays again.
@@ -152,12 +152,12 @@
   begin_with_work();
   const auto relay = (cluster->leader() + 1) % GetParam();
   ASSERT_TRUE(cluster->eventually(20, [&] { return metric(relay, "reports_passed_on_total") > 3; }));
-  part(relay, true);
+  set_partition(relay, true);
   cluster->state.endpoint(relay).refuses = true;
   EXPECT_TRUE(cluster->eventually(6, [&] { return metric(relay, "kept_in_cuts_total") > 0; }));
   wait(2 * kTimes.lease);
   expect_no_lease_expired("in the cut");
-  part(relay, false);
+  set_partition(relay, false);
   cluster->state.endpoint(relay).refuses = false;
   wait(kTimes.lease);
   expect_no_lease_expired("after the cut");
@@ -168,18 +168,18 @@
 TEST_P(HeartbeatRelayOf, ADeposedLeadersLateAnswersHarmNothing) {
   begin_with_work();
   const auto first = cluster->leader();
-  part(first, true);
+  set_partition(first, true);
   cluster->state.endpoint(first).refuses = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
   checker.wants_withdrawn("j-1");
   const auto next = cluster->leader();
   wait(1);
-  part(first, false);
+  set_partition(first, false);
   cluster->state.endpoint(first).refuses = false;
   ASSERT_TRUE(cluster->eventually(20, [&] { return withdraw(next, "j-1") == "aborted"; }));
   wait(kTimes.lease + 1);
   EXPECT_TRUE(cluster->eventually(
-      10, [&] { return std::all_of(jobs.begin() + 1, jobs.end(), [&](const auto& uid) { return running(uid) == kTasks; }); }));
+      10, [&] { return std::all_of(jobs.begin() + 1, jobs.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasks; }); }));
   EXPECT_EQ(releases, 0);
 }
 
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,5 +1,5 @@
-// Leadership and the ledger's writer: real controllers on loopback against a fake store that refuses, loses, delays and repeats. What users
-// were told must stay true, whoever leads.
+// Leadership and ledger commits: real controllers on loopback against a fake store that refuses, loses, delays and repeats requests.
+// Every status that a user has received must stay true under later leaders.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -17,14 +17,14 @@
 using test_support::Cluster;
 using test_support::free_address;
 
-TEST(Leadership, ALeaderThatTheStoreRefusesHandsOverAndFollows) {
+TEST(Leadership, HandsOverAndForwardsWhenTheStoreRefusesTheLeader) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
   c.state.endpoint(first).refuses = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  // The refused controller still takes requests, and forwards them.
+  // The earlier leader still accepts requests and forwards them.
   EXPECT_TRUE(c.eventually(20, [&] { return c.submit(first, "j-3").is(201) || c.submit(first, "j-3").is(200); }));
   for (const auto* uid : {"j-1", "j-2", "j-3"})
     for (std::size_t i = 0; i < 3; ++i)
@@ -32,8 +32,9 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// A leader frozen between check and send: when its transaction arrives, its session lease has expired and another one leads.
-TEST(Leadership, ADeposedLeadersLateTransactionChangesNothing) {
+// A leader is suspended between checking its lease and sending a transaction. When the transaction arrives, the session lease has
+// expired and another controller leads.
+TEST(Leadership, RejectsLateTransactionOfDeposedLeader) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
@@ -44,14 +45,14 @@
   c.state.expire_session_leases();
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   ASSERT_TRUE(c.submit_until("j-3", 20));
-  ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late transaction was to be executed";
+  ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late transaction was not executed";
   user.join();
   EXPECT_EQ(c.state.unfenced(), 0u);
-  EXPECT_FALSE(c.accepted_in_ledger().contains("j-2"));
-  EXPECT_TRUE(c.submit_until("j-2", 20)) << "its user asks again";
+  EXPECT_FALSE(c.acceptances_in_ledger().contains("j-2"));
+  EXPECT_TRUE(c.submit_until("j-2", 20)) << "the user submits again";
 }
 
-TEST(Leadership, ATransactionInDoubtIsAppliedOnce) {
+TEST(Leadership, AppliesTransactionWithUnknownOutcomeOnce) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
@@ -61,7 +62,7 @@
   c.state.endpoint(first).loses = 0;
   c.state.endpoint(first).repeats = 0;
   ASSERT_TRUE(c.submit_until("j-7", 20));
-  const auto accepted = c.accepted_in_ledger();
+  const auto accepted = c.acceptances_in_ledger();
   for (int i = 0; i <= 7; ++i) {
     const auto it = accepted.find("j-" + std::to_string(i));
     ASSERT_NE(it, accepted.end()) << i;
@@ -70,9 +71,9 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// The store's answers, also to renewals, are held up for longer than the session lease: what the leader says meanwhile must not be older
-// than what its successor says.
-TEST(Leadership, ALeaderWithoutAnswersTellsUsersNothingThatMayBeOld) {
+// The store's responses, including those to lease renewals, are delayed for longer than the session lease. The leader's replies must not
+// be older than those of its successor.
+TEST(Leadership, SendsNoOutdatedReplyWhileTheStoreDoesNotRespond) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
@@ -95,19 +96,19 @@
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// A worker that takes commands and does not answer leaves starts in doubt: the leader raises its fencing token while users' records are on
-// their way into the ledger, and loses none of them.
-TEST(Leadership, TheFencingTokenIsRaisedBetweenCommits) {
+// An agent that accepts commands without replying leaves task starts unacknowledged. The leader raises its fencing token while users'
+// records are being committed, and must lose none of them.
+TEST(Leadership, RaisesFencingTokenBetweenCommits) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
   const auto before = c.state.fencing_token();
   const auto address = free_address();
-  std::atomic<bool> ending{false};
+  std::atomic<bool> stopping{false};
   std::atomic<int> commands{0};
   HttpServer worker(address, 10, [&](const HttpCall&) -> HttpReply {
     ++commands;
-    for (int i = 0; i < 200 && !ending; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
+    for (int i = 0; i < 200 && !stopping; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     return {503, "{}"};
   });
   std::uint64_t serial = 0;
@@ -120,15 +121,15 @@
   }));
   EXPECT_GT(accepted, 0);
   EXPECT_EQ(c.leader(), first) << "the same leader, with a higher fencing token";
-  const auto in_ledger = c.accepted_in_ledger();
+  const auto in_ledger = c.acceptances_in_ledger();
   for (std::uint64_t i = 1; i <= serial; ++i) EXPECT_TRUE(in_ledger.contains("j-1" + std::to_string(i)));
   EXPECT_EQ(c.state.unfenced(), 0u);
-  ending = true;
+  stopping = true;
 }
 
-// The leader is cut from the workers only: their heartbeats come through the other controller, and none answers its commands. It keeps its
-// session lease and its peer, and must give up the lead all the same.
-TEST(Leadership, ALeaderThatWorkersReachThroughOthersOnlyHandsOver) {
+// The leader is partitioned only from the agents: their heartbeats arrive through the other controller, and no agent replies to its
+// commands. Although it keeps its session lease and its peer, it must hand over.
+TEST(Leadership, HandsOverWhenAgentsReachOnlyOtherControllers) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
@@ -146,33 +147,34 @@
   EXPECT_TRUE(c.submit_until("j-2", 20));
 }
 
-// A process that ended leaves its leader key for as long as its session lease lasts (here for ever). The next process of the same name
-// knows that the earlier one has ended and removes the key, and another controller leads. A key of any other name stays.
-TEST(Leadership, TheLeaderKeyOfItsOwnEarlierProcessIsRemovedAndNoOther) {
+// A process that ended leaves its leader key until its session lease expires (here never). The next process with the same label knows that
+// the earlier one has ended and removes the key, so that another controller leads. It does not remove a key with another label.
+TEST(Leadership, RemovesOnlyLeaderKeyOfOwnEarlierProcess) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto restart_with_leader_key_of = [&](const std::string& label) {
     for (std::size_t i = 0; i < 3; ++i) c.stop(i);
     c.state.put(c.state.lead(), R"({"label":")" + label + R"(","incarnation":7})");
-    const auto left = c.state.fencing_token();
+    const auto token_of_key = c.state.fencing_token();
     for (std::size_t i = 0; i < 3; ++i) c.start(i, {});
-    return left;
+    return token_of_key;
   };
-  const auto left = restart_with_leader_key_of("host-1");
-  EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > left && !c.state.leader().empty(); }));
+  const auto own_token = restart_with_leader_key_of("host-1");
+  EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > own_token && !c.state.leader().empty(); }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   EXPECT_EQ(c.state.unfenced(), 0u);
 
-  const auto others = restart_with_leader_key_of("host-7");
-  EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != others; }));
+  const auto other_token = restart_with_leader_key_of("host-7");
+  EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != other_token; }));
   EXPECT_TRUE(c.submit(0, "j-3").is(503));
   c.state.remove(c.state.lead());
   EXPECT_TRUE(c.submit_until("j-3", 20));
 }
 
-// A try to take the leader key that got no answer is executed just before the next try of the same controller, which then finds a key of
-// its own, attached to a session lease that it does not renew: it once led on while another controller could take the lead.
-TEST(Leadership, ALeadTakenByALateTransactionIsNotTheNextTrysOwn) {
+// An unacknowledged attempt to acquire the leader key is executed just before the next attempt of the same controller. The controller then
+// finds its own key, attached to a session lease that it does not renew. It used to lead nevertheless, while another controller could
+// take over.
+TEST(Leadership, DoesNotLeadWithKeyOfLateEarlierAttempt) {
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader(), other = 1 - first;
@@ -180,94 +182,96 @@
   c.stop(first);
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.endpoint(other).lead_overtaken; }));
   for (const double until = steady_now() + 6; steady_now() < until;) {
-    const bool held = c.state.leader() == "host-" + std::to_string(other);
+    const bool held_before = c.state.leader() == "host-" + std::to_string(other);
     const auto r = c.ask(other, "GET", "/v1/jobs/j-999");
-    const bool holds = c.state.leader() == "host-" + std::to_string(other);
-    EXPECT_FALSE(r.is(404) && !held && !holds) << "it decides without the key";
+    const bool held_after = c.state.leader() == "host-" + std::to_string(other);
+    EXPECT_FALSE(r.is(404) && !held_before && !held_after) << "a controller without the leader key decided";
   }
   EXPECT_TRUE(c.submit_until("j-2", 20));
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// A process that crashes over and over must not use up the store's rate limit: in its first second a start costs one read and one watch.
-TEST(Leadership, AStartCostsNoChangeBeforeItHasLivedForASecond) {
+// A process that crashes repeatedly must not use up the store's rate limit: in its first second it sends one read and one watch.
+TEST(Leadership, WritesNothingInTheFirstSecondOfAProcess) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
   auto& endpoint = c.state.endpoint(other);
-  endpoint.fuse = 1;  // the second request gets no answer
+  endpoint.fuse = 1;  // the second request gets no response
   c.start(other, {});
-  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it reads who leads";
+  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it reads the leader key";
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   EXPECT_FALSE(endpoint.blown);
-  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "then it writes its registry record";
+  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "it writes its registry record later";
   endpoint.blown = false;
 }
 
-// What the users of a test were told together.
-struct ToldUsers {
-  void complain(const std::string& what) {
+// What all users of a test observed: jobs that were accepted, confirmed as cancelled, or requested to be cancelled.
+struct Observations {
+  void add_violation(const std::string& description) {
     std::lock_guard lock(mutex);
-    broken.push_back(what);
+    violations.push_back(description);
   }
   std::mutex mutex;
-  std::vector<std::string> broken;
-  std::set<std::string> accepted, withdrawn, asked;
+  std::vector<std::string> violations;
+  std::set<std::string> accepted, cancelled, cancel_requested;
 };
 
-// Submits, cancels and polls at random, and complains of each answer that contradicts an earlier one.
+// Submits, cancels and polls at random, and records a violation for each reply that contradicts an earlier one.
 class RandomUser {
  public:
-  RandomUser(Cluster& cluster, ToldUsers& told, int user)
-      : cluster_(cluster), told_(told), user_(user), random_(static_cast<unsigned>(user)) {}
+  RandomUser(Cluster& cluster, Observations& observations, int user)
+      : cluster_(cluster), observations_(observations), user_(user), random_(static_cast<unsigned>(user)) {}
   void run(const std::atomic<bool>& over) {
     while (!over) {
-      const auto replica = random_() % 3;
-      if (mine_.size() < 4 || random_() % 3 == 0) {
-        submit(replica);
+      const auto controller = random_() % 3;
+      if (accepted_.size() < 4 || random_() % 3 == 0) {
+        submit(controller);
       } else if (random_() % 4 == 0) {
-        withdraw(replica, mine_[random_() % mine_.size()]);
+        cancel(controller, accepted_[random_() % accepted_.size()]);
       } else {
-        poll(replica, mine_[random_() % mine_.size()]);
+        poll(controller, accepted_[random_() % accepted_.size()]);
       }
     }
-    std::lock_guard lock(told_.mutex);
-    told_.accepted.insert(mine_.begin(), mine_.end());
-    told_.withdrawn.insert(gone_.begin(), gone_.end());
-    told_.asked.insert(wanted_.begin(), wanted_.end());
+    std::lock_guard lock(observations_.mutex);
+    observations_.accepted.insert(accepted_.begin(), accepted_.end());
+    observations_.cancelled.insert(cancelled_.begin(), cancelled_.end());
+    observations_.cancel_requested.insert(cancel_requested_.begin(), cancel_requested_.end());
   }
 
  private:
-  void submit(std::size_t replica) {
+  void submit(std::size_t controller) {
     const std::string uid = "j-" + std::to_string(user_ * 1000 + ++submitted_);
-    const auto r = cluster_.submit(replica, uid);
-    if (r.is(400) || r.is(422)) told_.complain(uid + ": refused");
-    if (r.is(201) || r.is(200)) mine_.push_back(uid);
+    const auto r = cluster_.submit(controller, uid);
+    if (r.is(400) || r.is(422)) observations_.add_violation(uid + ": refused");
+    if (r.is(201) || r.is(200)) accepted_.push_back(uid);
   }
-  void withdraw(std::size_t replica, const std::string& uid) {
-    const auto r = cluster_.ask(replica, "POST", "/v1/jobs/" + uid + "/withdraw");
-    wanted_.insert(uid);
-    if (r.is(404)) told_.complain(uid + ": withdrawal not found");
-    if (r.is(200)) gone_.insert(uid);
+  void cancel(std::size_t controller, const std::string& uid) {
+    const auto r = cluster_.ask(controller, "POST", "/v1/jobs/" + uid + "/withdraw");
+    cancel_requested_.insert(uid);
+    if (r.is(404)) observations_.add_violation(uid + ": not found when cancelled");
+    if (r.is(200)) cancelled_.insert(uid);
   }
-  void poll(std::size_t replica, const std::string& uid) {
-    const auto r = cluster_.ask(replica, "GET", "/v1/jobs/" + uid);
-    if (r.is(404)) told_.complain(uid + ": forgotten");
-    if (r.is(200) && gone_.contains(uid) && r.body.find("aborted") == std::string::npos) told_.complain(uid + ": went back");
-    if (r.is(200) && r.body.find("\"status\":\"done\"") != std::string::npos) told_.complain(uid + ": done, and nothing ran");
+  void poll(std::size_t controller, const std::string& uid) {
+    const auto r = cluster_.ask(controller, "GET", "/v1/jobs/" + uid);
+    if (r.is(404)) observations_.add_violation(uid + ": accepted, then not found");
+    if (r.is(200) && cancelled_.contains(uid) && r.body.find("aborted") == std::string::npos)
+      observations_.add_violation(uid + ": cancelled, then not cancelled");
+    if (r.is(200) && r.body.find("\"status\":\"done\"") != std::string::npos)
+      observations_.add_violation(uid + ": done without having run");
   }
 
   Cluster& cluster_;
-  ToldUsers& told_;
+  Observations& observations_;
   const int user_;
   std::mt19937 random_;
-  std::vector<std::string> mine_;
-  std::set<std::string> gone_, wanted_;
+  std::vector<std::string> accepted_;
+  std::set<std::string> cancelled_, cancel_requested_;
   int submitted_ = 0;
 };
 
-void play_random_faults(Cluster& c, const std::atomic<bool>& over) {
+void inject_random_faults(Cluster& c, const std::atomic<bool>& over) {
   std::mt19937 random(11);
   while (!over) {
     auto& endpoint = c.state.endpoint(random() % 3);
@@ -283,16 +287,17 @@
   }
 }
 
-// Users of three controllers, while the store's endpoints refuse, lose, delay and repeat at random and session leases expire.
-TEST(Leadership, WhatUsersWereToldStaysTrueUnderRandomFaults) {
+// Users call three controllers while the store's endpoints refuse, lose, delay and repeat requests at random and session leases expire.
+TEST(Leadership, RepliesToUsersStayTrueUnderRandomFaults) {
   Cluster c(3, 7);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
-  for (std::size_t i = 0; i < 3; ++i) c.state.endpoint(i).late_most = 6;  // well after newer transactions of the same controller
-  std::jthread faults([&] { play_random_faults(c, over); });
-  ToldUsers told;
+  for (std::size_t i = 0; i < 3; ++i)
+    c.state.endpoint(i).late_most = 6;  // so late that newer transactions of the same controller come first
+  std::jthread faults([&] { inject_random_faults(c, over); });
+  Observations observations;
   std::vector<std::jthread> users;
-  for (int u = 1; u <= 4; ++u) users.emplace_back([&, u] { RandomUser(c, told, u).run(over); });
+  for (int u = 1; u <= 4; ++u) users.emplace_back([&, u] { RandomUser(c, observations, u).run(over); });
   std::this_thread::sleep_for(std::chrono::seconds(8));
   over = true;
   users.clear();
@@ -303,28 +308,29 @@
     endpoint.loses = endpoint.late = endpoint.repeats = 0;
   }
   ASSERT_TRUE(c.submit_until("j-9", 30));
-  EXPECT_TRUE(told.broken.empty()) << told.broken.size() << " broken, first " << (told.broken.empty() ? "" : told.broken.front());
-  EXPECT_GT(told.accepted.size(), 10u);
-  for (const auto& uid : told.accepted) {
+  EXPECT_TRUE(observations.violations.empty()) << observations.violations.size() << " violations, first "
+                                               << (observations.violations.empty() ? "" : observations.violations.front());
+  EXPECT_GT(observations.accepted.size(), 10u);
+  for (const auto& uid : observations.accepted) {
     std::string body;
     ASSERT_TRUE(c.eventually(10, [&] {
       const auto r = c.ask(0, "GET", "/v1/jobs/" + uid);
       body = r.body;
       return r.is(200);
     })) << uid;
-    // A withdrawal that got no answer may have been executed, but nothing that was not asked for.
+    // A cancellation without a reply may have been executed; a job whose cancellation was not requested may not be cancelled.
     const bool aborted = body.find("aborted") != std::string::npos;
-    EXPECT_TRUE(aborted || !told.withdrawn.contains(uid)) << uid << ": " << body;
-    EXPECT_TRUE(!aborted || told.asked.contains(uid)) << uid << ": " << body;
+    EXPECT_TRUE(aborted || !observations.cancelled.contains(uid)) << uid << ": " << body;
+    EXPECT_TRUE(!aborted || observations.cancel_requested.contains(uid)) << uid << ": " << body;
   }
   EXPECT_EQ(c.state.unfenced(), 0u);
 }
 
-// More connections than the process may have threads for: idle ones are closed, and nothing else is lost.
-TEST(Leadership, ConnectionsPastTheBudgetCostNeitherTheLeadNorTheUsers) {
-  Options few;
-  few.threads = ResourceBudget::kLeastThreads;
-  Cluster c(1, 1, {few});
+// With more connections than the process may have threads for, idle connections are closed and nothing else is affected.
+TEST(Leadership, KeepsLeadingAndServingUsersBeyondTheConnectionBudget) {
+  Options few_threads;
+  few_threads.threads = ResourceBudget::kLeastThreads;
+  Cluster c(1, 1, {few_threads});
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto fencing_token = std::to_string(c.state.fencing_token());
   std::vector<Socket> idle;
@@ -335,14 +341,15 @@
   }
   EXPECT_EQ(c.state.leader(), "host-0");
   const auto metrics = c.ask(0, "GET", "/metrics").body;
-  EXPECT_NE(metrics.find("thistlefront_epoch " + fencing_token + "\n"), std::string::npos) << "it never stopped leading";
-  const auto at = metrics.find("thistlefront_client_connections ");
-  ASSERT_NE(at, std::string::npos);
-  EXPECT_LE(std::stoul(metrics.substr(at + 32)), split_resource_budget(few.threads, 400, 0).clients + ResourceBudget::kOver);
+  EXPECT_NE(metrics.find("thistlefront_epoch " + fencing_token + "\n"), std::string::npos) << "the controller lost leadership";
+  const auto line_start = metrics.find("thistlefront_client_connections ");
+  ASSERT_NE(line_start, std::string::npos);
+  EXPECT_LE(std::stoul(metrics.substr(line_start + 32)),
+            split_resource_budget(few_threads.threads, 400, 0).clients + ResourceBudget::kOver);
 }
 
-// An answer made before the process was frozen and sent after: the server checks its validity once more just before it sends.
-TEST(HttpServer, AnAnswerPastItsTimeIsNotGiven) {
+// A process may be suspended between making a reply and sending it, so the server rechecks the reply's validity just before sending.
+TEST(HttpServer, DoesNotSendExpiredReply) {
   const auto address = free_address();
   HttpServer server(address, 5, [](const HttpCall& call) -> HttpReply {
     HttpReply reply{200, R"({"status":"queued"})"};
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -32,9 +32,9 @@
   const Kind& kind = GetParam();
   const std::string name = kind.name;
   // Long enough for the writer to be in doubt about its write while it leads.
-  Options options = test_support::one_level();
+  Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 2000;
-  begin(3, 2, "", options);
+  start_cluster(3, 2, "", options);
   checker.submitted({"j-1", "red", "batch", "", 2, 1, name == "ended" ? 1.5 : 1000}, steady_now());
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   const auto writer = cluster->leader();
@@ -42,7 +42,7 @@
   auto& endpoint = cluster->state.endpoint(writer);
   if (name != "accepted") {
     ASSERT_TRUE(cluster->submit_until("j-1", 20));
-    ASSERT_TRUE(cluster->eventually(20, [&] { return running("j-1") == 2; }));
+    ASSERT_TRUE(cluster->eventually(20, [&] { return count_running_tasks("j-1") == 2; }));
   }
   std::jthread user;
   if (name == "accepted") {
@@ -57,7 +57,7 @@
     endpoint.loses_next = "ledger/";
     ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost == 1; }));
     if (checker.tasks_done() < 2) {
-      ASSERT_TRUE(cluster->eventually(10, [&] { return running("j-1") == 1; }));
+      ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-1") == 1; }));
       endpoint.loses_next = "ledger/";
     }
   }
@@ -76,7 +76,7 @@
   }
   endpoint.refuses = false;
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(cluster->eventually(10, [&] { return poll(i, "j-1") == kind.after; })) << i;
-  EXPECT_EQ(cluster->accepted_in_ledger()["j-1"], 1);
+  EXPECT_EQ(cluster->acceptances_in_ledger()["j-1"], 1);
   EXPECT_EQ(cluster->state.unfenced(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, LostAnswer,
@@ -90,7 +90,7 @@
 
 // The others see that it leads before it does itself. It then finds the leader key attached to the session lease that it asked for.
 TEST(LostAnswerOf, TheLeaderKeyTakenIsItsOwn) {
-  Options options = test_support::one_level();
+  Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 4000;
   Cluster c(3, 1, {options});
   ASSERT_TRUE(c.submit_until("j-1", 20));
@@ -137,7 +137,7 @@
   EXPECT_TRUE(c.eventually(5, [&] { return c.metric(first, "epoch") == "thistlefront_epoch " + std::to_string(raised); }));
   EXPECT_TRUE(c.submit_until("j-1", 10));
   EXPECT_EQ(c.state.fencing_token(), raised) << "nobody took the lead since";
-  EXPECT_EQ(c.accepted_in_ledger()["j-1"], 1);
+  EXPECT_EQ(c.acceptances_in_ledger()["j-1"], 1);
   ending = true;
 }
 
@@ -172,7 +172,7 @@
   c.state.remove(key);
   auto& endpoint = c.state.endpoint(1);
   endpoint.loses_next = kRegistryPrefix;
-  c.start(1, test_support::one_level());
+  c.start(1, test_support::fixed_version_options());
   ASSERT_TRUE(c.eventually(10, [&] { return endpoint.lost == 1; }));
   const auto mod_revision = c.state.mod_revision(key);
   EXPECT_GT(mod_revision, 0u);
@@ -188,7 +188,7 @@
   c.state.put(c.state.lead(), R"({"label":"host-1","incarnation":7})");
   auto& endpoint = c.state.endpoint(1);
   endpoint.loses_next = "lead";
-  for (std::size_t i = 0; i < 3; ++i) c.start(i, test_support::one_level());
+  for (std::size_t i = 0; i < 3; ++i) c.start(i, test_support::fixed_version_options());
   ASSERT_TRUE(c.eventually(10, [&] { return endpoint.lost == 1; }));
   ASSERT_TRUE(c.eventually(10, [&] { return !c.state.leader().empty() && c.state.leader() != "host-1"; }))
       << "another controller reads that there is no leader";
--- a/tests/new_machines_test.cpp
+++ b/tests/new_instances_test.cpp
@@ -1,5 +1,5 @@
-// New machines are up at once and get tasks while writes lag and the cloud's list does not have them yet, and the leader goes: no machine
-// is released with tasks on it, nothing starts twice, nothing is lost.
+// New instances boot at once and get tasks while store writes are slow and before the cloud lists them. Then the leader stops or is
+// partitioned. No instance with tasks may be released, no task may start twice, and no job may be lost.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -10,11 +10,12 @@
 using test_support::wait;
 
 constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
-constexpr double kUnlisted = 1.0, kBooting = 6.0;  // seconds for which the list lacks a machine, and for which it says that it boots
+constexpr double kUnlistedS = 1.0;                 // a new instance is missing in the cloud's list for this long
+constexpr double kListedAsBootingS = 6.0;          // age until which the list shows an instance as booting
 
-class NewMachines : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
+class NewInstances : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
-  NewMachines() : ClusterFixture(kTimes) {
+  NewInstances() : ClusterFixture(kTimes) {
     cloud = [this](const HttpCall& c) { return answer_as_cloud(c); };
   }
   HttpReply answer_as_cloud(const HttpCall& c) {
@@ -26,48 +27,49 @@
     const double now = steady_now();
     if (c.method == "GET") {
       json nodes = json::array();
-      for (const auto& [name, at] : rented_at)
-        if (now - at > kUnlisted && c.target.find("from=") == std::string_view::npos)
+      for (const auto& [name, requested_at] : requested_at_by_name)
+        if (now - requested_at > kUnlistedS && c.target.find("from=") == std::string_view::npos)
           nodes.push_back({{"uid", name},
                            {"address", ""},
                            {"hostKind", "big"},
                            {"yard", "x"},
                            {"loaners", false},
-                           {"status", now - at < kBooting ? "booting" : "running"},
-                           {"heldS", now - at}});
+                           {"status", now - requested_at < kListedAsBootingS ? "booting" : "running"},
+                           {"heldS", now - requested_at}});
       return {200, json{{"hosts", nodes}, {"truncated", false}}.dump()};
     }
     const auto body = json::parse(c.body);
     if (c.target == "/rentals/release") {
       for (const auto& name : body.at("hosts"))
-        for (auto& w : workers) {
-          if (w->name() != name.get<std::string>() || !rented_at.contains(name.get<std::string>())) continue;
-          released_at_work += w->holds();
-          w->die();
-          rented_at.erase(name);
+        for (auto& worker : workers) {
+          if (worker->name() != name.get<std::string>() || !requested_at_by_name.contains(name.get<std::string>())) continue;
+          released_tasks += worker->holds();
+          worker->die();
+          requested_at_by_name.erase(name);
         }
       return {200, "{}"};
     }
     json nodes = json::array();
-    for (unsigned k = 0; k < body.at("count").get<unsigned>() && rented_at.size() < kMost; ++k) {
+    for (unsigned k = 0; k < body.at("count").get<unsigned>() && requested_at_by_name.size() < kMaxInstances; ++k) {
       const auto name = "m-" + std::to_string(workers.size());
       workers.push_back(
           std::make_unique<testbed::Worker>(name, "x", cluster->users, checker, times, static_cast<unsigned>(70 + workers.size())));
-      rented_at[name] = now;
+      requested_at_by_name[name] = now;
       nodes.push_back(name);
     }
     if (nodes.empty()) return {503, R"({"error":"no capacity"})"};
     return {200, json{{"hosts", nodes}}.dump()};
   }
-  static constexpr std::size_t kMost = 4;
+  static constexpr std::size_t kMaxInstances = 4;
   std::mutex mutex;
-  std::map<std::string, double> rented_at;
-  std::size_t released_at_work = 0;
+  std::map<std::string, double> requested_at_by_name;  // steady seconds
+  std::size_t released_tasks = 0;                      // tasks on instances at their release
 };
 
-// The leader stops, or is cut off from the store and its peers; the nodes hang as its successor begins, which has not heard of them yet.
-TEST_P(NewMachines, UpAtOnceWithWorkWhileWritesLagAndTheLeaderGoes) {
-  begin(3, 0);
+// The leader stops, or is partitioned from the store and its peers. The nodes are frozen when its successor takes over, so that it has
+// not received a heartbeat from them.
+TEST_P(NewInstances, KeepTheirTasksWhenTheLeaderChanges) {
+  start_cluster(3, 0);
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->submit(0, "j-9").is(201); }));
   checker.submitted({"j-9", "red", "batch", "", 2, 1, 0.3}, steady_now());
   for (int k = 0; k < 8; ++k) {
@@ -78,44 +80,44 @@
   }
   const auto first = cluster->leader();
   for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).slow = 0.3;
-  const auto at_work = [&] {
+  const auto count_placed_tasks = [&] {
     std::lock_guard lock(mutex);
     std::size_t n = 0;
-    for (auto& w : workers) n += w->holds();
+    for (auto& worker : workers) n += worker->holds();
     return n;
   };
-  ASSERT_TRUE(cluster->eventually(20, [&] { return at_work() >= 8; })) << "rented, up and with tasks";
+  ASSERT_TRUE(cluster->eventually(20, [&] { return count_placed_tasks() >= 8; })) << "the new instances got fewer than 8 tasks";
   {
     std::lock_guard lock(mutex);
-    for (const auto& [name, at] : rented_at) EXPECT_LT(steady_now() - at, 4) << "within seconds";
+    for (const auto& [name, requested_at] : requested_at_by_name) EXPECT_LT(steady_now() - requested_at, 4) << name;
   }
   {
     std::lock_guard lock(mutex);
-    for (auto& w : workers) w->hang(steady_now() + 3.5);
+    for (auto& worker : workers) worker->hang(steady_now() + 3.5);
   }
   const auto fencing_token = cluster->state.fencing_token();
   if (GetParam()) {
     cluster->stop(first);
-    cluster->start(first, test_support::one_level());
+    cluster->start(first, test_support::fixed_version_options());
   } else {
-    part(first, true);
+    set_partition(first, true);
     cluster->state.endpoint(first).refuses = true;
   }
-  // A new leader that has heard of no node; it may be the next process of the controller that stopped.
+  // The new leader may be the next process of the controller that stopped.
   ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.fencing_token() != fencing_token; }));
-  EXPECT_GT(at_work(), 0u) << "the nodes have tasks as the next leader begins";
+  EXPECT_GT(count_placed_tasks(), 0u) << "no node has tasks when the next leader takes over";
   wait(4);
-  part(first, false);
+  set_partition(first, false);
   for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).refuses = false, cluster->state.endpoint(i).slow = 0;
   for (int k = 0; k < 8; ++k) {
     const std::string uid = "j-" + std::to_string(k);
     ASSERT_TRUE(cluster->eventually(30, [&] { return poll(cluster->leader(), uid) == "done"; })) << uid;
   }
   std::lock_guard lock(mutex);
-  EXPECT_EQ(released_at_work, 0u) << "tasks on machines that were released";
+  EXPECT_EQ(released_tasks, 0u) << "instances were released with tasks on them";
 }
-INSTANTIATE_TEST_SUITE_P(Leader, NewMachines, testing::Bool(),
-                         [](const auto& info) { return std::string(info.param ? "Stops" : "IsCutOff"); });
+INSTANTIATE_TEST_SUITE_P(Leader, NewInstances, testing::Bool(),
+                         [](const auto& info) { return std::string(info.param ? "Stops" : "IsPartitioned"); });
 
 }  // namespace
 }  // namespace thistlefront
