--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -32,9 +32,9 @@
   const RecordCase& record_case = GetParam();
   const std::string name = record_case.name;
   // Long enough that the writer still leads while the outcome of its write is unknown.
-  Options options = test_support::one_level();
+  Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 2000;
-  begin(3, 2, "", options);
+  start_cluster(3, 2, "", options);
   checker.submitted({"j-1", "red", "batch", "", 2, 1, name == "ended" ? 1.5 : 1000}, steady_now());
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   const auto writer = cluster->leader();
@@ -42,7 +42,7 @@
   auto& endpoint = cluster->state.endpoint(writer);
   if (name != "accepted") {
     ASSERT_TRUE(cluster->submit_until("j-1", 20));
-    ASSERT_TRUE(cluster->eventually(20, [&] { return running("j-1") == 2; }));
+    ASSERT_TRUE(cluster->eventually(20, [&] { return count_running_tasks("j-1") == 2; }));
   }
   std::jthread user;
   if (name == "accepted") {
@@ -57,7 +57,7 @@
     endpoint.loses_next = "ledger/";
     ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost == 1; }));
     if (checker.tasks_done() < 2) {
-      ASSERT_TRUE(cluster->eventually(10, [&] { return running("j-1") == 1; }));
+      ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-1") == 1; }));
       endpoint.loses_next = "ledger/";
     }
   }
@@ -77,7 +77,7 @@
   }
   endpoint.refuses = false;
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(cluster->eventually(10, [&] { return poll(i, "j-1") == record_case.status_after; })) << i;
-  EXPECT_EQ(cluster->accepted_in_ledger()["j-1"], 1);
+  EXPECT_EQ(cluster->acceptances_in_ledger()["j-1"], 1);
   EXPECT_EQ(cluster->state.unfenced(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -90,7 +90,7 @@
 // The other controllers see the new leader before it knows that it leads. It then finds that the leader key is attached to its own
 // session lease.
 TEST(LostAnswerRecovery, RecognizesTheLeaderKeyThatItAcquired) {
-  Options options = test_support::one_level();
+  Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 4000;
   Cluster cluster(3, 1, {options});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
@@ -141,7 +141,7 @@
       cluster.eventually(5, [&] { return cluster.metric(first, "epoch") == "thistlefront_epoch " + std::to_string(raised_token); }));
   EXPECT_TRUE(cluster.submit_until("j-1", 10));
   EXPECT_EQ(cluster.state.fencing_token(), raised_token) << "there was no takeover since";
-  EXPECT_EQ(cluster.accepted_in_ledger()["j-1"], 1);
+  EXPECT_EQ(cluster.acceptances_in_ledger()["j-1"], 1);
   stopping = true;
 }
 
@@ -178,7 +178,7 @@
   cluster.state.remove(key);
   auto& endpoint = cluster.state.endpoint(1);
   endpoint.loses_next = kRegistryPrefix;
-  cluster.start(1, test_support::one_level());
+  cluster.start(1, test_support::fixed_version_options());
   ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost == 1; }));
   const auto mod_revision = cluster.state.mod_revision(key);
   EXPECT_GT(mod_revision, 0u);
@@ -195,7 +195,7 @@
   cluster.state.put(cluster.state.lead(), R"({"label":"host-1","incarnation":7})");
   auto& endpoint = cluster.state.endpoint(1);
   endpoint.loses_next = "lead";
-  for (std::size_t i = 0; i < 3; ++i) cluster.start(i, test_support::one_level());
+  for (std::size_t i = 0; i < 3; ++i) cluster.start(i, test_support::fixed_version_options());
   ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost == 1; }));
   ASSERT_TRUE(cluster.eventually(10, [&] { return !cluster.state.leader().empty() && cluster.state.leader() != "host-1"; }))
       << "another controller reads that there is no leader";
