--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -206,7 +206,7 @@
 
 // A leader that most nodes do not contact directly may itself be partitioned from them: in the first seconds of such a partition, 12
 // healthy nodes were released. A leader that is short of CPU time also processes heartbeats late.
-std::vector<NodeIndex> InstanceReleaser::find_suspect_nodes() const {
+std::vector<NodeIndex> InstanceReleaser::find_nodes_to_probe() const {
   const double now = steady_now();
   const double interval_s = shared_.config.settings.heartbeat_interval_s;
   const Term& term = *shared_.term;
@@ -219,7 +219,7 @@
   std::vector<Probe> out;
   Lock lock(shared_.mutex);
   if (!shared_.may_decide() || are_most_heartbeats_relayed(shared_)) return out;
-  for (const NodeIndex index : find_suspect_nodes()) {
+  for (const NodeIndex index : find_nodes_to_probe()) {
     const Node& node = shared_.term->cluster_state->node(index);
     if (out.size() < shared_.config.budget.probes) out.push_back({node.name, node.address});
   }
@@ -241,7 +241,7 @@
     Lock lock(shared_.mutex);
     if (!shared_.may_decide()) return;
     std::set<std::string> still_suspect;
-    for (const NodeIndex index : find_suspect_nodes()) still_suspect.insert(shared_.term->cluster_state->node(index).name);
+    for (const NodeIndex index : find_nodes_to_probe()) still_suspect.insert(shared_.term->cluster_state->node(index).name);
     for (const auto& target : probes)
       if (still_suspect.contains(target.name)) names.push_back(target.name);
   }
--- a/src/controller/instance_releaser.hpp
+++ b/src/controller/instance_releaser.hpp
@@ -53,7 +53,7 @@
   void probe_agents(std::vector<Probe>& probes);
   void probe_agent(Probe& target);
   // Returns the suspiciously silent nodes; none if too few nodes contact this leader directly for it to judge.
-  [[nodiscard]] std::vector<NodeIndex> find_suspect_nodes() const;
+  [[nodiscard]] std::vector<NodeIndex> find_nodes_to_probe() const;
   [[nodiscard]] std::vector<Probe> probes_of_silent_nodes() const;
   [[nodiscard]] std::vector<Probe> probes_of_relayed_nodes() const;
 
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -121,7 +121,8 @@
 
 void SchedulingLoop::mark_tasks_to_stop(const PassContext& context, std::set<NodeIndex>& nodes_with_commands) {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady_now, context.wall_now})) nodes_with_commands.insert(node);
+  for (const NodeIndex node : drain_interrupted_nodes(cluster_state, {context.steady_now, context.wall_now}))
+    nodes_with_commands.insert(node);
   for (const NodeIndex node : resume_inherited_stops(cluster_state)) nodes_with_commands.insert(node);
   if (!stop_broken_gangs(cluster_state)) return;
   for (const JobIndex job : cluster_state.live())
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -37,7 +37,7 @@
   double token_raised_at = 0;                     // steady seconds
 
   // ---- ledger
-  std::optional<LedgerSnapshot> preread_ledger;     // read before the takeover
+  std::optional<LedgerSnapshot> preread_ledger;  // read before the takeover
   std::unique_ptr<ClusterState> cluster_state;   // null until the ledger has been read
   LedgerWriter ledger_writer;
   bool first_term_ever = false;  // the ledger was empty: no earlier leader requested instances or placed tasks
@@ -51,9 +51,9 @@
   // ---- scheduling
   std::set<JobIndex> within_guarantee;  // jobs within a team guarantee, as of the latest pass
   StarvationGuard starvation_guard;
-  std::vector<Plan::Unserved> unserved;           // units that the latest pass did not start
-  std::set<NodeIndex> starting_nodes;             // task starts on these nodes are being committed
-  double last_work_at = 0;                        // steady seconds of the latest pass with a pending task or a job other than a service
+  std::vector<Plan::Unserved> unserved;            // units that the latest pass did not start
+  std::set<NodeIndex> starting_nodes;              // task starts on these nodes are being committed
+  double last_work_at = 0;                         // steady seconds of the latest pass with a pending task or a job other than a service
   std::map<InstanceOffer, double> refused_offers;  // offers refused by the cloud -> steady seconds at which to request them again
 
   // ---- agents
