--- a/src/controller/commit_queue.cpp
+++ b/src/controller/commit_queue.cpp
@@ -65,11 +65,11 @@
 }
 
 std::size_t CommitQueue::max_entry_bytes() const {
-  return static_cast<std::size_t>(shared_.config.settings.value_kb * kBytesPerKb * kUsableValueFraction) / shrink_factor_;
+  return static_cast<std::size_t>(shared_.config.settings.max_value_kb * kBytesPerKb * kUsableValueFraction) / shrink_factor_;
 }
 
 LedgerWriter::Limits CommitQueue::transaction_limits() const {
-  const auto changes = static_cast<std::size_t>(shared_.config.settings.txn_ops) / shrink_factor_;
+  const auto changes = static_cast<std::size_t>(shared_.config.settings.max_txn_ops) / shrink_factor_;
   const auto puts = std::max<std::size_t>(2, std::min<std::size_t>(changes - 1, kMaxPuts));
   return {max_entry_bytes(), puts, changes, write_limiter_.length_factor(max_entry_bytes())};
 }
@@ -77,7 +77,7 @@
 bool CommitQueue::shrink_writes() {
   const auto next = shrink_factor_ * 2;
   const auto& settings = shared_.config.settings;
-  if (settings.value_kb / static_cast<double>(next) < kMinValueKb || settings.txn_ops / next < kMinChanges) return false;
+  if (settings.max_value_kb / static_cast<double>(next) < kMinValueKb || settings.max_txn_ops / next < kMinChanges) return false;
   shrink_factor_ = next;
   spdlog::error("ledger: entries and transactions limited to 1/{} of what the settings allow", shrink_factor_);
   return true;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -39,7 +39,7 @@
     : config_(make_controller_config(std::move(settings), options)),
       shared_(config_),
       metrics_(config_.settings),
-      commit_queue_(shared_, config_.settings.state_write_rps),
+      commit_queue_(shared_, config_.settings.store_write_rps),
       relay_store_(config_.settings.store_address),
       relay_(
           config_.settings.label, [this] { return relay_target(shared_); }, [this] { return reaches_store(relay_store_); }),
@@ -128,7 +128,7 @@
 
 Frame Controller::on_frame(const Frame& frame) {
   if (const auto heartbeat = unpack_peer_heartbeat(frame)) return pack(peer_monitor_.receive_heartbeat(*heartbeat));
-  if (frame.kind == static_cast<std::uint8_t>(PeerKind::heartbeat_batch)) return heartbeats_.handle_batch(frame);
+  if (frame.kind == static_cast<std::uint8_t>(PeerFrameKind::heartbeat_batch)) return heartbeats_.handle_batch(frame);
   if (const auto call = unpack_call(frame)) return on_peer_call(*call);
   spdlog::error("peer: malformed frame, kind {}", frame.kind);
   return pack(error_reply(400, "malformed frame"), steady_now());
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -21,7 +21,8 @@
       pools_(std::move(pools)) {
   controller_labels_.push_back(settings.label);
   for (const auto& peer : settings.peers) controller_labels_.push_back(peer.label);
-  while (controller_labels_.size() < settings.count) controller_labels_.push_back("unnamed-" + std::to_string(controller_labels_.size()));
+  while (controller_labels_.size() < settings.controller_count)
+    controller_labels_.push_back("unnamed-" + std::to_string(controller_labels_.size()));
 }
 
 bool RegistryView::register_self(StoreClient& store, std::stop_token stop) const {
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -41,7 +41,7 @@
   switch (route.kind) {
     case UserRoute::Kind::submit: answer = submit(lock, body); break;
     case UserRoute::Kind::status: answer = poll(route.uid); break;
-    case UserRoute::Kind::withdraw: answer = cancel(lock, route.uid); break;
+    case UserRoute::Kind::cancel: answer = cancel(lock, route.uid); break;
     default: return answer.reply;
   }
   HttpReply& reply = answer.reply;
@@ -184,7 +184,7 @@
   if (is_ledger_failing()) return unavailable_reply();
   const double random_draw = std::uniform_real_distribution<double>(0, 1)(random_);
   const std::string uid = spec.uid;
-  const double accepted_at = cluster_state.next_acceptance_time(wall_now(), shared_.config.settings.skew_ms / 1000);
+  const double accepted_at = cluster_state.next_acceptance_time(wall_now(), shared_.config.settings.max_clock_skew_ms / 1000);
   JobAcceptedRecord record{std::move(spec), random_draw, accepted_at};
   if (!LedgerWriter::fits_in_entry(record, commit_queue_.max_entry_bytes())) return refuse(422, "its description is too long to be stored");
   std::vector<Record> records;
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -73,7 +73,7 @@
   }
   auto step = rollout::next_step(snapshot, observation->registry, view.controller_labels(), observation->peer_versions,
                                  describe_leader(snapshot.active), wall_now(), shared_.config.options.format_version_soak_s);
-  if (step.changes() > shared_.config.settings.txn_ops) {
+  if (step.changes() > shared_.config.settings.max_txn_ops) {
     step = {};
     step.blocked_by = "transactions of more changes than the state service allows";
   }
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -84,7 +84,7 @@
     }
     return true;
   }
-  if (!response.is(503) || !is_no_capacity(response.body)) return false;
+  if (!response.is(503) || !reports_no_capacity(response.body)) return false;
   refuse_offer_for_now(sent);
   return true;
 }
@@ -94,7 +94,7 @@
 }
 
 void ScaleOutManager::apply_granted(const NamedRequest& sent, const std::string& body) {
-  const auto names = parse_rented(body);
+  const auto names = parse_rented_names(body);
   const auto& request = sent.request;
   const auto& offer = request.offer;
   spdlog::info("scale-out: {} of {} {} in {}{}{}", names.size(), request.count, sent.machine_type, offer.zone, offer.spot ? ", spot" : "",
--- a/src/heartbeat_relay/heartbeat_delta.cpp
+++ b/src/heartbeat_relay/heartbeat_delta.cpp
@@ -80,7 +80,7 @@
 }
 
 HeartbeatDelta whole_delta(const Heartbeat& heartbeat) {
-  HeartbeatDelta delta = delta_of_kind(HeartbeatDelta::Kind::whole, heartbeat);
+  HeartbeatDelta delta = delta_of_kind(HeartbeatDelta::Kind::full, heartbeat);
   delta.address = heartbeat.address;
   delta.machine_type = heartbeat.machine_type;
   delta.zone = heartbeat.zone;
@@ -153,7 +153,7 @@
 }
 
 const Heartbeat* HeartbeatDeltaDecoder::decode(const HeartbeatDelta& delta) {
-  if (delta.kind == HeartbeatDelta::Kind::whole) return &(received_[delta.node] = heartbeat_of_whole_delta(delta));
+  if (delta.kind == HeartbeatDelta::Kind::full) return &(received_[delta.node] = heartbeat_of_whole_delta(delta));
   const auto it = received_.find(delta.node);
   if (it == received_.end()) return nullptr;
   Heartbeat& heartbeat = it->second;
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -19,7 +19,7 @@
   if (!object.is_object()) fail_field("hosts", "not objects");
   Instance instance;
   instance.name = read_text(object, "uid");
-  // An instance that is still booting may have no address yet.
+  // A booting instance may not have an address yet.
   if (const json* address = find_member(object, "address"); address && address->is_string()) instance.address = address->get<std::string>();
   instance.machine_type = read_text(object, "hostKind");
   instance.zone = read_text(object, "yard");
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-std::string instances_path(const std::string& from, unsigned page) {
-  std::string path = std::string(kRentPath) + "?page=" + std::to_string(page);
-  if (!from.empty()) path += "&from=" + from;
+std::string instances_path(const std::string& first_name, unsigned page_size) {
+  std::string path = std::string(kRentPath) + "?page=" + std::to_string(page_size);
+  if (!first_name.empty()) path += "&from=" + first_name;
   return path;
 }
 
@@ -52,18 +52,18 @@
   return page;
 }
 
-std::string rent_body(const std::string& rental, const std::string& machine_type, const std::string& zone, bool spot, unsigned count) {
-  return json{{"rental", rental}, {"hostKind", machine_type}, {"yard", zone}, {"loaners", spot}, {"count", count}}.dump();
+std::string rent_body(const std::string& rental_id, const std::string& machine_type, const std::string& zone, bool spot, unsigned count) {
+  return json{{"rental", rental_id}, {"hostKind", machine_type}, {"yard", zone}, {"loaners", spot}, {"count", count}}.dump();
 }
 
-std::vector<std::string> parse_rented(std::string_view body) {
+std::vector<std::string> parse_rented_names(std::string_view body) {
   const json object = parse_object(body);
   std::vector<std::string> names;
   for (const auto& name : read_list(object, "hosts")) names.push_back(as_text(name, "hosts"));
   return names;
 }
 
-bool is_no_capacity(std::string_view body) {
+bool reports_no_capacity(std::string_view body) {
   return body.find("no capacity") != std::string_view::npos;
 }
 
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -1,5 +1,5 @@
-// What is asked of the cloud's API and answered by it: machine types, instances, renting and releasing them. Called by the
-// scale-out duty.
+// Requests to the cloud's API and its replies: machine types, the list of instances, renting and releasing instances. Called by
+// the cloud manager, the scale-out manager and the instance releaser.
 #pragma once
 #include <string>
 #include <string_view>
@@ -10,30 +10,31 @@
 
 namespace thistlefront {
 
-inline constexpr const char* kMachineTypesPath = "/flavors";     ///< GET: the machine types
-inline constexpr const char* kRentPath = "/rentals";             ///< GET: the instances; POST: rent more
+inline constexpr const char* kMachineTypesPath = "/flavors";     ///< GET: list machine types
+inline constexpr const char* kRentPath = "/rentals";             ///< GET: list instances; POST: rent instances
 inline constexpr const char* kReleasePath = "/rentals/release";  ///< POST: release instances
-/// Path of one page of the list of instances: at most `page` of them, from the name `from` on; from the first if it is empty.
-std::string instances_path(const std::string& from, unsigned page);
+/// Path of a page of the list of instances: at most `page_size` of them, starting at `first_name`, or at the first of all if
+/// `first_name` is empty.
+std::string instances_path(const std::string& first_name, unsigned page_size);
 
-/// Reads the list of machine types; throws ProtocolError.
+/// Parses the list of machine types; throws ProtocolError.
 std::vector<MachineType> parse_machine_types(std::string_view body);
 
-/// One page of the list of instances.
+/// A page of the list of instances.
 struct InstancePage {
   std::vector<Instance> instances;
   bool truncated = false;  ///< there are further pages
 };
-/// Reads one; throws ProtocolError.
+/// Parses a page; throws ProtocolError.
 InstancePage parse_instances(std::string_view body);
 
-/// Asks for `count` instances of a machine type. `rental` names the request, so that repeating it rents nothing twice.
-std::string rent_body(const std::string& rental, const std::string& machine_type, const std::string& zone, bool spot, unsigned count);
-/// Names of the instances rented; throws ProtocolError.
-std::vector<std::string> parse_rented(std::string_view body);
-/// Whether a refusal says that no such machines are available, as opposed to a fault of the cloud.
-bool is_no_capacity(std::string_view body);
-/// Releases the instances of those names.
+/// Requests `count` instances of a machine type. `rental_id` makes the request idempotent: repeating it rents nothing more.
+std::string rent_body(const std::string& rental_id, const std::string& machine_type, const std::string& zone, bool spot, unsigned count);
+/// Parses the names of the rented instances; throws ProtocolError.
+std::vector<std::string> parse_rented_names(std::string_view body);
+/// Whether an error reply means that no such instances are available, rather than a failure of the cloud.
+bool reports_no_capacity(std::string_view body);
+/// Releases the instances with these names.
 std::string release_body(const std::vector<std::string>& names);
 
 }  // namespace thistlefront
--- a/src/protocol/enum_names.hpp
+++ b/src/protocol/enum_names.hpp
@@ -1,5 +1,5 @@
-// How enumerators are spelled in JSON. A table stands beside the messages that use it; only JobStatus, which users and the
-// ledger share, stands here.
+// Names of enumerators in JSON. Each table is defined next to the messages that use it; only the table of JobStatus is defined
+// here, because messages to users and the ledger share it.
 #pragma once
 #include <cstddef>
 #include <nlohmann/json.hpp>
@@ -11,18 +11,18 @@
 
 namespace thistlefront {
 
-/// One enumerator and its spelling; a table of them is an array.
+/// An enumerator and its name in JSON. A table is an array of these.
 template <class Enum>
 struct EnumName {
   std::string_view name;
   Enum value;
 };
 
-/// The status of a job, as users and the ledger spell it.
+/// Names of a job's status in messages to users and in the ledger.
 inline constexpr EnumName<JobStatus> kJobStatusNames[] = {
     {"queued", JobStatus::queued}, {"running", JobStatus::running}, {"done", JobStatus::done}, {"aborted", JobStatus::cancelled}};
 
-/// The enumerator of that name; nullptr if the table has none.
+/// The enumerator with this name; nullptr if the table has none.
 template <class Enum, std::size_t N>
 const Enum* find_enum(const std::string& name, const EnumName<Enum> (&names)[N]) {
   for (const auto& entry : names)
@@ -30,7 +30,7 @@
   return nullptr;
 }
 
-/// The enumerator that `value` names; throws ProtocolError for `field` if it names none.
+/// The enumerator that `value` names; throws a ProtocolError that names `field` if there is none.
 template <class Enum, std::size_t N>
 Enum as_enum(const nlohmann::json& value, const char* field, const EnumName<Enum> (&names)[N]) {
   const Enum* found = value.is_string() ? find_enum(value.get_ref<const std::string&>(), names) : nullptr;
@@ -38,7 +38,7 @@
   return *found;
 }
 
-/// The spelling of an enumerator; empty if the table has none.
+/// The name of an enumerator; empty if the table has none.
 template <class Enum, std::size_t N>
 std::string_view enum_name(Enum value, const EnumName<Enum> (&names)[N]) {
   for (const auto& entry : names)
--- a/src/protocol/heartbeat_cache.hpp
+++ b/src/protocol/heartbeat_cache.hpp
@@ -1,5 +1,5 @@
-// Remembers the last heartbeat read from one connection. Most heartbeats of a node differ from the one before in their serial
-// number alone; such a heartbeat is recognised by its bytes and not parsed again. It must never accept what the parser rejects.
+// Caches the last heartbeat that was read from a connection. Most heartbeats of an agent differ from the previous one only in their
+// serial number; these are detected by comparing bytes and not parsed again. A body that the parser would reject must not be accepted.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -10,21 +10,21 @@
 
 namespace thistlefront {
 
-/// Reads the heartbeats of one connection. Not thread-safe.
+/// Parses the heartbeats of one connection. Not thread-safe.
 class HeartbeatCache {
  public:
-  /// The heartbeat in `body`, valid until the next call. `repeated_serial` is set if it equals the one read before in all but
-  /// its serial. Throws ProtocolError.
+  /// Parses a heartbeat. The result is valid until the next call. Its `repeated_serial` is the serial of the previous heartbeat if the
+  /// two differ only in their serials. Throws ProtocolError.
   const Heartbeat& read(std::string_view body);
 
  private:
-  // The serial of a body that equals the remembered one byte for byte outside of its serial; nothing for any other body.
+  // The serial of `body` if all other bytes equal those of the cached body; otherwise nothing.
   [[nodiscard]] std::optional<std::uint64_t> serial_if_repeated(std::string_view body) const;
-  void remember(std::string_view body);
+  void cache_body(std::string_view body);
 
   Heartbeat heartbeat_;
-  std::string before_serial_, after_serial_;  // the remembered body without the digits of its serial
-  bool remembers_ = false;
+  std::string before_serial_, after_serial_;  // bytes of the cached body around the digits of its serial
+  bool has_cached_body_ = false;
 };
 
 }  // namespace thistlefront
--- a/src/protocol/heartbeat_parser.cpp
+++ b/src/protocol/heartbeat_parser.cpp
@@ -1,5 +1,5 @@
-// parse_heartbeat(): reads a heartbeat event by event. A leader reads hundreds of them a second, and building a JSON document
-// for each would be most of their cost.
+// parse_heartbeat(), based on a SAX parser. A leader parses hundreds of heartbeats per second, and building a JSON document for each
+// would be most of the cost.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kTaskReportBytes = 60;  // of one task in a heartbeat, roughly: used to reserve memory
+constexpr std::size_t kTypicalTaskReportBytes = 60;  // of one task in a heartbeat, used to reserve memory
 constexpr std::size_t kMaxTaskDigits = 6;
 
 constexpr EnumName<TaskPhase> kTaskPhaseNames[] = {{"pulling", TaskPhase::pulling_image},
@@ -26,7 +26,7 @@
     {"alone", ExitReason::gang_incomplete},  {"error", ExitReason::failed},        {"no_room", ExitReason::insufficient_resources},
     {"busy", ExitReason::duplicate_attempt}, {"unknown", ExitReason::unknown_task}};
 
-// "uid/number", with at most kMaxTaskDigits digits.
+// Parses "uid/number". The number has at most kMaxTaskDigits digits.
 TaskId parse_task_id(const std::string& text, const char* field) {
   const auto slash = text.rfind('/');
   if (slash == std::string::npos || slash + 1 >= text.size() || text.size() - slash > kMaxTaskDigits + 1) fail_field(field, "not a task");
@@ -38,7 +38,7 @@
   return {text.substr(0, slash), task};
 }
 
-// A scalar of the document, or a nested value that is skipped (`other`).
+// A scalar value, or a nested value that is skipped (`other`).
 struct Value {
   enum class Kind : std::uint8_t { null, flag, count, real, text, other } kind = Kind::null;
   bool flag = false;
@@ -56,7 +56,7 @@
 std::uint64_t as_count(const Value& value, const char* field) {
   if (value.kind == Value::Kind::count) return value.count;
   if (value.kind == Value::Kind::real) {
-    if (const auto count = count_of_real(value.real)) return *count;
+    if (const auto count = exact_count(value.real)) return *count;
   }
   fail_field(field, "not a count");
 }
@@ -66,19 +66,19 @@
   return value.flag;
 }
 
-// Handler for the events of nlohmann's SAX parser, whose interface sets the names of the public functions. Nesting depth 1
-// is the heartbeat's object, 2 the list of its tasks, 3 one task's object.
+// Event handler for nlohmann's SAX parser, which prescribes the names of the public functions. Nesting depth 1 is the object of the
+// heartbeat, 2 the list of its tasks, 3 the object of a task.
 class HeartbeatHandler {
  public:
-  bool null() { return take({}); }
-  bool boolean(bool value) { return take({.kind = Value::Kind::flag, .flag = value}); }
-  bool number_integer(std::int64_t value) { return take({.kind = Value::Kind::real, .real = static_cast<double>(value)}); }
+  bool null() { return handle_value({}); }
+  bool boolean(bool value) { return handle_value({.kind = Value::Kind::flag, .flag = value}); }
+  bool number_integer(std::int64_t value) { return handle_value({.kind = Value::Kind::real, .real = static_cast<double>(value)}); }
   bool number_unsigned(std::uint64_t value) {
-    return take({.kind = Value::Kind::count, .count = value, .real = static_cast<double>(value)});
+    return handle_value({.kind = Value::Kind::count, .count = value, .real = static_cast<double>(value)});
   }
-  bool number_float(double value, const std::string&) { return take({.kind = Value::Kind::real, .real = value}); }
-  bool string(std::string& value) { return take({.kind = Value::Kind::text, .text = &value}); }
-  bool binary(std::vector<std::uint8_t>&) { return take({.kind = Value::Kind::other}); }
+  bool number_float(double value, const std::string&) { return handle_value({.kind = Value::Kind::real, .real = value}); }
+  bool string(std::string& value) { return handle_value({.kind = Value::Kind::text, .text = &value}); }
+  bool binary(std::vector<std::uint8_t>&) { return handle_value({.kind = Value::Kind::other}); }
   bool start_object(std::size_t size);
   bool end_object();
   bool start_array(std::size_t size);
@@ -86,36 +86,37 @@
   bool key(std::string& key);
   bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) { return false; }
 
-  // Makes room for that many tasks.
+  // Reserves memory for this number of tasks.
   void reserve_tasks(std::size_t count) { heartbeat_.tasks.reserve(count); }
-  // The heartbeat read; throws ProtocolError unless it is complete. `parsed`: what the parser returned.
-  Heartbeat take_heartbeat(bool parsed);
+  // Returns the heartbeat; throws ProtocolError unless it is complete. `is_json`: return value of the parser.
+  Heartbeat finish(bool is_json);
 
  private:
   static constexpr int kHeartbeatDepth = 1, kTaskListDepth = 2, kTaskDepth = 3;
 
-  [[nodiscard]] bool at_heartbeat() const { return depth_ == kHeartbeatDepth; }
+  [[nodiscard]] bool in_heartbeat() const { return depth_ == kHeartbeatDepth; }
   [[nodiscard]] bool in_task_list() const { return depth_ == kTaskListDepth && in_tasks_; }
   [[nodiscard]] bool in_task() const { return depth_ == kTaskDepth && in_tasks_; }
-  bool take(const Value& value);
+  bool handle_value(const Value& value);
   void read_heartbeat_field(const Value& value);
   void read_task_field(const Value& value);
 
-  struct SeenInHeartbeat {
+  // Required fields that were present.
+  struct HeartbeatFields {
     bool agent_incarnation = false, serial = false, fencing_token = false, tasks = false;
   };
-  struct SeenInTask {
+  struct TaskFields {
     bool id = false, attempt = false, phase = false;
   };
 
   Heartbeat heartbeat_;
-  SeenInHeartbeat seen_;
-  TaskReport task_;  // the one being read
-  SeenInTask seen_in_task_;
+  HeartbeatFields heartbeat_fields_present_;
+  TaskReport task_;  // the task that is being read
+  TaskFields task_fields_present_;
   int depth_ = 0;
   bool is_object_ = false;
   bool in_tasks_ = false;
-  std::string key_;  // the latest key at the depth of the heartbeat or of a task
+  std::string key_;  // latest key in the object of the heartbeat or of a task
 };
 
 bool HeartbeatHandler::start_object(std::size_t) {
@@ -123,9 +124,9 @@
     is_object_ = true;
   } else if (in_task_list()) {
     task_ = {};
-    seen_in_task_ = {};
+    task_fields_present_ = {};
   } else {
-    take({.kind = Value::Kind::other});
+    handle_value({.kind = Value::Kind::other});
   }
   ++depth_;
   return true;
@@ -134,19 +135,19 @@
 bool HeartbeatHandler::end_object() {
   --depth_;
   if (!in_task_list()) return true;
-  if (!seen_in_task_.id) fail_field("piece", "missing");
-  if (!seen_in_task_.attempt) fail_field("try", "missing");
-  if (!seen_in_task_.phase) fail_field("status", "missing");
+  if (!task_fields_present_.id) fail_field("piece", "missing");
+  if (!task_fields_present_.attempt) fail_field("try", "missing");
+  if (!task_fields_present_.phase) fail_field("status", "missing");
   heartbeat_.tasks.push_back(std::move(task_));
   return true;
 }
 
 bool HeartbeatHandler::start_array(std::size_t) {
-  if (at_heartbeat() && key_ == "pieces") {
-    in_tasks_ = seen_.tasks = true;
+  if (in_heartbeat() && key_ == "pieces") {
+    in_tasks_ = heartbeat_fields_present_.tasks = true;
     heartbeat_.tasks.clear();
   } else {
-    take({.kind = Value::Kind::other});
+    handle_value({.kind = Value::Kind::other});
   }
   ++depth_;
   return true;
@@ -154,36 +155,36 @@
 
 bool HeartbeatHandler::end_array() {
   --depth_;
-  if (at_heartbeat()) in_tasks_ = false;
+  if (in_heartbeat()) in_tasks_ = false;
   return true;
 }
 
 bool HeartbeatHandler::key(std::string& key) {
-  if (at_heartbeat() || in_task()) key_ = key;
+  if (in_heartbeat() || in_task()) key_ = key;
   return true;
 }
 
-Heartbeat HeartbeatHandler::take_heartbeat(bool parsed) {
-  if (!parsed) fail_field("body", "not JSON");
+Heartbeat HeartbeatHandler::finish(bool is_json) {
+  if (!is_json) fail_field("body", "not JSON");
   if (!is_object_) fail_field("body", "not an object");
   if (heartbeat_.node.empty()) fail_field("host", "missing");
   if (heartbeat_.address.empty()) fail_field("address", "missing");
   if (heartbeat_.machine_type.empty()) fail_field("hostKind", "missing");
   if (heartbeat_.zone.empty()) fail_field("yard", "missing");
-  if (!seen_.agent_incarnation) fail_field("tenure", "missing");
-  if (!seen_.serial) fail_field("serial", "missing");
-  if (!seen_.fencing_token) fail_field("epoch", "missing");
-  if (!seen_.tasks) fail_field("pieces", "missing");
+  if (!heartbeat_fields_present_.agent_incarnation) fail_field("tenure", "missing");
+  if (!heartbeat_fields_present_.serial) fail_field("serial", "missing");
+  if (!heartbeat_fields_present_.fencing_token) fail_field("epoch", "missing");
+  if (!heartbeat_fields_present_.tasks) fail_field("pieces", "missing");
   return std::move(heartbeat_);
 }
 
-// Always true: a value that cannot be taken throws.
-bool HeartbeatHandler::take(const Value& value) {
-  if (depth_ == 0) return true;  // not an object: take_heartbeat() says so
+// Always returns true, because an invalid value throws.
+bool HeartbeatHandler::handle_value(const Value& value) {
+  if (depth_ == 0) return true;  // the document is not an object: finish() throws
   if (in_task_list()) fail_field("pieces", "not objects");
-  // A null counts as an absent field; what is nested in unknown fields is ignored.
+  // A null field is treated as absent; values nested in unknown fields are ignored.
   if (value.kind == Value::Kind::null) return true;
-  if (at_heartbeat()) {
+  if (in_heartbeat()) {
     read_heartbeat_field(value);
   } else if (in_task()) {
     read_task_field(value);
@@ -204,13 +205,13 @@
     heartbeat_.spot = as_flag(value, "loaners");
   } else if (key_ == "tenure") {
     heartbeat_.agent_incarnation = as_count(value, "tenure");
-    seen_.agent_incarnation = true;
+    heartbeat_fields_present_.agent_incarnation = true;
   } else if (key_ == "serial") {
     heartbeat_.serial = as_count(value, "serial");
-    seen_.serial = true;
+    heartbeat_fields_present_.serial = true;
   } else if (key_ == "epoch") {
     heartbeat_.fencing_token = as_count(value, "epoch");
-    seen_.fencing_token = true;
+    heartbeat_fields_present_.fencing_token = true;
   } else if (key_ == "pieces") {
     fail_field("pieces", "not a list");
   } else if (key_ == "recallS") {
@@ -223,17 +224,17 @@
   if (key_ == "piece") {
     if (value.kind != Value::Kind::text) fail_field("piece", "not a string");
     task_.id = parse_task_id(*value.text, "piece");
-    seen_in_task_.id = true;
+    task_fields_present_.id = true;
   } else if (key_ == "try") {
     task_.attempt = as_count(value, "try");
-    seen_in_task_.attempt = true;
+    task_fields_present_.attempt = true;
   } else if (key_ == "status") {
     const auto* phase = value.kind == Value::Kind::text ? find_enum(*value.text, kTaskPhaseNames) : nullptr;
     if (!phase) fail_field("status", "not a known value");
     task_.phase = *phase;
-    seen_in_task_.phase = true;
+    task_fields_present_.phase = true;
   } else if (key_ == "cause") {
-    // A reason that this build does not know counts as a failure of the task, never as its completion.
+    // An exit reason that this build does not know is treated as a failure of the task, never as its completion.
     const auto* exit_reason = value.kind == Value::Kind::text ? find_enum(*value.text, kExitReasonNames) : nullptr;
     task_.exit_reason = exit_reason ? *exit_reason : ExitReason::failed;
   } else if (key_ == "kept") {
@@ -245,9 +246,9 @@
 
 Heartbeat parse_heartbeat(std::string_view body) {
   HeartbeatHandler handler;
-  handler.reserve_tasks(body.size() / kTaskReportBytes);
-  const bool parsed = json::sax_parse(body.begin(), body.end(), &handler);
-  return handler.take_heartbeat(parsed);
+  handler.reserve_tasks(body.size() / kTypicalTaskReportBytes);
+  const bool is_json = json::sax_parse(body.begin(), body.end(), &handler);
+  return handler.finish(is_json);
 }
 
 }  // namespace thistlefront
--- a/src/protocol/job_spec_json.cpp
+++ b/src/protocol/job_spec_json.cpp
@@ -88,7 +88,7 @@
   return object;
 }
 
-// The order of the fields here is the order in which they are blamed.
+// The order of these statements decides which of several invalid fields is reported.
 JobSpec parse_job_spec(const json& object) {
   JobSpec spec;
   spec.uid = read_uid(object);
--- a/src/protocol/job_spec_json.hpp
+++ b/src/protocol/job_spec_json.hpp
@@ -1,4 +1,4 @@
-// A job's description as JSON: users send it in this form and the ledger stores it in the same.
+// JSON form of a job's description, which is the same in submissions of users and in the ledger.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 #include <string_view>
@@ -12,7 +12,7 @@
 
 /// Encodes a job's description; fields at their defaults are left out.
 nlohmann::json job_spec_json(const JobSpec& spec);
-/// Checks and reads one; throws ProtocolError.
+/// Parses and validates a job's description; throws ProtocolError.
 JobSpec parse_job_spec(const nlohmann::json& object);
 
 }  // namespace thistlefront
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr std::size_t kMaxTextBytes = 200;
 constexpr double kMaxAmount = 1e12;
-constexpr double kMaxExactCount = 9e15;  // just below the range in which a double skips whole numbers
+constexpr double kMaxExactCount = 9e15;  // a double is exact for whole numbers up to 2^53, about 9.007e15
 }  // namespace
 
 json parse_object(std::string_view body) {
@@ -39,7 +39,7 @@
   if (text.size() > kMaxTextBytes) fail_field(field, "too long");
 }
 
-std::optional<std::uint64_t> count_of_real(double value) {
+std::optional<std::uint64_t> exact_count(double value) {
   if (value >= 0 && value < kMaxExactCount && value == std::floor(value)) return static_cast<std::uint64_t>(value);
   return std::nullopt;
 }
@@ -63,7 +63,7 @@
 std::uint64_t as_count(const json& value, const char* field) {
   if (value.is_number_unsigned()) return value.get<std::uint64_t>();
   if (value.is_number_float()) {
-    if (const auto count = count_of_real(value.get<double>())) return *count;
+    if (const auto count = exact_count(value.get<double>())) return *count;
   }
   fail_field(field, "not a count");
 }
@@ -76,18 +76,18 @@
   return as_amount(require_member(object, field), field);
 }
 
-double read_amount_or(const json& object, const char* field, double otherwise) {
+double read_amount_or(const json& object, const char* field, double default_value) {
   const json* value = find_member(object, field);
-  return value ? as_amount(*value, field) : otherwise;
+  return value ? as_amount(*value, field) : default_value;
 }
 
 std::uint64_t read_count(const json& object, const char* field) {
   return as_count(require_member(object, field), field);
 }
 
-bool read_flag_or(const json& object, const char* field, bool otherwise) {
+bool read_flag_or(const json& object, const char* field, bool default_value) {
   const json* value = find_member(object, field);
-  if (!value) return otherwise;
+  if (!value) return default_value;
   if (!value->is_boolean()) fail_field(field, "not true or false");
   return value->get<bool>();
 }
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -1,8 +1,7 @@
-// Typed access to the fields of JSON messages. Used by the message files of this folder alone; every function throws
-// ProtocolError with the field's name on the wire. A field that is null counts as one that is absent, and unknown fields are
-// ignored.
+// Typed access to the fields of JSON messages, used only by the message files of this folder. Every function throws ProtocolError
+// with the field's name on the wire. A null field is treated as absent, and unknown fields are ignored.
 //
-// The wire has older names for several terms of the code. They appear as literals in this folder and nowhere else:
+// The wire uses other names than the code for several terms. These names appear only in this folder, as literals:
 //
 //   wire                                      code
 //   shape: batch, group, service              JobType: array, gang, service
@@ -46,36 +45,36 @@
 /// Parses `body`, which must be one JSON object.
 nlohmann::json parse_object(std::string_view body);
 
-/// Throws the ProtocolError that blames `field`.
+/// Throws a ProtocolError that names `field`.
 [[noreturn]] void fail_field(const char* field, const char* reason);
 
 /// The field's value; nullptr if it is absent or null.
 const nlohmann::json* find_member(const nlohmann::json& object, const char* field);
-/// The field's value, which must be there.
+/// The field's value; throws if it is absent or null.
 const nlohmann::json& require_member(const nlohmann::json& object, const char* field);
 
-/// Checks the length of a text: from 1 to 200 bytes.
+/// Throws unless `text` has 1 to 200 bytes.
 void check_text_length(const std::string& text, const char* field);
-/// `value` as a count, if it is whole, not negative and small enough for a double to hold it exactly.
-std::optional<std::uint64_t> count_of_real(double value);
+/// Converts `value` to an integer; nothing if it is not whole, is negative or is too large to be exact in a double.
+std::optional<std::uint64_t> exact_count(double value);
 
-/// `value` as a text of 1 to 200 bytes; `field` is the name to blame.
+/// `value` as a text of 1 to 200 bytes. `field`: the name in the error.
 std::string as_text(const nlohmann::json& value, const char* field);
 /// `value` as a finite number from 0 to 1e12.
 double as_amount(const nlohmann::json& value, const char* field);
-/// `value` as a whole number, which may be spelled with a fraction of zero.
+/// `value` as a whole number that is not negative. It may be written with a zero fraction, such as 4.0.
 std::uint64_t as_count(const nlohmann::json& value, const char* field);
 
 /// A required text of 1 to 200 bytes.
 std::string read_text(const nlohmann::json& object, const char* field);
 /// A required finite number from 0 to 1e12.
 double read_amount(const nlohmann::json& object, const char* field);
-/// An optional one.
-double read_amount_or(const nlohmann::json& object, const char* field, double otherwise);
-/// A required whole number.
+/// An optional finite number from 0 to 1e12.
+double read_amount_or(const nlohmann::json& object, const char* field, double default_value);
+/// A required whole number that is not negative.
 std::uint64_t read_count(const nlohmann::json& object, const char* field);
 /// An optional boolean.
-bool read_flag_or(const nlohmann::json& object, const char* field, bool otherwise);
+bool read_flag_or(const nlohmann::json& object, const char* field, bool default_value);
 /// A required array.
 const nlohmann::json& read_list(const nlohmann::json& object, const char* field);
 
--- a/src/protocol/machine_type_json.hpp
+++ b/src/protocol/machine_type_json.hpp
@@ -1,4 +1,4 @@
-// A machine type as JSON: the cloud lists it in this form and the ledger stores it in the same.
+// JSON form of a machine type, which is the same in the cloud's list and in the ledger.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 
@@ -8,7 +8,7 @@
 
 /// Encodes a machine type.
 nlohmann::json machine_type_json(const MachineType& machine_type);
-/// Checks and reads one; throws ProtocolError.
+/// Parses and validates a machine type; throws ProtocolError.
 MachineType parse_machine_type(const nlohmann::json& object);
 
 }  // namespace thistlefront
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,4 +1,4 @@
-// All messages, for users that have not yet chosen the header of the peer they talk to.
+// Includes all message headers except those of messages between controllers.
 #pragma once
 #include "protocol/cloud_messages.hpp"
 #include "protocol/ledger_format.hpp"
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -5,14 +5,14 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kMaxValiditySeconds = 1e6;       // a longer one counts as unlimited
-constexpr std::uint32_t kUnlimited = UINT32_MAX;  // in place of the milliseconds of validity
+constexpr double kMaxValiditySeconds = 1e6;               // a longer validity is sent as unlimited
+constexpr std::uint32_t kUnlimitedValidity = UINT32_MAX;  // on the wire, instead of milliseconds
 constexpr double kMillisPerSecond = 1000;
 
-Frame frame_of(PeerKind kind, Packer& packer) {
+Frame make_frame(PeerFrameKind kind, Packer& packer) {
   return {static_cast<std::uint8_t>(kind), packer.take()};
 }
-bool is(const Frame& frame, PeerKind kind) {
+bool has_kind(const Frame& frame, PeerFrameKind kind) {
   return frame.kind == static_cast<std::uint8_t>(kind);
 }
 }  // namespace
@@ -25,26 +25,27 @@
       .integer(peer_heartbeat.echoed_process)
       .integer(peer_heartbeat.echoed_clock_ms)
       .integer(peer_heartbeat.oldest_cancellation_age_ms);
-  return frame_of(PeerKind::peer_heartbeat, p);
+  return make_frame(PeerFrameKind::peer_heartbeat, p);
 }
 Frame pack(const PeerHeartbeatAck& ack) {
   Packer p;
   p.integer(ack.fencing_token).text(ack.leader).integer(ack.process).integer(ack.clock_ms).integer(ack.last_renewal_age_ms);
-  return frame_of(PeerKind::peer_heartbeat_ack, p);
+  return make_frame(PeerFrameKind::peer_heartbeat_ack, p);
 }
 Frame pack(const PeerCall& call) {
   Packer p;
   p.text(call.method).text(call.target).text(call.body);
-  return frame_of(PeerKind::call, p);
+  return make_frame(PeerFrameKind::call, p);
 }
 Frame pack(const HttpReply& reply, double now) {
-  const double left_s = reply.valid_until - now;
+  const double remaining_s = reply.valid_until - now;
   Packer p;
   p.integer(static_cast<std::uint16_t>(reply.status))
       .integer(static_cast<std::uint16_t>(reply.retry_after_s))
-      .integer(left_s < kMaxValiditySeconds ? static_cast<std::uint32_t>(std::max(0.0, left_s) * kMillisPerSecond) : kUnlimited)
+      .integer(remaining_s < kMaxValiditySeconds ? static_cast<std::uint32_t>(std::max(0.0, remaining_s) * kMillisPerSecond)
+                                                 : kUnlimitedValidity)
       .text(reply.body);
-  return frame_of(PeerKind::reply, p);
+  return make_frame(PeerFrameKind::reply, p);
 }
 
 std::optional<PeerHeartbeat> unpack_peer_heartbeat(const Frame& frame) {
@@ -56,7 +57,7 @@
   peer_heartbeat.echoed_process = u.integer<std::uint64_t>();
   peer_heartbeat.echoed_clock_ms = u.integer<std::uint64_t>();
   peer_heartbeat.oldest_cancellation_age_ms = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::peer_heartbeat) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::peer_heartbeat) || !u.done()) return std::nullopt;
   return peer_heartbeat;
 }
 std::optional<PeerHeartbeatAck> unpack_peer_heartbeat_ack(const Frame& frame) {
@@ -67,7 +68,7 @@
   ack.process = u.integer<std::uint64_t>();
   ack.clock_ms = u.integer<std::uint64_t>();
   ack.last_renewal_age_ms = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::peer_heartbeat_ack) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::peer_heartbeat_ack) || !u.done()) return std::nullopt;
   return ack;
 }
 std::optional<PeerCall> unpack_call(const Frame& frame) {
@@ -76,17 +77,18 @@
   call.method = u.text();
   call.target = u.text();
   call.body = u.text();
-  if (!is(frame, PeerKind::call) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::call) || !u.done()) return std::nullopt;
   return call;
 }
-std::optional<HttpReply> unpack_reply(const Frame& frame, double asked) {
+std::optional<HttpReply> unpack_reply(const Frame& frame, double call_sent_at) {
   Unpacker u(frame.payload);
   HttpReply reply;
   reply.status = u.integer<std::uint16_t>();
   reply.retry_after_s = u.integer<std::uint16_t>();
-  if (const auto left_ms = u.integer<std::uint32_t>(); left_ms != kUnlimited) reply.valid_until = asked + left_ms / kMillisPerSecond;
+  if (const auto remaining_ms = u.integer<std::uint32_t>(); remaining_ms != kUnlimitedValidity)
+    reply.valid_until = call_sent_at + remaining_ms / kMillisPerSecond;
   reply.body = u.text();
-  if (!is(frame, PeerKind::reply) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::reply) || !u.done()) return std::nullopt;
   return reply;
 }
 
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-constexpr std::uint8_t kVersion = 1;
+constexpr std::uint8_t kRelayMessageVersion = 1;
 constexpr std::size_t kMaxHeartbeatsInBatch = 4096;
 constexpr std::size_t kMaxTasksInHeartbeat = 100000;
-// Upper bounds for packed_size(), without texts; kTextBytes is the length before each text.
-constexpr std::size_t kDeltaBytes = 96, kTaskReportBytes = 24, kTextBytes = 4;
-constexpr std::uint8_t kHasInterruption = 1, kSpot = 2;  // flags of a delta
-constexpr std::uint8_t kCheckpointed = 1;                // flag of a task report
+// Upper bounds in bytes for packed_size(), without the characters of texts.
+constexpr std::size_t kMaxDeltaBytes = 96, kMaxTaskReportBytes = 24;
+constexpr std::size_t kTextLengthBytes = 4;                      // length field before each text
+constexpr std::uint8_t kHasInterruptionFlag = 1, kSpotFlag = 2;  // of a delta
+constexpr std::uint8_t kCheckpointedFlag = 1;                    // of a task report
 constexpr double kMillisPerSecond = 1000;
 
 std::uint32_t to_millis(double seconds) {
@@ -32,10 +33,10 @@
   return static_cast<Enum>(value);
 }
 
-// The length of a list; above the bound the frame is malformed.
-std::size_t read_count(Unpacker& in, std::size_t most, bool& valid) {
+// Reads the length of a list; clears `valid` if it exceeds `max_count`.
+std::size_t read_count(Unpacker& in, std::size_t max_count, bool& valid) {
   const std::size_t count = in.integer<std::uint32_t>();
-  if (count <= most && in.ok()) return count;
+  if (count <= max_count && in.ok()) return count;
   valid = false;
   return 0;
 }
@@ -43,7 +44,7 @@
 void write(Packer& out, const TaskId& id, std::uint64_t attempt) {
   out.text(id.uid).integer(id.task).integer(attempt);
 }
-AttemptKey read_key(Unpacker& in) {
+AttemptKey read_attempt_key(Unpacker& in) {
   AttemptKey key;
   key.id.uid = in.text();
   key.id.task = in.integer<std::uint32_t>();
@@ -54,30 +55,30 @@
 void write(Packer& out, const TaskReport& task_report) {
   write(out, task_report.id, task_report.attempt);
   out.integer(static_cast<std::uint8_t>(task_report.phase)).integer(static_cast<std::uint8_t>(task_report.exit_reason));
-  out.integer(static_cast<std::uint8_t>(task_report.checkpointed ? kCheckpointed : 0));
+  out.integer(static_cast<std::uint8_t>(task_report.checkpointed ? kCheckpointedFlag : 0));
 }
 TaskReport read_task_report(Unpacker& in, bool& valid) {
   TaskReport task_report;
-  auto key = read_key(in);
+  auto key = read_attempt_key(in);
   task_report.id = std::move(key.id);
   task_report.attempt = key.attempt;
   task_report.phase = read_enum(in, TaskPhase::exited, valid);
   task_report.exit_reason = read_enum(in, ExitReason::node_lost, valid);
-  task_report.checkpointed = in.integer<std::uint8_t>() == kCheckpointed;
+  task_report.checkpointed = in.integer<std::uint8_t>() == kCheckpointedFlag;
   return task_report;
 }
 
 void write(Packer& out, const HeartbeatDelta& delta) {
   out.integer(static_cast<std::uint8_t>(delta.kind)).text(delta.node);
   out.integer(delta.agent_incarnation).integer(delta.serial).integer(delta.fencing_token);
-  const int flags = (delta.interruption_in_s ? kHasInterruption : 0) | (delta.spot ? kSpot : 0);
+  const int flags = (delta.interruption_in_s ? kHasInterruptionFlag : 0) | (delta.spot ? kSpotFlag : 0);
   out.integer(static_cast<std::uint8_t>(flags)).integer(to_millis(delta.interruption_in_s.value_or(0)));
-  if (delta.kind != HeartbeatDelta::Kind::whole) out.integer(delta.base_serial);
+  if (delta.kind != HeartbeatDelta::Kind::full) out.integer(delta.base_serial);
   if (delta.kind == HeartbeatDelta::Kind::unchanged) return;
-  if (delta.kind == HeartbeatDelta::Kind::whole) out.text(delta.address).text(delta.machine_type).text(delta.zone);
+  if (delta.kind == HeartbeatDelta::Kind::full) out.text(delta.address).text(delta.machine_type).text(delta.zone);
   out.integer(static_cast<std::uint32_t>(delta.tasks.size()));
   for (const auto& task_report : delta.tasks) write(out, task_report);
-  if (delta.kind == HeartbeatDelta::Kind::whole) return;
+  if (delta.kind == HeartbeatDelta::Kind::full) return;
   out.integer(static_cast<std::uint32_t>(delta.removed.size()));
   for (const auto& key : delta.removed) write(out, key.id, key.attempt);
 }
@@ -90,22 +91,23 @@
   delta.fencing_token = in.integer<std::uint64_t>();
   const auto flags = in.integer<std::uint8_t>();
   const double interruption_in_s = from_millis(in.integer<std::uint32_t>());
-  if (flags & kHasInterruption) delta.interruption_in_s = interruption_in_s;
-  delta.spot = flags & kSpot;
+  if (flags & kHasInterruptionFlag) delta.interruption_in_s = interruption_in_s;
+  delta.spot = flags & kSpotFlag;
   if (delta.node.empty()) valid = false;
   if (!valid) return delta;
-  if (delta.kind != HeartbeatDelta::Kind::whole) delta.base_serial = in.integer<std::uint64_t>();
+  if (delta.kind != HeartbeatDelta::Kind::full) delta.base_serial = in.integer<std::uint64_t>();
   if (delta.kind == HeartbeatDelta::Kind::unchanged) return delta;
-  if (delta.kind == HeartbeatDelta::Kind::whole) {
+  if (delta.kind == HeartbeatDelta::Kind::full) {
     delta.address = in.text();
     delta.machine_type = in.text();
     delta.zone = in.text();
     if (delta.address.empty() || delta.machine_type.empty() || delta.zone.empty()) valid = false;
   }
-  for (auto left = read_count(in, kMaxTasksInHeartbeat, valid); left > 0 && valid && in.ok(); --left)
+  for (auto remaining = read_count(in, kMaxTasksInHeartbeat, valid); remaining > 0 && valid && in.ok(); --remaining)
     delta.tasks.push_back(read_task_report(in, valid));
-  if (delta.kind == HeartbeatDelta::Kind::whole) return delta;
-  for (auto left = read_count(in, kMaxTasksInHeartbeat, valid); left > 0 && valid && in.ok(); --left) delta.removed.push_back(read_key(in));
+  if (delta.kind == HeartbeatDelta::Kind::full) return delta;
+  for (auto remaining = read_count(in, kMaxTasksInHeartbeat, valid); remaining > 0 && valid && in.ok(); --remaining)
+    delta.removed.push_back(read_attempt_key(in));
   return delta;
 }
 
@@ -117,61 +119,62 @@
 Command read_command(Unpacker& in, bool& valid) {
   Command command;
   command.type = read_enum(in, CommandType::acknowledge_exit, valid);
-  auto key = read_key(in);
+  auto key = read_attempt_key(in);
   command.id = std::move(key.id);
   command.attempt = key.attempt;
   command.grace_period_s = from_millis(in.integer<std::uint32_t>());
   return command;
 }
 
-Frame frame_of(PeerKind kind, Packer& out) {
+Frame make_frame(PeerFrameKind kind, Packer& out) {
   return {static_cast<std::uint8_t>(kind), out.take()};
 }
-bool begins_as(const Frame& frame, PeerKind kind, Unpacker& in) {
-  return frame.kind == static_cast<std::uint8_t>(kind) && in.integer<std::uint8_t>() == kVersion;
+// Whether the frame has this kind and the version of this build. Reads the version from `in`.
+bool read_header(const Frame& frame, PeerFrameKind kind, Unpacker& in) {
+  return frame.kind == static_cast<std::uint8_t>(kind) && in.integer<std::uint8_t>() == kRelayMessageVersion;
 }
 
 }  // namespace
 
 std::size_t packed_size(const HeartbeatDelta& delta) {
-  std::size_t bytes = kDeltaBytes + delta.node.size() + delta.address.size() + delta.machine_type.size() + delta.zone.size();
-  for (const auto& task_report : delta.tasks) bytes += kTaskReportBytes + task_report.id.uid.size();
-  for (const auto& key : delta.removed) bytes += kTaskReportBytes + key.id.uid.size();
-  return bytes + 4 * kTextBytes;
+  std::size_t bytes = kMaxDeltaBytes + delta.node.size() + delta.address.size() + delta.machine_type.size() + delta.zone.size();
+  for (const auto& task_report : delta.tasks) bytes += kMaxTaskReportBytes + task_report.id.uid.size();
+  for (const auto& key : delta.removed) bytes += kMaxTaskReportBytes + key.id.uid.size();
+  return bytes + 4 * kTextLengthBytes;
 }
 
 Frame pack(const HeartbeatBatch& batch) {
   Packer out;
-  out.integer(kVersion).text(batch.sender).integer(batch.takeover_token).integer(batch.worker_count);
+  out.integer(kRelayMessageVersion).text(batch.sender).integer(batch.takeover_token).integer(batch.worker_count);
   out.integer(static_cast<std::uint32_t>(batch.heartbeats.size()));
   for (const auto& heartbeat : batch.heartbeats) write(out, heartbeat);
-  return frame_of(PeerKind::heartbeat_batch, out);
+  return make_frame(PeerFrameKind::heartbeat_batch, out);
 }
 
 Frame pack(const HeartbeatBatchAnswer& answer) {
   Packer out;
-  out.integer(kVersion)
+  out.integer(kRelayMessageVersion)
       .integer(answer.takeover_token)
       .integer(answer.fencing_token)
       .integer(answer.redirect_count)
       .text(answer.redirect_target);
   out.integer(static_cast<std::uint32_t>(answer.answers.size()));
-  for (const auto& worker : answer.answers) {
-    out.integer(static_cast<std::uint8_t>(worker.outcome)).integer(static_cast<std::uint32_t>(worker.commands.size()));
-    for (const auto& command : worker.commands) write(out, command);
+  for (const auto& heartbeat_answer : answer.answers) {
+    out.integer(static_cast<std::uint8_t>(heartbeat_answer.outcome)).integer(static_cast<std::uint32_t>(heartbeat_answer.commands.size()));
+    for (const auto& command : heartbeat_answer.commands) write(out, command);
   }
-  return frame_of(PeerKind::heartbeat_batch_answer, out);
+  return make_frame(PeerFrameKind::heartbeat_batch_answer, out);
 }
 
 std::optional<HeartbeatBatch> unpack_heartbeat_batch(const Frame& frame) {
   Unpacker in(frame.payload);
-  if (!begins_as(frame, PeerKind::heartbeat_batch, in)) return std::nullopt;
+  if (!read_header(frame, PeerFrameKind::heartbeat_batch, in)) return std::nullopt;
   bool valid = true;
   HeartbeatBatch batch;
   batch.sender = in.text();
   batch.takeover_token = in.integer<std::uint64_t>();
   batch.worker_count = in.integer<std::uint32_t>();
-  for (auto left = read_count(in, kMaxHeartbeatsInBatch, valid); left > 0 && valid && in.ok(); --left)
+  for (auto remaining = read_count(in, kMaxHeartbeatsInBatch, valid); remaining > 0 && valid && in.ok(); --remaining)
     batch.heartbeats.push_back(read_delta(in, valid));
   if (!valid || !in.done()) return std::nullopt;
   return batch;
@@ -179,19 +182,20 @@
 
 std::optional<HeartbeatBatchAnswer> unpack_heartbeat_batch_answer(const Frame& frame) {
   Unpacker in(frame.payload);
-  if (!begins_as(frame, PeerKind::heartbeat_batch_answer, in)) return std::nullopt;
+  if (!read_header(frame, PeerFrameKind::heartbeat_batch_answer, in)) return std::nullopt;
   bool valid = true;
   HeartbeatBatchAnswer answer;
   answer.takeover_token = in.integer<std::uint64_t>();
   answer.fencing_token = in.integer<std::uint64_t>();
   answer.redirect_count = in.integer<std::uint32_t>();
   answer.redirect_target = in.text();
-  for (auto left = read_count(in, kMaxHeartbeatsInBatch, valid); left > 0 && valid && in.ok(); --left) {
-    HeartbeatAnswer worker;
-    worker.outcome = read_enum(in, HeartbeatAnswer::Outcome::retry_later, valid, 1);
-    for (auto commands = read_count(in, kMaxTasksInHeartbeat, valid); commands > 0 && valid && in.ok(); --commands)
-      worker.commands.push_back(read_command(in, valid));
-    answer.answers.push_back(std::move(worker));
+  for (auto remaining = read_count(in, kMaxHeartbeatsInBatch, valid); remaining > 0 && valid && in.ok(); --remaining) {
+    HeartbeatAnswer heartbeat_answer;
+    heartbeat_answer.outcome = read_enum(in, HeartbeatAnswer::Outcome::retry_later, valid, 1);
+    for (auto remaining_commands = read_count(in, kMaxTasksInHeartbeat, valid); remaining_commands > 0 && valid && in.ok();
+         --remaining_commands)
+      heartbeat_answer.commands.push_back(read_command(in, valid));
+    answer.answers.push_back(std::move(heartbeat_answer));
   }
   if (!valid || !in.done()) return std::nullopt;
   return answer;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -17,17 +17,17 @@
 namespace {
 
 constexpr double kDaySeconds = 86400;
-constexpr double kMinInterval = 0.01;  // seconds
-constexpr double kMaxAmount = 1e9;     // of nearly everything that is a plain number
+constexpr double kMinIntervalSeconds = 0.01;
+constexpr double kMaxAmount = 1e9;  // for numbers without a limit of their own
 constexpr double kMaxControllers = 1e6;
 constexpr double kMaxValueKb = 1e6;
 constexpr double kMinCpu = 0.0001, kMaxCpu = 1e6;
 constexpr double kMinCloudRps = 0.01;
-constexpr std::int64_t kMinTxnOps = 4;  // switching to another format version changes four keys at once
+constexpr std::int64_t kMinTxnOps = 4;  // activating a format version changes four keys in one transaction
 constexpr std::int64_t kMaxTxnOps = 1000000;
 constexpr std::int64_t kMinSockets = 16, kMaxSockets = 100000000;
 
-// Reads the fields of one table. What it throws names the field with its full path.
+// Reads the fields of one table. Throws SettingsError with the full path of the field.
 class TableReader {
  public:
   TableReader(const std::string& file, const toml::table& table, std::string prefix)
@@ -45,15 +45,15 @@
     if (!split_address(address)) fail(field, "not an address of the form 1.2.3.4:80");
     return address;
   }
-  double number(const char* field, double least, double most) const { return checked(field, value_of(field).value<double>(), least, most); }
-  double number_or(const char* field, double otherwise, double least, double most) const {
-    if (!table_.contains(field)) return otherwise;
-    return number(field, least, most);
+  double number(const char* field, double min, double max) const { return checked(field, value_of(field).value<double>(), min, max); }
+  double number_or(const char* field, double default_value, double min, double max) const {
+    if (!table_.contains(field)) return default_value;
+    return number(field, min, max);
   }
-  std::uint64_t whole(const char* field, std::int64_t least, std::int64_t most) const {
+  std::uint64_t whole_number(const char* field, std::int64_t min, std::int64_t max) const {
     const auto value = value_of(field).value_exact<std::int64_t>();
     if (!value) fail(field, "not a whole number");
-    if (*value < least || *value > most) fail(field, "not from " + std::to_string(least) + " to " + std::to_string(most));
+    if (*value < min || *value > max) fail(field, "not from " + std::to_string(min) + " to " + std::to_string(max));
     return static_cast<std::uint64_t>(*value);
   }
   [[nodiscard]] bool has(const char* field) const { return table_.contains(field); }
@@ -83,12 +83,12 @@
     if (!found) fail(field, "missing");
     return *found;
   }
-  double checked(const char* field, std::optional<double> value, double least, double most) const {
+  double checked(const char* field, std::optional<double> value, double min, double max) const {
     if (!value) fail(field, "not a number");
     if (!std::isfinite(*value)) fail(field, "not finite");
-    if (*value < least || *value > most) {
+    if (*value < min || *value > max) {
       std::ostringstream reason;
-      reason << "not from " << least << " to " << most;
+      reason << "not from " << min << " to " << max;
       fail(field, reason.str());
     }
     return *value;
@@ -130,7 +130,7 @@
           {team.number_or("cpus_max", 0, 0, kMaxAmount), team.number_or("gpus_max", 0, 0, kMaxAmount), 0}};
 }
 
-// The class of an objective; empty where it is absent or not a text.
+// The class of an objective; empty if it is missing or not a string.
 std::string job_class_or_empty(const TableReader& table) {
   try {
     return table.text("class");
@@ -143,34 +143,36 @@
   Settings::Objective objective;
   objective.kind = table.text("kind");
   objective.within_s = table.number_or("within_s", 0, 0, kMaxAmount);
-  objective.share = table.number_or("share", 0, 0, 1);
+  objective.fraction = table.number_or("share", 0, 0, 1);
   if (objective.kind != "guarantee") objective.job_class = job_class_or_empty(table);
   return objective;
 }
 
 void read_workers(const TableReader& workers, Settings& settings) {
-  settings.heartbeat_interval_s = workers.number("report_s", kMinInterval, kDaySeconds);
-  settings.lease_s = workers.number("lease_s", kMinInterval, kDaySeconds);
+  settings.heartbeat_interval_s = workers.number("report_s", kMinIntervalSeconds, kDaySeconds);
+  settings.lease_s = workers.number("lease_s", kMinIntervalSeconds, kDaySeconds);
   settings.gang_wait_s = workers.number("gang_wait_s", 0, kDaySeconds);
   settings.gang_peer_s = workers.number("gang_peer_s", 0, kDaySeconds);
   settings.cancel_s = workers.number("cancel_s", 0, kDaySeconds);
 }
 
-// The announced limits come into force without notice, and what is stored by then must fit them: they are observed from the
-// first write on.
+// The announced limits take effect without notice, and values stored before must already comply with them. They are therefore
+// applied from the first write on.
 void apply_next_store_limits(const TableReader& next, Settings& settings) {
-  const auto lesser = [&](const char* field, double now, double most) { return std::min(now, next.number_or(field, now, 1, most)); };
-  settings.state_rps = lesser("rps", settings.state_rps, kMaxAmount);
-  settings.state_write_rps = lesser("write_rps", settings.state_write_rps, kMaxAmount);
-  settings.value_kb = lesser("value_kb", settings.value_kb, kMaxValueKb);
-  if (next.has("txn_ops")) settings.txn_ops = std::min(settings.txn_ops, next.whole("txn_ops", kMinTxnOps, kMaxTxnOps));
+  const auto min_limit = [&](const char* field, double present, double max) {
+    return std::min(present, next.number_or(field, present, 1, max));
+  };
+  settings.store_rps = min_limit("rps", settings.store_rps, kMaxAmount);
+  settings.store_write_rps = min_limit("write_rps", settings.store_write_rps, kMaxAmount);
+  settings.max_value_kb = min_limit("value_kb", settings.max_value_kb, kMaxValueKb);
+  if (next.has("txn_ops")) settings.max_txn_ops = std::min(settings.max_txn_ops, next.whole_number("txn_ops", kMinTxnOps, kMaxTxnOps));
 }
 
 void read_store(const TableReader& store, Settings& settings) {
-  settings.state_rps = store.number("rps", 1, kMaxAmount);
-  settings.state_write_rps = store.number("write_rps", 1, kMaxAmount);
-  settings.value_kb = store.number("value_kb", 1, kMaxValueKb);
-  settings.txn_ops = store.whole("txn_ops", kMinTxnOps, kMaxTxnOps);
+  settings.store_rps = store.number("rps", 1, kMaxAmount);
+  settings.store_write_rps = store.number("write_rps", 1, kMaxAmount);
+  settings.max_value_kb = store.number("value_kb", 1, kMaxValueKb);
+  settings.max_txn_ops = store.whole_number("txn_ops", kMinTxnOps, kMaxTxnOps);
   if (store.has("next")) apply_next_store_limits(store.table("next"), settings);
 }
 
@@ -182,12 +184,12 @@
 void read_limits(const TableReader& limits, Settings& settings) {
   settings.cpu = limits.number("cpu", kMinCpu, kMaxCpu);
   settings.memory_mb = limits.number("memory_mb", 1, kMaxAmount);
-  settings.max_sockets = limits.whole("max_sockets", kMinSockets, kMaxSockets);
+  settings.max_sockets = limits.whole_number("max_sockets", kMinSockets, kMaxSockets);
 }
 
 void read_deployment(const TableReader& deployment, Settings& settings) {
-  settings.skew_ms = deployment.number_or("skew_ms", 0, 0, kDaySeconds * 1000);
-  settings.count = static_cast<std::size_t>(deployment.number_or("count", 0, 0, kMaxControllers));
+  settings.max_clock_skew_ms = deployment.number_or("skew_ms", 0, 0, kDaySeconds * 1000);
+  settings.controller_count = static_cast<std::size_t>(deployment.number_or("count", 0, 0, kMaxControllers));
   for (const auto& team : deployment.tables("teams")) settings.teams.push_back(read_team(team));
   for (const auto& objective : deployment.tables("objectives")) settings.objectives.push_back(read_objective(objective));
   read_workers(deployment.table("workers"), settings);
@@ -205,7 +207,7 @@
 SettingsError::SettingsError(std::string file, std::string field, std::string reason)
     : std::runtime_error(error_line(file, field, reason)), file_(std::move(file)), field_(std::move(field)), reason_(std::move(reason)) {}
 
-// The first field that is wrong is the one reported, in the order of the calls.
+// The order of these calls decides which of several invalid fields is reported.
 Settings load_settings(const std::string& path) {
   const toml::table root = read_file(path);
   const TableReader top(path, root, "");
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -1,4 +1,4 @@
-// The platform's settings file (TOML), read once at start. Names of its fields are the platform's and are fixed.
+// The controller's settings file (TOML), read once at start. The platform defines its format, so field names must not change.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,59 +10,60 @@
 
 namespace thistlefront {
 
-/// A settings file that cannot be used. what() is one line: "file: field: reason", or "file: reason".
+/// Thrown if a settings file is invalid. what() is one line: "file: field: reason", or "file: reason".
 class SettingsError : public std::runtime_error {
  public:
-  /// `field` is the full path of the field, such as "deployment.teams[0].name"; empty: the file as a whole is at fault.
+  /// `field`: full path of the field, such as "deployment.teams[0].name"; empty if the error concerns the whole file.
   SettingsError(std::string file, std::string field, std::string reason);
 
   [[nodiscard]] const std::string& file() const { return file_; }      ///< path of the file
-  [[nodiscard]] const std::string& field() const { return field_; }    ///< the field, or "line N" where it is not TOML
-  [[nodiscard]] const std::string& reason() const { return reason_; }  ///< what is wrong with it
+  [[nodiscard]] const std::string& field() const { return field_; }    ///< the field, or "line N" for a syntax error
+  [[nodiscard]] const std::string& reason() const { return reason_; }  ///< why it is invalid
 
  private:
   std::string file_, field_, reason_;
 };
 
-/// What the settings file says. Times are in seconds unless the name says otherwise.
+/// Contents of the settings file.
 struct Settings {
-  /// Another controller.
+  /// Another controller of the deployment.
   struct Peer {
     std::string label, site, address;
   };
-  /// A team's quota.
+  /// Quota of a team.
   struct Team {
     std::string name;
-    Resources guarantee, limit;  ///< 0: none; memory has no quota
+    Resources guarantee, limit;  ///< 0: no guarantee or no limit; memory has no quota
   };
-  /// A service-level objective: that share of the jobs of a class within that time.
+  /// A service-level objective: `fraction` of the jobs of a class must meet it within `within_s`.
   struct Objective {
-    std::string kind, job_class;  ///< an objective of kind "guarantee" has no class
-    double within_s = 0, share = 0;
+    std::string kind, job_class;  ///< `job_class` is empty for an objective of kind "guarantee"
+    double within_s = 0, fraction = 0;
   };
 
-  std::string label, site;                 ///< of this controller; the site is its zone
-  std::string client_listen, peer_listen;  ///< addresses to listen on: for users and agents, and for the other controllers
+  std::string label, site;                 ///< of this controller; its site is its zone
+  std::string client_listen, peer_listen;  ///< listen addresses: `client_listen` for users and agents, `peer_listen` for other controllers
   std::vector<Peer> peers;
-  std::size_t count = 0;  ///< controllers in all; 0: as many as are named
+  std::size_t controller_count = 0;  ///< controllers of the deployment; 0: only this one and `peers`
   std::string cloud_address, store_address;
-  double skew_ms = 0;  ///< the most by which wall clocks of the deployment may differ
+  double max_clock_skew_ms = 0;  ///< maximum difference between wall clocks in the deployment
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double heartbeat_interval_s = 0, lease_s = 0;  ///< of the nodes
-  double gang_wait_s = 0;                        ///< for how long a gang's tasks wait for one another to start
-  double gang_peer_s = 0;                        ///< after how long a gang's tasks end when one of them is gone
-  double cancel_s = 0;                           ///< within which the tasks of a cancelled job must have ended
-  /// What the key-value store takes: the lesser of its limits now and of those announced for an unknown later moment.
-  double state_rps = 0, state_write_rps = 0, value_kb = 0;
-  std::uint64_t txn_ops = 0;      ///< the same, of one transaction
-  double cloud_rps = 0;           ///< requests a second that the cloud's API takes
-  double list_lag_s = 0;          ///< the most by which the cloud's list of instances is behind
-  double cpu = 0, memory_mb = 0;  ///< what this process may use
-  std::uint64_t max_sockets = 0;  ///< the same
+  double heartbeat_interval_s = 0, lease_s = 0;  ///< of nodes
+  double gang_wait_s = 0;                        ///< how long the tasks of a gang wait for each other to start
+  double gang_peer_s = 0;                        ///< how long the other tasks of a gang run on after one of them is lost
+  double cancel_s = 0;                           ///< time limit for all tasks of a cancelled job to end
+  // Limits of the key-value store. Each is the minimum of the present limit and the one announced for an unknown later time.
+  double store_rps = 0, store_write_rps = 0;  ///< requests and writes per second
+  double max_value_kb = 0;
+  std::uint64_t max_txn_ops = 0;  ///< changes in one transaction
+  double cloud_rps = 0;           ///< requests per second that the cloud's API accepts
+  double list_lag_s = 0;          ///< maximum delay before the cloud's list of instances shows a change
+  double cpu = 0, memory_mb = 0;  ///< limits of this process
+  std::uint64_t max_sockets = 0;  ///< limit of this process
 };
 
-/// Reads and checks a settings file; throws SettingsError for the first field that is wrong.
+/// Reads and validates a settings file; throws SettingsError for the first invalid field.
 Settings load_settings(const std::string& path);
 
 }  // namespace thistlefront
--- a/src/protocol/user_messages.cpp
+++ b/src/protocol/user_messages.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kJobsPath = "/v1/jobs";
 
-// Routes below kJobsPath; `rest` is what follows it.
+// Routes below kJobsPath. `rest`: the part of the path after kJobsPath.
 UserRoute job_route(std::string_view method, std::string_view rest) {
   using Kind = UserRoute::Kind;
   const auto route = [&](std::string_view expected_method, Kind kind, std::string_view uid = {}) {
@@ -25,7 +25,7 @@
   const auto slash = rest.find('/');
   const auto uid = rest.substr(0, slash);
   if (slash == std::string_view::npos) return route("GET", Kind::status, uid);
-  if (rest.substr(slash) == "/withdraw") return route("POST", Kind::withdraw, uid);
+  if (rest.substr(slash) == "/withdraw") return route("POST", Kind::cancel, uid);
   return {};
 }
 
--- a/src/protocol/user_messages.hpp
+++ b/src/protocol/user_messages.hpp
@@ -1,5 +1,5 @@
-// What users send and are answered: HTTP routes and JSON bodies. Called by the request handler; it must never decide
-// whether a request may be served.
+// Requests of users and replies to them: HTTP routes and JSON bodies. Called by the request handler, which decides whether a
+// request may be served; this file must not.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,23 +11,23 @@
 
 namespace thistlefront {
 
-/// Checks and reads a submission; throws ProtocolError.
+/// Parses and validates a submission; throws ProtocolError.
 JobSpec parse_submission(std::string_view body);
-/// The uid in a body that is otherwise malformed; empty if it has none that is well formed.
+/// The uid of a submission that is otherwise malformed; empty if there is no well-formed uid.
 std::string extract_uid(std::string_view body);
-/// Answer to a status request: the status and how many tasks are done and running.
+/// Reply to a status request. `done`, `running`: numbers of tasks.
 std::string status_body(const std::string& uid, JobStatus status, std::uint32_t done, std::uint32_t running);
-/// Answer to a submission or a cancellation.
+/// Reply to a submission or a cancellation.
 std::string acknowledgement_body(const std::string& uid, JobStatus status);
-/// Body of an error reply; bytes of `reason` that are not UTF-8 are replaced.
+/// Body of an error reply. Bytes of `reason` that are not valid UTF-8 are replaced.
 std::string error_body(std::string_view reason);
 
-/// Where an HTTP request is to go.
+/// Route of an HTTP request.
 struct UserRoute {
-  enum class Kind { submit, status, withdraw, health, metrics, heartbeat, unknown, wrong_method } kind = Kind::unknown;
-  std::string uid;  ///< of status and withdraw; not checked for its form
+  enum class Kind { submit, status, cancel, health, metrics, heartbeat, unknown, wrong_method } kind = Kind::unknown;
+  std::string uid;  ///< set for `status` and `cancel`; may be malformed
 };
-/// The route of a request; a query is ignored.
+/// The route of a request. The query string is ignored.
 UserRoute route_of(std::string_view method, std::string_view target);
 
 }  // namespace thistlefront
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kMaxPlainNumber = 1e15;  // whole numbers below it are written without an exponent or a fraction
+constexpr double kMaxPlainNumber = 1e15;  // smaller whole numbers are written without exponent and fraction
 constexpr EnumName<CommandType> kCommandTypeNames[] = {
     {"run", CommandType::run}, {"kill", CommandType::kill}, {"reap", CommandType::acknowledge_exit}};
 
@@ -27,7 +27,7 @@
   out += "{\"verb\":\"";
   out += enum_name(command.type, kCommandTypeNames);
   out += "\",\"piece\":";
-  // dump() throws on bytes that are not UTF-8. A uid holds none: it passed is_uid() or the JSON parser.
+  // dump() throws on invalid UTF-8. The uid is valid: it has passed is_uid() or the JSON parser.
   out += json(command.id.uid + "/" + std::to_string(command.id.task)).dump();
   out += ",\"try\":" + std::to_string(command.attempt);
   if (command.type == CommandType::kill) {
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -1,5 +1,5 @@
-// What the agents of nodes send and are answered: heartbeats, commands, redirects. Called by the heartbeat handler and the
-// command sender; it must never judge whether a heartbeat is current.
+// Messages between controllers and agents: heartbeats, commands and redirects. Called by the heartbeat handler, which decides
+// whether a heartbeat is current (this file must not), and by the command sender.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,16 +12,16 @@
 
 namespace thistlefront {
 
-inline constexpr const char* kCommandsPath = "/commands";    ///< on the agent: commands are posted here
-inline constexpr const char* kWorkerStatusPath = "/status";  ///< on the agent: asked for its state
+inline constexpr const char* kCommandsPath = "/commands";    ///< of the agent; POST: send commands
+inline constexpr const char* kWorkerStatusPath = "/status";  ///< of the agent; GET: its state
 
-/// Checks and reads a heartbeat; throws ProtocolError.
+/// Parses and validates a heartbeat; throws ProtocolError.
 Heartbeat parse_heartbeat(std::string_view body);
-/// Answer to a heartbeat: it renews the node's lease under that fencing token and carries commands.
+/// Reply to a heartbeat: renews the node's lease under this fencing token and carries commands.
 std::string heartbeat_response_body(std::uint64_t fencing_token, const std::vector<Command>& commands);
-/// Commands sent outside of a heartbeat, for one incarnation of the agent.
+/// Body of a request that sends commands outside of heartbeats, to one incarnation of the agent.
 std::string commands_body(std::uint64_t fencing_token, std::uint64_t agent_incarnation, const std::vector<Command>& commands);
-/// Sends an agent to another controller; an empty target leaves the choice to the agent.
+/// Redirects an agent to another controller. If the target is empty, the agent chooses one.
 std::string redirect_body(std::string_view redirect_target);
 
 }  // namespace thistlefront
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -70,7 +70,7 @@
       s.cloud_address = cloud_address_;
       s.teams = {{"red", {}, {}}};
       s.heartbeat_interval_s = 1, s.lease_s = 5, s.gang_wait_s = 20, s.gang_peer_s = 3, s.cancel_s = 20;
-      s.state_rps = 1000, s.state_write_rps = 200, s.value_kb = 8, s.txn_ops = 16;
+      s.store_rps = 1000, s.store_write_rps = 200, s.max_value_kb = 8, s.max_txn_ops = 16;
       s.cloud_rps = 10, s.list_lag_s = 1, s.max_sockets = 400;
     }
     for (std::size_t i = 0; i < n; ++i) {
--- a/tests/heartbeat_delta_test.cpp
+++ b/tests/heartbeat_delta_test.cpp
@@ -110,7 +110,7 @@
       const Heartbeat& heartbeat = worker.next();
       const auto relay = random() % 8 == 0 ? random() % 2 : std::size_t{0};
       const auto delta = encoders[relay].encode(heartbeat);
-      tally.whole += delta.kind == HeartbeatDelta::Kind::whole;
+      tally.whole += delta.kind == HeartbeatDelta::Kind::full;
       tally.difference += delta.kind == HeartbeatDelta::Kind::difference;
       tally.unchanged += delta.kind == HeartbeatDelta::Kind::unchanged;
       in_flight.push_back({relay, heartbeat, pack(HeartbeatBatch{"host-0", 1, 0, {delta}})});
@@ -163,7 +163,7 @@
   second.serial += 2;
   second.tasks.push_back({{"j-9", 0}, 1, TaskPhase::running, ExitReason::none, false});
   const auto delta = encoder.encode(second);
-  ASSERT_NE(delta.kind, HeartbeatDelta::Kind::whole);
+  ASSERT_NE(delta.kind, HeartbeatDelta::Kind::full);
   HeartbeatDeltaDecoder fresh;
   EXPECT_EQ(fresh.decode(delta), nullptr) << "a new leader";
   auto of_another_incarnation = delta;
@@ -215,7 +215,7 @@
   for (std::size_t size = 0; size < whole.payload.size(); ++size)
     ASSERT_FALSE(unpack_heartbeat_batch({whole.kind, whole.payload.substr(0, size)})) << size << " bytes of it";
   EXPECT_FALSE(unpack_heartbeat_batch({whole.kind, whole.payload + "x"}));
-  EXPECT_FALSE(unpack_heartbeat_batch({static_cast<std::uint8_t>(PeerKind::call), whole.payload}));
+  EXPECT_FALSE(unpack_heartbeat_batch({static_cast<std::uint8_t>(PeerFrameKind::call), whole.payload}));
   auto of_a_later_version = whole;
   of_a_later_version.payload[0] = 2;
   EXPECT_FALSE(unpack_heartbeat_batch(of_a_later_version));
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -207,7 +207,7 @@
   const auto leader = cluster->leader();
   FramePool peer(cluster->settings(leader).peer_listen, 2);
   for (const std::string& payload : {std::string(), std::string("\1\2\3"), std::string(5000, '\xff'), std::string(64, '\1')}) {
-    const auto answer = peer.ask({static_cast<std::uint8_t>(PeerKind::heartbeat_batch), payload}, 2);
+    const auto answer = peer.ask({static_cast<std::uint8_t>(PeerFrameKind::heartbeat_batch), payload}, 2);
     ASSERT_TRUE(answer) << payload.size();
     const auto reply = unpack_reply(*answer, steady_now());
     ASSERT_TRUE(reply);
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -92,7 +92,7 @@
   using Kind = UserRoute::Kind;
   EXPECT_EQ(route_of("POST", "/v1/jobs").kind, Kind::submit);
   EXPECT_EQ(route_of("GET", "/v1/jobs/j-1").uid, "j-1");
-  EXPECT_EQ(route_of("POST", "/v1/jobs/j-1/withdraw").kind, Kind::withdraw);
+  EXPECT_EQ(route_of("POST", "/v1/jobs/j-1/withdraw").kind, Kind::cancel);
   EXPECT_EQ(route_of("GET", "/v1/jobs/j-1/withdraw").kind, Kind::wrong_method);
   EXPECT_EQ(route_of("DELETE", "/v1/jobs").kind, Kind::wrong_method);
   EXPECT_EQ(route_of("GET", "/v1/jobsx").kind, Kind::unknown);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -284,7 +284,7 @@
   Cluster cluster(3, 1, {options});
   ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-1" + std::to_string(i), 20));
-  for (std::size_t i = 0; i < 3; ++i) cluster.settings(i).value_kb = 2, cluster.settings(i).txn_ops = 4;
+  for (std::size_t i = 0; i < 3; ++i) cluster.settings(i).max_value_kb = 2, cluster.settings(i).max_txn_ops = 4;
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, options);
   ASSERT_TRUE(cluster.submit_until("j-20", 20));
   cluster.state.limit(2048, 4);
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1,5 +1,5 @@
-// The wire format, message by message: each test compares with a literal string or with literal bytes, so that a change of
-// internals which alters what other programs read or write cannot pass.
+// Wire format of each message. The tests compare with literal strings or bytes, so that they fail if a change of the code alters what
+// other programs read or write.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -42,9 +42,9 @@
 
 // ---- helpers
 
-// The text of the error that `action` ends with; "no error" without one.
+// Message of the exception that `action` throws; "no error" if it throws none.
 template <class Action>
-std::string error_of(Action action) {
+std::string error_message_of(Action action) {
   try {
     action();
   } catch (const std::exception& e) {
@@ -53,7 +53,7 @@
   return "no error";
 }
 
-// `text` with `part`, which it must contain, replaced by `replacement`.
+// Replaces `part` in `text`, which must contain it.
 std::string replaced(std::string text, std::string_view part, std::string_view replacement) {
   const auto at = text.find(part);
   EXPECT_NE(at, std::string::npos) << part;
@@ -99,30 +99,30 @@
   return out;
 }
 
-TaskId piece_id(const std::string& uid, std::uint32_t task) {
+TaskId task_id(const std::string& uid, std::uint32_t task) {
   TaskId id;
   id.uid = uid;
   id.task = task;
   return id;
 }
 
-TaskRange range(std::uint32_t first, std::uint32_t last) {
+TaskRange range(std::uint32_t first, std::uint32_t end) {
   TaskRange out;
   out.first = first;
-  out.end = last;
+  out.end = end;
   return out;
 }
 
-Command command(CommandType verb, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double grace_period_s = 0) {
+Command command(CommandType type, const std::string& uid, std::uint32_t task, std::uint64_t attempt, double grace_period_s = 0) {
   Command out;
-  out.type = verb;
-  out.id = piece_id(uid, task);
+  out.type = type;
+  out.id = task_id(uid, task);
   out.attempt = attempt;
   out.grace_period_s = grace_period_s;
   return out;
 }
 
-std::vector<Command> order_of_each_verb() {
+std::vector<Command> command_of_each_type() {
   return {command(CommandType::run, "j-000412", 4, 2), command(CommandType::kill, "j-000377", 1, 1, 10),
           command(CommandType::kill, "j-000377", 2, 1, 2.5), command(CommandType::acknowledge_exit, "j-000398", 0, 1)};
 }
@@ -149,68 +149,68 @@
     R"("cores":8.0,"accelerators":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,)"
     R"("hostKinds":["g8","g16"],"yard":"a","oneZone":true,"spread":true,"loaners":true,)"
     R"("expectedS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"waitsOn":["j-000410","j-000411"]})";
-const std::string kLeastSubmission = R"({"uid":"j-1","jobClass":"c","owner":"red","shape":"batch","rank":"idle","pieces":1,)"
-                                     R"("cores":0.5,"ramGb":1,"bundle":"img","pullGb":0})";
+const std::string kMinimalSubmission = R"({"uid":"j-1","jobClass":"c","owner":"red","shape":"batch","rank":"idle","pieces":1,)"
+                                       R"("cores":0.5,"ramGb":1,"bundle":"img","pullGb":0})";
 
 std::string submission_error(const std::string& body) {
-  return error_of([&] { parse_submission(body); });
-}
-
-TEST(WireFormatUsers, AFullSubmissionIsReadFieldByField) {
-  const auto s = parse_submission(kFullSubmission);
-  EXPECT_EQ(s.uid, "j-000412");
-  EXPECT_EQ(s.job_class, "train");
-  EXPECT_EQ(s.owner, "vision");
-  EXPECT_EQ(s.job_type, JobType::gang);
-  EXPECT_EQ(s.priority, Priority::high);
-  EXPECT_EQ(s.task_count, 16u);
-  EXPECT_EQ(s.demand.cores, 8);
-  EXPECT_EQ(s.demand.accelerators, 1);
-  EXPECT_EQ(s.demand.ram_gb, 64);
-  EXPECT_EQ(s.image, "img-07");
-  EXPECT_EQ(s.image_gb, 6.2);
-  EXPECT_EQ(s.machine_types, (std::vector<std::string>{"g8", "g16"}));
-  EXPECT_EQ(s.zone, "a");
-  EXPECT_TRUE(s.single_zone);
-  EXPECT_TRUE(s.spread);
-  EXPECT_TRUE(s.allows_spot);
-  EXPECT_EQ(s.estimated_run_s, 240);
-  EXPECT_EQ(s.checkpoint_interval_s, 30);
-  EXPECT_EQ(s.checkpoint_duration_s, 4);
-  EXPECT_EQ(s.deadline_s, 900);
-  EXPECT_EQ(s.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
-}
-
-TEST(WireFormatUsers, OmittedFieldsOfASubmissionHaveTheseValues) {
-  const auto s = parse_submission(kLeastSubmission);
-  EXPECT_EQ(s.uid, "j-1");
-  EXPECT_EQ(s.job_class, "c");
-  EXPECT_EQ(s.owner, "red");
-  EXPECT_EQ(s.job_type, JobType::array);
-  EXPECT_EQ(s.priority, Priority::idle);
-  EXPECT_EQ(s.task_count, 1u);
-  EXPECT_EQ(s.demand.cores, 0.5);
-  EXPECT_EQ(s.demand.accelerators, 0);
-  EXPECT_EQ(s.demand.ram_gb, 1);
-  EXPECT_EQ(s.image, "img");
-  EXPECT_EQ(s.image_gb, 0);
-  EXPECT_TRUE(s.machine_types.empty());
-  EXPECT_EQ(s.zone, "");
-  EXPECT_FALSE(s.single_zone);
-  EXPECT_FALSE(s.spread);
-  EXPECT_FALSE(s.allows_spot);
-  EXPECT_EQ(s.estimated_run_s, 0);
-  EXPECT_EQ(s.checkpoint_interval_s, 0);
-  EXPECT_EQ(s.checkpoint_duration_s, 0);
-  EXPECT_EQ(s.deadline_s, std::nullopt);
-  EXPECT_TRUE(s.depends_on.empty());
+  return error_message_of([&] { parse_submission(body); });
+}
+
+TEST(WireFormatUsers, ParsesEachFieldOfASubmission) {
+  const auto spec = parse_submission(kFullSubmission);
+  EXPECT_EQ(spec.uid, "j-000412");
+  EXPECT_EQ(spec.job_class, "train");
+  EXPECT_EQ(spec.owner, "vision");
+  EXPECT_EQ(spec.job_type, JobType::gang);
+  EXPECT_EQ(spec.priority, Priority::high);
+  EXPECT_EQ(spec.task_count, 16u);
+  EXPECT_EQ(spec.demand.cores, 8);
+  EXPECT_EQ(spec.demand.accelerators, 1);
+  EXPECT_EQ(spec.demand.ram_gb, 64);
+  EXPECT_EQ(spec.image, "img-07");
+  EXPECT_EQ(spec.image_gb, 6.2);
+  EXPECT_EQ(spec.machine_types, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(spec.zone, "a");
+  EXPECT_TRUE(spec.single_zone);
+  EXPECT_TRUE(spec.spread);
+  EXPECT_TRUE(spec.allows_spot);
+  EXPECT_EQ(spec.estimated_run_s, 240);
+  EXPECT_EQ(spec.checkpoint_interval_s, 30);
+  EXPECT_EQ(spec.checkpoint_duration_s, 4);
+  EXPECT_EQ(spec.deadline_s, 900);
+  EXPECT_EQ(spec.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+}
+
+TEST(WireFormatUsers, DefaultsOmittedFieldsOfASubmission) {
+  const auto spec = parse_submission(kMinimalSubmission);
+  EXPECT_EQ(spec.uid, "j-1");
+  EXPECT_EQ(spec.job_class, "c");
+  EXPECT_EQ(spec.owner, "red");
+  EXPECT_EQ(spec.job_type, JobType::array);
+  EXPECT_EQ(spec.priority, Priority::idle);
+  EXPECT_EQ(spec.task_count, 1u);
+  EXPECT_EQ(spec.demand.cores, 0.5);
+  EXPECT_EQ(spec.demand.accelerators, 0);
+  EXPECT_EQ(spec.demand.ram_gb, 1);
+  EXPECT_EQ(spec.image, "img");
+  EXPECT_EQ(spec.image_gb, 0);
+  EXPECT_TRUE(spec.machine_types.empty());
+  EXPECT_EQ(spec.zone, "");
+  EXPECT_FALSE(spec.single_zone);
+  EXPECT_FALSE(spec.spread);
+  EXPECT_FALSE(spec.allows_spot);
+  EXPECT_EQ(spec.estimated_run_s, 0);
+  EXPECT_EQ(spec.checkpoint_interval_s, 0);
+  EXPECT_EQ(spec.checkpoint_duration_s, 0);
+  EXPECT_EQ(spec.deadline_s, std::nullopt);
+  EXPECT_TRUE(spec.depends_on.empty());
 }
 
 std::string submission_with(const std::string& field) {
-  return replaced(kLeastSubmission, R"("pullGb":0)", R"("pullGb":0,)" + field);
+  return replaced(kMinimalSubmission, R"("pullGb":0)", R"("pullGb":0,)" + field);
 }
 
-TEST(WireFormatUsers, EachFlagOfASubmissionIsReadByItself) {
+TEST(WireFormatUsers, ParsesEachFlagOfASubmissionIndependently) {
   const auto single_zone = parse_submission(submission_with(R"("oneZone":true)"));
   EXPECT_TRUE(single_zone.single_zone);
   EXPECT_FALSE(single_zone.spread);
@@ -225,53 +225,53 @@
   EXPECT_TRUE(allows_spot.allows_spot);
 }
 
-TEST(WireFormatUsers, NullsOfASubmissionAreOmissions) {
+TEST(WireFormatUsers, TreatsNullFieldsOfASubmissionAsOmitted) {
   const std::string nulls =
       R"(,"accelerators":null,"hostKinds":null,"yard":null,"oneZone":null,"spread":null,"loaners":null,"expectedS":null,)"
       R"("snapshotEveryS":null,"snapshotS":null,"dueS":null,"waitsOn":null})";
-  const auto s = parse_submission(without(kLeastSubmission, "}") + nulls);
-  EXPECT_TRUE(s.machine_types.empty());
-  EXPECT_EQ(s.zone, "");
-  EXPECT_FALSE(s.single_zone);
-  EXPECT_FALSE(s.spread);
-  EXPECT_FALSE(s.allows_spot);
-  EXPECT_EQ(s.deadline_s, std::nullopt);
-  EXPECT_TRUE(s.depends_on.empty());
-}
-
-TEST(WireFormatUsers, WordsForShapes) {
-  const auto shape_of = [](const std::string& word) {
-    return parse_submission(replaced(kLeastSubmission, R"("batch")", "\"" + word + "\"")).job_type;
+  const auto spec = parse_submission(without(kMinimalSubmission, "}") + nulls);
+  EXPECT_TRUE(spec.machine_types.empty());
+  EXPECT_EQ(spec.zone, "");
+  EXPECT_FALSE(spec.single_zone);
+  EXPECT_FALSE(spec.spread);
+  EXPECT_FALSE(spec.allows_spot);
+  EXPECT_EQ(spec.deadline_s, std::nullopt);
+  EXPECT_TRUE(spec.depends_on.empty());
+}
+
+TEST(WireFormatUsers, ParsesNamesOfJobTypes) {
+  const auto parsed_job_type = [](const std::string& name) {
+    return parse_submission(replaced(kMinimalSubmission, R"("batch")", "\"" + name + "\"")).job_type;
   };
-  EXPECT_EQ(shape_of("batch"), JobType::array);
-  EXPECT_EQ(shape_of("group"), JobType::gang);
-  EXPECT_EQ(shape_of("service"), JobType::service);
+  EXPECT_EQ(parsed_job_type("batch"), JobType::array);
+  EXPECT_EQ(parsed_job_type("group"), JobType::gang);
+  EXPECT_EQ(parsed_job_type("service"), JobType::service);
 }
 
-TEST(WireFormatUsers, WordsForRanks) {
-  const auto rank_of = [](const std::string& word) {
-    return parse_submission(replaced(kLeastSubmission, R"("idle")", "\"" + word + "\"")).priority;
+TEST(WireFormatUsers, ParsesNamesOfPriorities) {
+  const auto parsed_priority = [](const std::string& name) {
+    return parse_submission(replaced(kMinimalSubmission, R"("idle")", "\"" + name + "\"")).priority;
   };
-  EXPECT_EQ(rank_of("prod"), Priority::production);
-  EXPECT_EQ(rank_of("high"), Priority::high);
-  EXPECT_EQ(rank_of("standard"), Priority::standard);
-  EXPECT_EQ(rank_of("idle"), Priority::idle);
-}
-
-TEST(WireFormatUsers, AFieldThatASubmissionLacksIsNamed) {
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("uid":"j-1",)")), "uid: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("jobClass":"c",)")), "jobClass: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("owner":"red",)")), "owner: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("shape":"batch",)")), "shape: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("rank":"idle",)")), "rank: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("pieces":1,)")), "pieces: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("cores":0.5,)")), "cores: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("ramGb":1,)")), "ramGb: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"("bundle":"img",)")), "bundle: missing");
-  EXPECT_EQ(submission_error(without(kLeastSubmission, R"(,"pullGb":0)")), "pullGb: missing");
-}
-
-TEST(WireFormatUsers, AnInvalidFieldOfASubmissionIsNamedWithTheReason) {
+  EXPECT_EQ(parsed_priority("prod"), Priority::production);
+  EXPECT_EQ(parsed_priority("high"), Priority::high);
+  EXPECT_EQ(parsed_priority("standard"), Priority::standard);
+  EXPECT_EQ(parsed_priority("idle"), Priority::idle);
+}
+
+TEST(WireFormatUsers, ErrorNamesTheFieldMissingInASubmission) {
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("uid":"j-1",)")), "uid: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("jobClass":"c",)")), "jobClass: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("owner":"red",)")), "owner: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("shape":"batch",)")), "shape: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("rank":"idle",)")), "rank: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("pieces":1,)")), "pieces: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("cores":0.5,)")), "cores: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("ramGb":1,)")), "ramGb: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"("bundle":"img",)")), "bundle: missing");
+  EXPECT_EQ(submission_error(without(kMinimalSubmission, R"(,"pullGb":0)")), "pullGb: missing");
+}
+
+TEST(WireFormatUsers, ErrorNamesTheInvalidFieldOfASubmissionAndTheReason) {
   const auto with = [](std::string_view part, std::string_view other) { return submission_error(replaced(kFullSubmission, part, other)); };
   EXPECT_EQ(submission_error("{"), "body: not JSON");
   EXPECT_EQ(submission_error("[]"), "body: not an object");
@@ -295,13 +295,13 @@
   EXPECT_EQ(with(R"("waitsOn":["j-000410","j-000411"])", R"("waitsOn":["k-1"])"), "waitsOn: not a job's id");
 }
 
-TEST(WireFormatUsers, TheIdOfAMalformedSubmissionIsFound) {
+TEST(WireFormatUsers, ExtractsTheUidOfAMalformedSubmission) {
   EXPECT_EQ(extract_uid(R"({"uid":"j-000412","pieces":-1})"), "j-000412");
   EXPECT_EQ(extract_uid(R"({"uid":"k-1"})"), "");
   EXPECT_EQ(extract_uid("{"), "");
 }
 
-TEST(WireFormatUsers, IdsAreTheLettersJAndMinusWithDigits) {
+TEST(WireFormatUsers, AcceptsOnlyUidsOfPrefixJAndDigits) {
   EXPECT_TRUE(is_uid("j-000412"));
   EXPECT_TRUE(is_uid("j-1"));
   EXPECT_FALSE(is_uid("j-"));
@@ -309,21 +309,21 @@
   EXPECT_FALSE(is_uid("J-1"));
 }
 
-TEST(WireFormatUsers, StatusBodiesOfEachStatus) {
+TEST(WireFormatUsers, EncodesStatusReplyForEachStatus) {
   EXPECT_EQ(status_body("j-000412", JobStatus::queued, 0, 0), R"({"uid":"j-000412","status":"queued","done":0,"running":0})");
   EXPECT_EQ(status_body("j-000412", JobStatus::running, 3, 13), R"({"uid":"j-000412","status":"running","done":3,"running":13})");
   EXPECT_EQ(status_body("j-000412", JobStatus::done, 16, 0), R"({"uid":"j-000412","status":"done","done":16,"running":0})");
   EXPECT_EQ(status_body("j-000412", JobStatus::cancelled, 1, 2), R"({"uid":"j-000412","status":"aborted","done":1,"running":2})");
 }
 
-TEST(WireFormatUsers, BriefBodiesOfEachStatus) {
+TEST(WireFormatUsers, EncodesAcknowledgementForEachStatus) {
   EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::queued), R"({"uid":"j-000412","status":"queued"})");
   EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::running), R"({"uid":"j-000412","status":"running"})");
   EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::done), R"({"uid":"j-000412","status":"done"})");
   EXPECT_EQ(acknowledgement_body("j-000412", JobStatus::cancelled), R"({"uid":"j-000412","status":"aborted"})");
 }
 
-TEST(WireFormatUsers, ErrorBodiesAreEscaped) {
+TEST(WireFormatUsers, EscapesReasonInErrorReply) {
   EXPECT_EQ(error_body("pieces: missing"), R"({"error":"pieces: missing"})");
   EXPECT_EQ(error_body("a \"b\"\n"), R"({"error":"a \"b\"\n"})");
   EXPECT_EQ(error_body("\xff"), "{\"error\":\"\xef\xbf\xbd\"}");
@@ -335,17 +335,17 @@
   EXPECT_EQ(route.uid, uid) << method << " " << target;
 }
 
-TEST(WireFormatUsers, EachRouteIsRecognised) {
+TEST(WireFormatUsers, RecognizesEachRoute) {
   expect_route("POST", "/v1/jobs", UserRoute::Kind::submit);
   expect_route("GET", "/v1/jobs/j-000412", UserRoute::Kind::status, "j-000412");
-  expect_route("POST", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::withdraw, "j-000412");
+  expect_route("POST", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::cancel, "j-000412");
   expect_route("GET", "/healthz", UserRoute::Kind::health);
   expect_route("GET", "/metrics", UserRoute::Kind::metrics);
   expect_route("POST", "/v1/report", UserRoute::Kind::heartbeat);
   expect_route("GET", "/v1/jobs/j-000412?x=1", UserRoute::Kind::status, "j-000412");
 }
 
-TEST(WireFormatUsers, AKnownRouteWithAnotherMethodIsToldApart) {
+TEST(WireFormatUsers, ReportsWrongMethodForAKnownPath) {
   expect_route("GET", "/v1/jobs", UserRoute::Kind::wrong_method);
   expect_route("POST", "/v1/jobs/j-000412", UserRoute::Kind::wrong_method, "j-000412");
   expect_route("GET", "/v1/jobs/j-000412/withdraw", UserRoute::Kind::wrong_method, "j-000412");
@@ -354,7 +354,7 @@
   expect_route("GET", "/v1/report", UserRoute::Kind::wrong_method);
 }
 
-TEST(WireFormatUsers, OtherRoutesAreUnknown) {
+TEST(WireFormatUsers, ReportsOtherPathsAsUnknown) {
   expect_route("GET", "/", UserRoute::Kind::unknown);
   expect_route("GET", "/v1/jobsx", UserRoute::Kind::unknown);
   expect_route("POST", "/v1/jobs/j-000412/cancel", UserRoute::Kind::unknown);
@@ -363,105 +363,106 @@
 
 // ---- workers
 
-const std::string kFullReport = R"({"host":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,)"
-                                R"("tenure":1,"serial":88,"epoch":41,"recallS":61.5,)"
-                                R"("pieces":[{"piece":"j-000412/3","try":2,"status":"running"},)"
-                                R"({"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","kept":true}]})";
-
-std::string report_error(const std::string& body) {
-  return error_of([&] { parse_heartbeat(body); });
-}
-
-TEST(WireFormatWorkers, AFullReportIsReadFieldByField) {
-  const auto r = parse_heartbeat(kFullReport);
-  EXPECT_EQ(r.node, "m-000231");
-  EXPECT_EQ(r.address, "10.1.0.232:9000");
-  EXPECT_EQ(r.machine_type, "g8");
-  EXPECT_EQ(r.zone, "a");
-  EXPECT_TRUE(r.spot);
-  EXPECT_EQ(r.agent_incarnation, 1u);
-  EXPECT_EQ(r.serial, 88u);
-  EXPECT_EQ(r.fencing_token, 41u);
-  EXPECT_EQ(r.interruption_in_s, 61.5);
-  EXPECT_EQ(r.repeated_serial, std::nullopt);
-  ASSERT_EQ(r.tasks.size(), 2u);
-  EXPECT_EQ(r.tasks[0].id.uid, "j-000412");
-  EXPECT_EQ(r.tasks[0].id.task, 3u);
-  EXPECT_EQ(r.tasks[0].attempt, 2u);
-  EXPECT_EQ(r.tasks[0].phase, TaskPhase::running);
-  EXPECT_EQ(r.tasks[0].exit_reason, ExitReason::none);
-  EXPECT_FALSE(r.tasks[0].checkpointed);
-  EXPECT_EQ(r.tasks[1].id.uid, "j-000398");
-  EXPECT_EQ(r.tasks[1].id.task, 0u);
-  EXPECT_EQ(r.tasks[1].attempt, 1u);
-  EXPECT_EQ(r.tasks[1].phase, TaskPhase::exited);
-  EXPECT_EQ(r.tasks[1].exit_reason, ExitReason::stopped);
-  EXPECT_TRUE(r.tasks[1].checkpointed);
-}
-
-TEST(WireFormatWorkers, OmittedFieldsOfAReportHaveTheseValues) {
-  const auto r = parse_heartbeat(R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,"pieces":[]})");
-  EXPECT_FALSE(r.spot);
-  EXPECT_EQ(r.interruption_in_s, std::nullopt);
-  EXPECT_EQ(r.fencing_token, 0u);
-  EXPECT_TRUE(r.tasks.empty());
-}
-
-TEST(WireFormatWorkers, SecondsUntilARecallAreNullOrANumber) {
-  const auto recall_of = [](std::string_view value) {
-    return parse_heartbeat(replaced(kFullReport, R"("recallS":61.5)", R"("recallS":)" + std::string(value))).interruption_in_s;
+const std::string kFullHeartbeat = R"({"host":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,)"
+                                   R"("tenure":1,"serial":88,"epoch":41,"recallS":61.5,)"
+                                   R"("pieces":[{"piece":"j-000412/3","try":2,"status":"running"},)"
+                                   R"({"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","kept":true}]})";
+
+std::string heartbeat_error(const std::string& body) {
+  return error_message_of([&] { parse_heartbeat(body); });
+}
+
+TEST(WireFormatWorkers, ParsesEachFieldOfAHeartbeat) {
+  const auto heartbeat = parse_heartbeat(kFullHeartbeat);
+  EXPECT_EQ(heartbeat.node, "m-000231");
+  EXPECT_EQ(heartbeat.address, "10.1.0.232:9000");
+  EXPECT_EQ(heartbeat.machine_type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.agent_incarnation, 1u);
+  EXPECT_EQ(heartbeat.serial, 88u);
+  EXPECT_EQ(heartbeat.fencing_token, 41u);
+  EXPECT_EQ(heartbeat.interruption_in_s, 61.5);
+  EXPECT_EQ(heartbeat.repeated_serial, std::nullopt);
+  ASSERT_EQ(heartbeat.tasks.size(), 2u);
+  EXPECT_EQ(heartbeat.tasks[0].id.uid, "j-000412");
+  EXPECT_EQ(heartbeat.tasks[0].id.task, 3u);
+  EXPECT_EQ(heartbeat.tasks[0].attempt, 2u);
+  EXPECT_EQ(heartbeat.tasks[0].phase, TaskPhase::running);
+  EXPECT_EQ(heartbeat.tasks[0].exit_reason, ExitReason::none);
+  EXPECT_FALSE(heartbeat.tasks[0].checkpointed);
+  EXPECT_EQ(heartbeat.tasks[1].id.uid, "j-000398");
+  EXPECT_EQ(heartbeat.tasks[1].id.task, 0u);
+  EXPECT_EQ(heartbeat.tasks[1].attempt, 1u);
+  EXPECT_EQ(heartbeat.tasks[1].phase, TaskPhase::exited);
+  EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::stopped);
+  EXPECT_TRUE(heartbeat.tasks[1].checkpointed);
+}
+
+TEST(WireFormatWorkers, DefaultsOmittedFieldsOfAHeartbeat) {
+  const auto heartbeat =
+      parse_heartbeat(R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,"pieces":[]})");
+  EXPECT_FALSE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.interruption_in_s, std::nullopt);
+  EXPECT_EQ(heartbeat.fencing_token, 0u);
+  EXPECT_TRUE(heartbeat.tasks.empty());
+}
+
+TEST(WireFormatWorkers, ParsesSecondsUntilInterruptionAsNullOrNumber) {
+  const auto parsed_interruption = [](std::string_view value) {
+    return parse_heartbeat(replaced(kFullHeartbeat, R"("recallS":61.5)", R"("recallS":)" + std::string(value))).interruption_in_s;
   };
-  EXPECT_EQ(recall_of("null"), std::nullopt);
-  EXPECT_EQ(recall_of("0"), 0);
-  EXPECT_EQ(recall_of("12"), 12);
-  EXPECT_EQ(recall_of("-3"), 0);
-  EXPECT_EQ(parse_heartbeat(without(kFullReport, R"("recallS":61.5,)")).interruption_in_s, std::nullopt);
+  EXPECT_EQ(parsed_interruption("null"), std::nullopt);
+  EXPECT_EQ(parsed_interruption("0"), 0);
+  EXPECT_EQ(parsed_interruption("12"), 12);
+  EXPECT_EQ(parsed_interruption("-3"), 0);
+  EXPECT_EQ(parse_heartbeat(without(kFullHeartbeat, R"("recallS":61.5,)")).interruption_in_s, std::nullopt);
 }
 
-TEST(WireFormatWorkers, WordsForPhases) {
-  const auto phase_of = [](const std::string& word) {
-    return parse_heartbeat(replaced(kFullReport, R"("status":"running")", R"("status":")" + word + "\"")).tasks.at(0).phase;
+TEST(WireFormatWorkers, ParsesNamesOfTaskPhases) {
+  const auto parsed_phase = [](const std::string& name) {
+    return parse_heartbeat(replaced(kFullHeartbeat, R"("status":"running")", R"("status":")" + name + "\"")).tasks.at(0).phase;
   };
-  EXPECT_EQ(phase_of("pulling"), TaskPhase::pulling_image);
-  EXPECT_EQ(phase_of("gathering"), TaskPhase::waiting_for_gang);
-  EXPECT_EQ(phase_of("running"), TaskPhase::running);
-  EXPECT_EQ(phase_of("saving"), TaskPhase::checkpointing);
-  EXPECT_EQ(phase_of("exited"), TaskPhase::exited);
+  EXPECT_EQ(parsed_phase("pulling"), TaskPhase::pulling_image);
+  EXPECT_EQ(parsed_phase("gathering"), TaskPhase::waiting_for_gang);
+  EXPECT_EQ(parsed_phase("running"), TaskPhase::running);
+  EXPECT_EQ(parsed_phase("saving"), TaskPhase::checkpointing);
+  EXPECT_EQ(parsed_phase("exited"), TaskPhase::exited);
 }
 
-TEST(WireFormatWorkers, WordsForCauses) {
-  const auto cause_of = [](const std::string& word) {
-    return parse_heartbeat(replaced(kFullReport, R"("cause":"halted")", R"("cause":")" + word + "\"")).tasks.at(1).exit_reason;
+TEST(WireFormatWorkers, ParsesNamesOfExitReasons) {
+  const auto parsed_exit_reason = [](const std::string& name) {
+    return parse_heartbeat(replaced(kFullHeartbeat, R"("cause":"halted")", R"("cause":")" + name + "\"")).tasks.at(1).exit_reason;
   };
-  EXPECT_EQ(cause_of("done"), ExitReason::completed);
-  EXPECT_EQ(cause_of("halted"), ExitReason::stopped);
-  EXPECT_EQ(cause_of("peers"), ExitReason::gang_member_lost);
-  EXPECT_EQ(cause_of("alone"), ExitReason::gang_incomplete);
-  EXPECT_EQ(cause_of("error"), ExitReason::failed);
-  EXPECT_EQ(cause_of("no_room"), ExitReason::insufficient_resources);
-  EXPECT_EQ(cause_of("busy"), ExitReason::duplicate_attempt);
-  EXPECT_EQ(cause_of("unknown"), ExitReason::unknown_task);
-  EXPECT_EQ(cause_of("of a later version"), ExitReason::failed);
-}
-
-TEST(WireFormatWorkers, AFieldThatAReportLacksIsNamed) {
-  EXPECT_EQ(report_error(without(kFullReport, R"("host":"m-000231",)")), "host: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("address":"10.1.0.232:9000",)")), "address: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("hostKind":"g8",)")), "hostKind: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("yard":"a",)")), "yard: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("tenure":1,)")), "tenure: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("serial":88,)")), "serial: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("epoch":41,)")), "epoch: missing");
-  EXPECT_EQ(report_error(replaced(kFullReport, R"("pieces":)", R"("others":)")), "pieces: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("piece":"j-000412/3",)")), "piece: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"("try":2,)")), "try: missing");
-  EXPECT_EQ(report_error(without(kFullReport, R"(,"status":"running")")), "status: missing");
-}
-
-TEST(WireFormatWorkers, AnInvalidFieldOfAReportIsNamedWithTheReason) {
-  const auto with = [](std::string_view part, std::string_view other) { return report_error(replaced(kFullReport, part, other)); };
-  EXPECT_EQ(report_error("{"), "body: not JSON");
-  EXPECT_EQ(report_error("[]"), "body: not an object");
+  EXPECT_EQ(parsed_exit_reason("done"), ExitReason::completed);
+  EXPECT_EQ(parsed_exit_reason("halted"), ExitReason::stopped);
+  EXPECT_EQ(parsed_exit_reason("peers"), ExitReason::gang_member_lost);
+  EXPECT_EQ(parsed_exit_reason("alone"), ExitReason::gang_incomplete);
+  EXPECT_EQ(parsed_exit_reason("error"), ExitReason::failed);
+  EXPECT_EQ(parsed_exit_reason("no_room"), ExitReason::insufficient_resources);
+  EXPECT_EQ(parsed_exit_reason("busy"), ExitReason::duplicate_attempt);
+  EXPECT_EQ(parsed_exit_reason("unknown"), ExitReason::unknown_task);
+  EXPECT_EQ(parsed_exit_reason("of a later version"), ExitReason::failed);
+}
+
+TEST(WireFormatWorkers, ErrorNamesTheFieldMissingInAHeartbeat) {
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("host":"m-000231",)")), "host: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("address":"10.1.0.232:9000",)")), "address: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("hostKind":"g8",)")), "hostKind: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("yard":"a",)")), "yard: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("tenure":1,)")), "tenure: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("serial":88,)")), "serial: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("epoch":41,)")), "epoch: missing");
+  EXPECT_EQ(heartbeat_error(replaced(kFullHeartbeat, R"("pieces":)", R"("others":)")), "pieces: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("piece":"j-000412/3",)")), "piece: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"("try":2,)")), "try: missing");
+  EXPECT_EQ(heartbeat_error(without(kFullHeartbeat, R"(,"status":"running")")), "status: missing");
+}
+
+TEST(WireFormatWorkers, ErrorNamesTheInvalidFieldOfAHeartbeatAndTheReason) {
+  const auto with = [](std::string_view part, std::string_view other) { return heartbeat_error(replaced(kFullHeartbeat, part, other)); };
+  EXPECT_EQ(heartbeat_error("{"), "body: not JSON");
+  EXPECT_EQ(heartbeat_error("[]"), "body: not an object");
   EXPECT_EQ(with(R"("host":"m-000231")", R"("host":7)"), "host: not a string");
   EXPECT_EQ(with(R"("host":"m-000231")", R"("host":"")"), "host: empty");
   EXPECT_EQ(with(R"("yard":"a")", R"("yard":")" + std::string(201, 'x') + "\""), "yard: too long");
@@ -476,39 +477,39 @@
   EXPECT_EQ(with(R"("status":"running")", R"("status":"odd")"), "status: not a known value");
   EXPECT_EQ(with(R"("kept":true)", R"("kept":"yes")"), "kept: not true or false");
   const std::string head = R"({"host":"m","address":"a","hostKind":"k","yard":"z","tenure":1,"serial":2,"epoch":0,)";
-  EXPECT_EQ(report_error(head + R"("pieces":3})"), "pieces: not a list");
-  EXPECT_EQ(report_error(head + R"("pieces":[3]})"), "pieces: not objects");
+  EXPECT_EQ(heartbeat_error(head + R"("pieces":3})"), "pieces: not a list");
+  EXPECT_EQ(heartbeat_error(head + R"("pieces":[3]})"), "pieces: not objects");
 }
 
-TEST(WireFormatWorkers, AnswersToReportsHoldTheEpochAndOrders) {
+TEST(WireFormatWorkers, EncodesHeartbeatReplyWithFencingTokenAndCommands) {
   EXPECT_EQ(heartbeat_response_body(41, {}), R"({"epoch":41,"orders":[]})");
-  EXPECT_EQ(heartbeat_response_body(41, order_of_each_verb()),
+  EXPECT_EQ(heartbeat_response_body(41, command_of_each_type()),
             R"({"epoch":41,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill","piece":"j-000377/1",)"
             R"("try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},{"verb":"reap",)"
             R"("piece":"j-000398/0","try":1}]})");
 }
 
-TEST(WireFormatWorkers, DirectCommandsHoldTheTenureAsWell) {
+TEST(WireFormatWorkers, EncodesCommandsWithAgentIncarnation) {
   EXPECT_EQ(commands_body(41, 1, {}), R"({"epoch":41,"tenure":1,"orders":[]})");
-  EXPECT_EQ(commands_body(18446744073709551615u, 2, order_of_each_verb()),
+  EXPECT_EQ(commands_body(18446744073709551615u, 2, command_of_each_type()),
             R"({"epoch":18446744073709551615,"tenure":2,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill",)"
             R"("piece":"j-000377/1","try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},)"
             R"({"verb":"reap","piece":"j-000398/0","try":1}]})");
 }
 
-TEST(WireFormatWorkers, ARedirectedWorkerIsToldWhere) {
+TEST(WireFormatWorkers, EncodesRedirectTarget) {
   EXPECT_EQ(redirect_body("host-2"), R"({"steward":"host-2"})");
   EXPECT_EQ(redirect_body(""), R"({})");
 }
 
-TEST(WireFormatWorkers, Paths) {
+TEST(WireFormatWorkers, PathsAreUnchanged) {
   EXPECT_STREQ(kCommandsPath, "/commands");
   EXPECT_STREQ(kWorkerStatusPath, "/status");
 }
 
 // ---- cloud
 
-TEST(WireFormatCloud, Paths) {
+TEST(WireFormatCloud, PathsAreUnchanged) {
   EXPECT_STREQ(kMachineTypesPath, "/flavors");
   EXPECT_STREQ(kRentPath, "/rentals");
   EXPECT_STREQ(kReleasePath, "/rentals/release");
@@ -516,7 +517,7 @@
   EXPECT_EQ(instances_path("m-000230", 20), "/rentals?page=20&from=m-000230");
 }
 
-TEST(WireFormatCloud, MachineTypesAreReadFieldByField) {
+TEST(WireFormatCloud, ParsesEachFieldOfAMachineType) {
   const auto machine_types =
       parse_machine_types(R"({"hostKinds":[{"sku":"g8","cores":96,"accelerators":8,"ramGb":768,"cacheGb":200,"fetchGbPerS":1.0,)"
                           R"("price":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]}]})");
@@ -533,7 +534,7 @@
   EXPECT_EQ(machine_types[0].zones, (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(WireFormatCloud, OmittedFieldsOfAMachineTypeHaveTheseValues) {
+TEST(WireFormatCloud, DefaultsOmittedFieldsOfAMachineType) {
   const auto machine_type = parse_machine_types(R"({"hostKinds":[{"sku":"c4","cores":4,"ramGb":16,"price":2}]})").at(0);
   EXPECT_EQ(machine_type.capacity.accelerators, 0);
   EXPECT_EQ(machine_type.image_cache_gb, 0);
@@ -543,8 +544,8 @@
   EXPECT_TRUE(machine_type.zones.empty());
 }
 
-TEST(WireFormatCloud, ErrorsInMachineTypesNameTheField) {
-  const auto error = [](const std::string& body) { return error_of([&] { parse_machine_types(body); }); };
+TEST(WireFormatCloud, ErrorNamesTheInvalidFieldOfAMachineType) {
+  const auto error = [](const std::string& body) { return error_message_of([&] { parse_machine_types(body); }); };
   EXPECT_EQ(error("{}"), "hostKinds: missing");
   EXPECT_EQ(error(R"({"hostKinds":{}})"), "hostKinds: not a list");
   EXPECT_EQ(error(R"({"hostKinds":[3]})"), "hostKinds: not objects");
@@ -553,7 +554,7 @@
   EXPECT_EQ(error(R"({"hostKinds":[{"sku":"c4","cores":4}]})"), "ramGb: missing");
 }
 
-TEST(WireFormatCloud, MachinesAreReadFieldByField) {
+TEST(WireFormatCloud, ParsesEachFieldOfAnInstance) {
   const auto page = parse_instances(
       R"({"hosts":[{"uid":"m-000231","address":"10.1.0.232:9000","hostKind":"g8","yard":"a","loaners":true,"status":"running",)"
       R"("heldS":61.5},)"
@@ -578,13 +579,13 @@
   EXPECT_EQ(page.instances[2].age_s, 3);
 }
 
-TEST(WireFormatCloud, TheLastPageOfMachinesIsNotTruncated) {
+TEST(WireFormatCloud, LastPageOfInstancesIsNotTruncated) {
   EXPECT_FALSE(parse_instances(R"({"hosts":[],"truncated":false})").truncated);
   EXPECT_FALSE(parse_instances(R"({"hosts":[]})").truncated);
 }
 
-TEST(WireFormatCloud, ErrorsInMachinesNameTheField) {
-  const auto error = [](const std::string& body) { return error_of([&] { parse_instances(body); }); };
+TEST(WireFormatCloud, ErrorNamesTheInvalidFieldOfAnInstance) {
+  const auto error = [](const std::string& body) { return error_message_of([&] { parse_instances(body); }); };
   EXPECT_EQ(error("{}"), "hosts: missing");
   EXPECT_EQ(error(R"({"hosts":[3]})"), "hosts: not objects");
   EXPECT_EQ(error(R"({"hosts":[{"hostKind":"c4","yard":"b","status":"running"}]})"), "uid: missing");
@@ -594,32 +595,32 @@
   EXPECT_EQ(error(R"({"hosts":[{"uid":"m-1","hostKind":"c4","yard":"b","status":"odd"}]})"), "status: not a known value");
 }
 
-TEST(WireFormatCloud, ARentalNamesTypeZoneKindAndCount) {
+TEST(WireFormatCloud, EncodesRentRequest) {
   EXPECT_EQ(rent_body("r-17", "g8", "a", true, 12), R"({"count":12,"hostKind":"g8","loaners":true,"rental":"r-17","yard":"a"})");
   EXPECT_EQ(rent_body("r-18", "c4", "b", false, 1), R"({"count":1,"hostKind":"c4","loaners":false,"rental":"r-18","yard":"b"})");
 }
 
-TEST(WireFormatCloud, TheAnswerToARentalNamesTheMachines) {
-  EXPECT_EQ(parse_rented(R"({"hosts":["m-000231","m-000232"]})"), (std::vector<std::string>{"m-000231", "m-000232"}));
-  EXPECT_TRUE(parse_rented(R"({"hosts":[]})").empty());
-  EXPECT_EQ(error_of([] { parse_rented("{}"); }), "hosts: missing");
-  EXPECT_EQ(error_of([] { parse_rented(R"({"hosts":[3]})"); }), "hosts: not a string");
+TEST(WireFormatCloud, ParsesNamesOfRentedInstances) {
+  EXPECT_EQ(parse_rented_names(R"({"hosts":["m-000231","m-000232"]})"), (std::vector<std::string>{"m-000231", "m-000232"}));
+  EXPECT_TRUE(parse_rented_names(R"({"hosts":[]})").empty());
+  EXPECT_EQ(error_message_of([] { parse_rented_names("{}"); }), "hosts: missing");
+  EXPECT_EQ(error_message_of([] { parse_rented_names(R"({"hosts":[3]})"); }), "hosts: not a string");
 }
 
-TEST(WireFormatCloud, NoCapacityIsToldFromTrouble) {
-  EXPECT_TRUE(is_no_capacity(R"({"error":"no capacity"})"));
-  EXPECT_FALSE(is_no_capacity(R"({"error":"trouble"})"));
-  EXPECT_FALSE(is_no_capacity(""));
+TEST(WireFormatCloud, DistinguishesNoCapacityFromOtherErrors) {
+  EXPECT_TRUE(reports_no_capacity(R"({"error":"no capacity"})"));
+  EXPECT_FALSE(reports_no_capacity(R"({"error":"trouble"})"));
+  EXPECT_FALSE(reports_no_capacity(""));
 }
 
-TEST(WireFormatCloud, AReleaseNamesTheMachines) {
+TEST(WireFormatCloud, EncodesReleaseRequest) {
   EXPECT_EQ(release_body({"m-000231", "m-000232"}), R"({"hosts":["m-000231","m-000232"]})");
   EXPECT_EQ(release_body({}), R"({"hosts":[]})");
 }
 
-// ---- state service
+// ---- key-value store
 
-TEST(WireFormatState, Paths) {
+TEST(WireFormatStore, PathsAreUnchanged) {
   EXPECT_STREQ(kTxnPath, "/txn");
   EXPECT_STREQ(kSessionLeasesPath, "/holds");
   EXPECT_EQ(store_path("ledger/000000000007"), "/store/ledger/000000000007");
@@ -630,7 +631,7 @@
   EXPECT_EQ(session_lease_path(7, false), "/holds/7");
 }
 
-TEST(WireFormatState, Keys) {
+TEST(WireFormatStore, KeysAreUnchanged) {
   EXPECT_STREQ(kLeaderKeyV1, "leader");
   EXPECT_STREQ(kLeadershipPrefix, "lead");
   EXPECT_STREQ(kLeaderKeyV2, "lead");
@@ -640,13 +641,13 @@
   EXPECT_STREQ(kLedgerPrefix, "ledger/");
 }
 
-TEST(WireFormatState, TheLeadersKeyIsAnotherFromLevelTwoOn) {
+TEST(WireFormatStore, UsesAnotherLeaderKeyFromVersionTwoOn) {
   EXPECT_STREQ(leader_key_for(1), "leader");
   EXPECT_STREQ(leader_key_for(2), "lead");
   EXPECT_STREQ(leader_key_for(4), "lead");
 }
 
-TEST(WireFormatState, KeysOfLedgerEntriesSortByNumber) {
+TEST(WireFormatStore, PadsNumbersInKeysOfLedgerEntries) {
   EXPECT_EQ(entry_key(0), "ledger/000000000000");
   EXPECT_EQ(entry_key(31), "ledger/000000000031");
   EXPECT_EQ(entry_key(123456789012345678u), "ledger/123456789012345678");
@@ -654,13 +655,13 @@
   EXPECT_EQ(parse_key_number("ledger/0031"), 31u);
 }
 
-TEST(WireFormatState, AHoldIsAskedForWithItsLifeInMilliseconds) {
+TEST(WireFormatStore, RequestsSessionLeaseWithDurationInMilliseconds) {
   EXPECT_EQ(session_lease_body(5000), R"({"lifeMs":5000})");
   EXPECT_EQ(parse_session_lease(R"({"hold":7})"), 7u);
-  EXPECT_EQ(error_of([] { parse_session_lease("{}"); }), "hold: missing");
+  EXPECT_EQ(error_message_of([] { parse_session_lease("{}"); }), "hold: missing");
 }
 
-TEST(WireFormatState, ATransactionHasConditionsThenSetsThenRemovals) {
+TEST(WireFormatStore, EncodesConditionsThenPutsThenRemovalsOfATransaction) {
   EXPECT_EQ(txn_body({}, {}, {}), R"({"if":[],"apply":[]})");
   EXPECT_EQ(
       txn_body({condition("a/b", 0), condition("a/c", 412)}, {put("a/b", R"({"x":1})", 7), put("a/c", R"("text")", 0)}, {"c/d", "c/e"}),
@@ -668,14 +669,14 @@
       R"({"set":"a/c","value":"text"},{"remove":"c/d"},{"remove":"c/e"}]})");
 }
 
-TEST(WireFormatState, AnswersToTransactions) {
+TEST(WireFormatStore, ParsesRepliesToTransactions) {
   EXPECT_EQ(parse_txn_revision(R"({"ledgerRev":432})"), 432u);
-  EXPECT_EQ(error_of([] { parse_txn_revision("{}"); }), "ledgerRev: missing");
+  EXPECT_EQ(error_message_of([] { parse_txn_revision("{}"); }), "ledgerRev: missing");
   EXPECT_EQ(parse_failed_keys(R"({"failed":["a/b","a/c"],"ledgerRev":431})"), (std::vector<std::string>{"a/b", "a/c"}));
-  EXPECT_EQ(error_of([] { parse_failed_keys("{}"); }), "failed: missing");
+  EXPECT_EQ(error_message_of([] { parse_failed_keys("{}"); }), "failed: missing");
 }
 
-TEST(WireFormatState, ARowIsReadFieldByField) {
+TEST(WireFormatStore, ParsesEachFieldOfARow) {
   const auto row = parse_row(R"({"path":"a/b","value":{"y":[1,2.5,null],"x":"t"},"stamp":412,"hold":7})");
   EXPECT_EQ(row.key, "a/b");
   EXPECT_EQ(row.value, R"({"x":"t","y":[1,2.5,null]})");
@@ -685,14 +686,14 @@
   EXPECT_EQ(parse_row(R"({"path":"a/b","value":1,"stamp":412,"hold":null})").session_lease, 0u);
 }
 
-TEST(WireFormatState, AFieldThatARowLacksIsNamed) {
-  const auto error = [](const std::string& body) { return error_of([&] { parse_row(body); }); };
+TEST(WireFormatStore, ErrorNamesTheFieldMissingInARow) {
+  const auto error = [](const std::string& body) { return error_message_of([&] { parse_row(body); }); };
   EXPECT_EQ(error(R"({"value":1,"stamp":412})"), "path: missing");
   EXPECT_EQ(error(R"({"path":"a/b","stamp":412})"), "value: missing");
   EXPECT_EQ(error(R"({"path":"a/b","value":1})"), "stamp: missing");
 }
 
-TEST(WireFormatState, APageOfRowsIsReadFieldByField) {
+TEST(WireFormatStore, ParsesEachFieldOfAPageOfRows) {
   const auto rows = parse_rows(R"({"rows":[{"path":"c/8","value":{"x":1},"stamp":430},{"path":"c/9","value":"t","stamp":431,"hold":7}],)"
                                R"("truncated":true,"ledgerRev":433})");
   EXPECT_TRUE(rows.truncated);
@@ -707,15 +708,15 @@
   EXPECT_EQ(rows.rows[1].mod_revision, 431u);
   EXPECT_EQ(rows.rows[1].session_lease, 7u);
   EXPECT_FALSE(parse_rows(R"({"rows":[],"ledgerRev":433})").truncated);
-  EXPECT_EQ(error_of([] { parse_rows(R"({"rows":[]})"); }), "ledgerRev: missing");
-  EXPECT_EQ(error_of([] { parse_rows(R"({"ledgerRev":433})"); }), "rows: missing");
+  EXPECT_EQ(error_message_of([] { parse_rows(R"({"rows":[]})"); }), "ledgerRev: missing");
+  EXPECT_EQ(error_message_of([] { parse_rows(R"({"ledgerRev":433})"); }), "rows: missing");
 }
 
-TEST(WireFormatState, AWatchTellsWhetherAnythingChanged) {
+TEST(WireFormatStore, WatchReplyShowsWhetherAnythingChanged) {
   EXPECT_TRUE(reports_change(R"({"ledgerRev":433,"events":[{"set":"c/9","value":{},"stamp":433}]})"));
   EXPECT_TRUE(reports_change(R"({"ledgerRev":433,"events":[{"remove":"c/d","stamp":432}]})"));
   EXPECT_FALSE(reports_change(R"({"ledgerRev":433,"events":[]})"));
-  EXPECT_EQ(error_of([] { reports_change("{}"); }), "events: missing");
+  EXPECT_EQ(error_message_of([] { reports_change("{}"); }), "events: missing");
 }
 
 LeaderValue leader_named(const std::string& label, std::uint64_t incarnation) {
@@ -725,23 +726,23 @@
   return out;
 }
 
-TEST(WireFormatState, TheValueOfTheLeadersKey) {
+TEST(WireFormatStore, EncodesAndParsesValueOfLeaderKey) {
   EXPECT_EQ(leader_value(leader_named("host-1", 42)), R"({"incarnation":42,"label":"host-1"})");
   const auto leader = parse_leader_value(R"({"incarnation":42,"label":"host-1"})");
   EXPECT_EQ(leader.label, "host-1");
   EXPECT_EQ(leader.incarnation, 42u);
-  EXPECT_EQ(error_of([] { parse_leader_value(R"({"incarnation":42})"); }), "label: missing");
-  EXPECT_EQ(error_of([] { parse_leader_value(R"({"label":"host-1"})"); }), "incarnation: missing");
+  EXPECT_EQ(error_message_of([] { parse_leader_value(R"({"incarnation":42})"); }), "label: missing");
+  EXPECT_EQ(error_message_of([] { parse_leader_value(R"({"label":"host-1"})"); }), "incarnation: missing");
 }
 
-TEST(WireFormatState, TheLevelOneKeyWhileAHigherLevelIsOn) {
+TEST(WireFormatStore, EncodesPlaceholderInVersionOneLeaderKeyAtHigherVersions) {
   EXPECT_EQ(placeholder_leader_value(2), R"~({"incarnation":0,"label":"(state level 2)"})~");
   EXPECT_EQ(placeholder_leader_value(4), R"~({"incarnation":0,"label":"(state level 4)"})~");
 }
 
-const std::string kAbleText = R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3})";
+const std::string kSupportedVersionsText = R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3})";
 
-SupportedVersions able_of_host() {
+SupportedVersions supported_versions_of_host() {
   SupportedVersions supported_versions;
   supported_versions.min_version = 1;
   supported_versions.max_version = 4;
@@ -752,44 +753,44 @@
   return supported_versions;
 }
 
-TEST(WireFormatState, RecordsOfTheRoster) {
-  auto supported_versions = able_of_host();
-  EXPECT_EQ(supported_versions_value(supported_versions), kAbleText);
-  EXPECT_EQ(parse_supported_versions(kAbleText), supported_versions);
+TEST(WireFormatStore, EncodesAndParsesSupportedVersions) {
+  auto supported_versions = supported_versions_of_host();
+  EXPECT_EQ(supported_versions_value(supported_versions), kSupportedVersionsText);
+  EXPECT_EQ(parse_supported_versions(kSupportedVersionsText), supported_versions);
   supported_versions.teams_digest = 0;
   EXPECT_EQ(supported_versions_value(supported_versions), R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})");
   EXPECT_EQ(parse_supported_versions(R"({"build":"0.3.0","incarnation":42,"least":1,"most":4,"wants":3})"), supported_versions);
-  EXPECT_EQ(error_of([] { parse_supported_versions(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }),
+  EXPECT_EQ(error_message_of([] { parse_supported_versions(R"({"build":"b","incarnation":1,"least":0,"most":1,"wants":1})"); }),
             "least: not a level");
 }
 
-TEST(WireFormatState, RecordsOfTheLevel) {
-  ActiveVersion on;
-  on.format_version = 4;
-  EXPECT_EQ(active_version_value(on), R"({"level":4})");
-  EXPECT_EQ(parse_active_version(R"({"level":4})"), on);
-  on.downgrade_to = 3;
-  EXPECT_EQ(active_version_value(on), R"({"level":4,"towards":3})");
-  EXPECT_EQ(parse_active_version(R"({"level":4,"towards":3})"), on);
-  EXPECT_EQ(error_of([] { parse_active_version(R"({"level":0})"); }), "level: not a level");
+TEST(WireFormatStore, EncodesAndParsesActiveVersion) {
+  ActiveVersion active;
+  active.format_version = 4;
+  EXPECT_EQ(active_version_value(active), R"({"level":4})");
+  EXPECT_EQ(parse_active_version(R"({"level":4})"), active);
+  active.downgrade_to = 3;
+  EXPECT_EQ(active_version_value(active), R"({"level":4,"towards":3})");
+  EXPECT_EQ(parse_active_version(R"({"level":4,"towards":3})"), active);
+  EXPECT_EQ(error_message_of([] { parse_active_version(R"({"level":0})"); }), "level: not a level");
 }
 
-TEST(WireFormatState, RecordsOfReadiness) {
-  VersionReadiness ready;
-  ready.format_version = 2;
-  ready.since_wall_s = 100.5;
-  EXPECT_EQ(version_readiness_value(ready), R"({"at":100.5,"level":2})");
-  EXPECT_EQ(parse_version_readiness(R"({"at":100.5,"level":2})"), ready);
-  EXPECT_EQ(error_of([] { parse_version_readiness(R"({"at":100.5,"level":0})"); }), "level: not a level");
+TEST(WireFormatStore, EncodesAndParsesVersionReadiness) {
+  VersionReadiness readiness;
+  readiness.format_version = 2;
+  readiness.since_wall_s = 100.5;
+  EXPECT_EQ(version_readiness_value(readiness), R"({"at":100.5,"level":2})");
+  EXPECT_EQ(parse_version_readiness(R"({"at":100.5,"level":2})"), readiness);
+  EXPECT_EQ(error_message_of([] { parse_version_readiness(R"({"at":100.5,"level":0})"); }), "level: not a level");
 }
 
-TEST(WireFormatState, LevelsOfThisBuild) {
+TEST(WireFormatStore, FormatVersionsOfThisBuildAreUnchanged) {
   EXPECT_EQ(rollout::kMinFormatVersion, 1u);
   EXPECT_EQ(rollout::kMaxFormatVersion, 4u);
   EXPECT_STREQ(rollout::kBuild, "0.3.0");
 }
 
-rollout::LeadershipSnapshot look_at_level(std::uint32_t format_version) {
+rollout::LeadershipSnapshot snapshot_at_version(std::uint32_t format_version) {
   rollout::LeadershipSnapshot snapshot;
   snapshot.active.format_version = format_version;
   snapshot.active_mod_revision = format_version > 1 ? 77 : 0;
@@ -797,9 +798,11 @@
   return snapshot;
 }
 
-TEST(WireFormatState, TransactionsThatTakeTheLead) {
+TEST(WireFormatStore, EncodesTransactionThatAcquiresLeadership) {
   const auto body_at = [](std::uint32_t format_version) {
-    return rollout::acquire_leadership_step(look_at_level(format_version), able_of_host(), leader_named("host-1", 42), 7)->body();
+    return rollout::acquire_leadership_step(snapshot_at_version(format_version), supported_versions_of_host(), leader_named("host-1", 42),
+                                            7)
+        ->body();
   };
   EXPECT_EQ(body_at(1), R"({"if":[{"path":"leader","stamp":0},{"path":"lead-level","stamp":0}],"apply":[{"set":"leader",)"
                         R"("value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
@@ -807,9 +810,9 @@
                         R"("value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
 }
 
-TEST(WireFormatState, TransactionsThatRaiseTheEpoch) {
+TEST(WireFormatStore, EncodesTransactionThatRaisesTheFencingToken) {
   const auto body_at = [](std::uint32_t format_version) {
-    return rollout::raise_token_step(look_at_level(format_version).active, leader_named("host-1", 42), 90, 7).body();
+    return rollout::raise_token_step(snapshot_at_version(format_version).active, leader_named("host-1", 42), 90, 7).body();
   };
   EXPECT_EQ(body_at(1),
             R"({"if":[{"path":"leader","stamp":90}],"apply":[{"set":"leader","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
@@ -817,51 +820,51 @@
             R"({"if":[{"path":"lead","stamp":90}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7}]})");
 }
 
-TEST(WireFormatState, TransactionsThatLeaveTheLead) {
-  EXPECT_EQ(rollout::release_leadership_step(look_at_level(1)).body(),
+TEST(WireFormatStore, EncodesTransactionThatReleasesLeadership) {
+  EXPECT_EQ(rollout::release_leadership_step(snapshot_at_version(1)).body(),
             R"({"if":[{"path":"leader","stamp":90}],"apply":[{"remove":"leader"}]})");
-  EXPECT_EQ(rollout::release_leadership_step(look_at_level(4)).body(),
+  EXPECT_EQ(rollout::release_leadership_step(snapshot_at_version(4)).body(),
             R"({"if":[{"path":"lead","stamp":90}],"apply":[{"remove":"lead"}]})");
 }
 
-TEST(WireFormatState, TransactionsThatEnlistAController) {
-  EXPECT_EQ(rollout::registration_step("host-1", able_of_host(), nullptr).body(),
+TEST(WireFormatStore, EncodesTransactionThatRegistersAController) {
+  EXPECT_EQ(rollout::registration_step("host-1", supported_versions_of_host(), nullptr).body(),
             R"({"if":[{"path":"roster/host-1","stamp":0}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
             R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
-  rollout::RegisteredController known;
-  known.mod_revision = 12;
-  EXPECT_EQ(rollout::registration_step("host-1", able_of_host(), &known).body(),
+  rollout::RegisteredController registered;
+  registered.mod_revision = 12;
+  EXPECT_EQ(rollout::registration_step("host-1", supported_versions_of_host(), &registered).body(),
             R"({"if":[{"path":"roster/host-1","stamp":12}],"apply":[{"set":"roster/host-1","value":{"build":"0.3.0",)"
             R"("incarnation":42,"least":1,"most":4,"teams":"00000000000000ab","wants":3}}]})");
 }
 
-// The next step of a leader at level 1 that is alone and may switch on level 3.
-rollout::Step next_step_of(const rollout::LeadershipSnapshot& snapshot) {
-  rollout::RegisteredController known;
-  known.supported_versions = able_of_host();
-  known.mod_revision = 12;
+// Next step of a leader at format version 1 that is the only controller and is allowed to activate version 3.
+rollout::Step next_rollout_step(const rollout::LeadershipSnapshot& snapshot) {
+  rollout::RegisteredController registered;
+  registered.supported_versions = supported_versions_of_host();
+  registered.mod_revision = 12;
   rollout::ControllerRegistry registry;
-  registry["host-1"] = known;
-  rollout::LeaderState leading;
-  leading.value = leader_named("host-1", 42);
-  leading.fencing_token = 90;
-  leading.session_lease = 7;
-  return rollout::next_step(snapshot, registry, {"host-1"}, {}, leading, 200, 50);
+  registry["host-1"] = registered;
+  rollout::LeaderState leader_state;
+  leader_state.value = leader_named("host-1", 42);
+  leader_state.fencing_token = 90;
+  leader_state.session_lease = 7;
+  return rollout::next_step(snapshot, registry, {"host-1"}, {}, leader_state, 200, 50);
 }
 
-TEST(WireFormatState, ATransactionThatNotesReadiness) {
-  EXPECT_EQ(next_step_of(look_at_level(1)).body(),
+TEST(WireFormatStore, EncodesTransactionThatStoresReadiness) {
+  EXPECT_EQ(next_rollout_step(snapshot_at_version(1)).body(),
             R"({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":0}],)"
             R"("apply":[{"set":"lead-ready","value":{"at":200.0,"level":3}}]})");
 }
 
-TEST(WireFormatState, ATransactionThatRaisesTheLevel) {
-  auto snapshot = look_at_level(1);
+TEST(WireFormatStore, EncodesTransactionThatActivatesAVersion) {
+  auto snapshot = snapshot_at_version(1);
   snapshot.readiness_mod_revision = 80;
   snapshot.readiness.emplace();
   snapshot.readiness->format_version = 3;
   snapshot.readiness->since_wall_s = 100;
-  EXPECT_EQ(next_step_of(snapshot).body(),
+  EXPECT_EQ(next_rollout_step(snapshot).body(),
             R"~({"if":[{"path":"leader","stamp":90},{"path":"lead-level","stamp":0},{"path":"lead-ready","stamp":80},)~"
             R"~({"path":"roster/host-1","stamp":12}],"apply":[{"set":"lead","value":{"incarnation":42,"label":"host-1"},"hold":7},)~"
             R"~({"set":"lead-level","value":{"level":3}},)~"
@@ -870,22 +873,22 @@
 
 // ---- ledger
 
-JobSpec described_job() {
+JobSpec full_job() {
   return parse_submission(kFullSubmission);
 }
-JobSpec least_job() {
-  return parse_submission(kLeastSubmission);
+JobSpec minimal_job() {
+  return parse_submission(kMinimalSubmission);
 }
 
-JobAcceptedRecord accept_record(const JobSpec& job) {
-  JobAcceptedRecord r;
-  r.job = job;
-  r.random_draw = 0.25;
-  r.accepted_at = 12.5;
-  return r;
+JobAcceptedRecord job_accepted_record(const JobSpec& job) {
+  JobAcceptedRecord record;
+  record.job = job;
+  record.random_draw = 0.25;
+  record.accepted_at = 12.5;
+  return record;
 }
 
-TasksStartedRecord start_record() {
+TasksStartedRecord tasks_started_record() {
   TasksStartedRecord::NodeAssignment first;
   first.node = "m-1";
   first.agent_incarnation = 3;
@@ -894,38 +897,38 @@
   second.node = "m-2";
   second.agent_incarnation = 1;
   second.tasks = {range(4, 6)};
-  TasksStartedRecord r;
-  r.uid = "j-1";
-  r.attempt = 5;
-  r.decided_at = 13;
-  r.assignments = {first, second};
-  return r;
+  TasksStartedRecord record;
+  record.uid = "j-1";
+  record.attempt = 5;
+  record.decided_at = 13;
+  record.assignments = {first, second};
+  return record;
 }
 
-TasksCompletedRecord done_record(double at) {
-  TasksCompletedRecord r;
-  r.uid = "j-1";
-  r.tasks = {range(0, 1), range(3, 9)};
-  r.completed_at = at;
-  return r;
+TasksCompletedRecord tasks_completed_record(double at) {
+  TasksCompletedRecord record;
+  record.uid = "j-1";
+  record.tasks = {range(0, 1), range(3, 9)};
+  record.completed_at = at;
+  return record;
 }
 
-TasksRemovedRecord off_record(double failed_at) {
-  TasksRemovedRecord r;
-  r.uid = "j-1";
-  r.attempt = 5;
-  r.tasks = {range(1, 2)};
-  r.failed_at = failed_at;
-  return r;
+TasksRemovedRecord tasks_removed_record(double failed_at) {
+  TasksRemovedRecord record;
+  record.uid = "j-1";
+  record.attempt = 5;
+  record.tasks = {range(1, 2)};
+  record.failed_at = failed_at;
+  return record;
 }
 
-JobCancelledRecord cancel_record() {
-  JobCancelledRecord r;
-  r.uid = "j-1";
-  return r;
+JobCancelledRecord job_cancelled_record() {
+  JobCancelledRecord record;
+  record.uid = "j-1";
+  return record;
 }
 
-MachineTypesRecord flavors_record() {
+MachineTypesRecord machine_types_record() {
   MachineType big;
   big.name = "big";
   big.capacity = resources(8, 2, 32);
@@ -938,62 +941,62 @@
   MachineType small;
   small.name = "small";
   small.capacity = resources(0.5, 0, 2);
-  MachineTypesRecord r;
-  r.machine_types = {big, small};
-  return r;
+  MachineTypesRecord record;
+  record.machine_types = {big, small};
+  return record;
 }
 
-JobSnapshotRecord snapshot_record(JobStatus status) {
-  JobSnapshotRecord r;
-  r.accepted = accept_record(least_job());
-  r.status = status;
-  r.attempts = 2;
-  return r;
+JobSnapshotRecord job_snapshot_record(JobStatus status) {
+  JobSnapshotRecord record;
+  record.accepted = job_accepted_record(minimal_job());
+  record.status = status;
+  record.attempts = 2;
+  return record;
 }
 
 JobSnapshotRecord split_job_record() {
-  auto r = snapshot_record(JobStatus::queued);
-  r.has_more = true;
-  return r;
+  auto record = job_snapshot_record(JobStatus::queued);
+  record.has_more = true;
+  return record;
 }
 JobSnapshotRecord suspect_job_record() {
-  auto r = snapshot_record(JobStatus::queued);
-  r.suspect = true;
-  return r;
+  auto record = job_snapshot_record(JobStatus::queued);
+  record.suspect = true;
+  return record;
 }
 
-JobSnapshotRecord running_job_record(double ready_at) {
+JobSnapshotRecord running_job_record(double eligible_since) {
   JobSnapshotRecord::PlacedTasks placed;
   placed.node = "m-1";
   placed.agent_incarnation = 3;
   placed.attempt = 2;
   placed.decided_at = 13.5;
   placed.tasks = {range(1, 3)};
-  auto r = snapshot_record(JobStatus::running);
-  r.done = {range(0, 1)};
-  r.placed = {placed};
-  r.first_task = 100;
-  r.has_more = true;
-  r.suspect = true;
-  r.eligible_since = ready_at;
-  return r;
+  auto record = job_snapshot_record(JobStatus::running);
+  record.done = {range(0, 1)};
+  record.placed = {placed};
+  record.first_task = 100;
+  record.has_more = true;
+  record.suspect = true;
+  record.eligible_since = eligible_since;
+  return record;
 }
 
-JobsEndedRecord ended_record(JobStatus status) {
-  JobsEndedRecord r;
-  r.status = status;
-  r.uids = {"j-2", "j-3"};
-  return r;
+JobsEndedRecord jobs_ended_record(JobStatus status) {
+  JobsEndedRecord record;
+  record.status = status;
+  record.uids = {"j-2", "j-3"};
+  return record;
 }
-JobsEndedRecord ended_record_with_times() {
-  auto r = ended_record(JobStatus::done);
-  r.done_at = {{1, 11.5}};
-  return r;
+JobsEndedRecord jobs_ended_record_with_times() {
+  auto record = jobs_ended_record(JobStatus::done);
+  record.done_at = {{1, 11.5}};
+  return record;
 }
-JobsEndedRecord ended_record_with_services() {
-  auto r = ended_record(JobStatus::cancelled);
-  r.services = {0};
-  return r;
+JobsEndedRecord jobs_ended_record_with_services() {
+  auto record = jobs_ended_record(JobStatus::cancelled);
+  record.services = {0};
+  return record;
 }
 
 TeamQuota quota(double cores, double accelerators, double cores_max, double accelerators_max) {
@@ -1003,85 +1006,93 @@
   return out;
 }
 
-TeamQuotaRecord team_record() {
-  TeamQuotaRecord r;
-  r.name = "red";
-  r.agreed = quota(8, 1, 16, 4);
-  r.proposed = quota(8, 1, 12, 4.5);
-  return r;
+TeamQuotaRecord team_quota_record() {
+  TeamQuotaRecord record;
+  record.name = "red";
+  record.agreed = quota(8, 1, 16, 4);
+  record.proposed = quota(8, 1, 12, 4.5);
+  return record;
 }
-TeamQuotaRecord leaving_team_record() {
-  TeamQuotaRecord r;
-  r.name = "blue";
-  r.in_no_settings = true;
-  return r;
+TeamQuotaRecord removed_team_record() {
+  TeamQuotaRecord record;
+  record.name = "blue";
+  record.in_no_settings = true;
+  return record;
 }
 
-// A record with its text at levels 1 to 3 and at level 4.
-struct EncodedSample {
+// A record and its encoded texts: at format versions 1 to 3, and at version 4, which adds dependencies between jobs.
+struct RecordSample {
   Record record;
-  std::string before_pipelines, with_pipelines;
-  [[nodiscard]] const std::string& at(std::uint32_t format_version) const { return format_version > 3 ? with_pipelines : before_pipelines; }
+  std::string text_before_version_4, text_at_version_4;
+  [[nodiscard]] const std::string& text_at(std::uint32_t format_version) const {
+    return format_version > 3 ? text_at_version_4 : text_before_version_4;
+  }
 };
-EncodedSample sample(Record record, const std::string& before_pipelines, const std::string& with_pipelines) {
-  EncodedSample out;
+RecordSample record_sample(Record record, const std::string& text_before_version_4, const std::string& text_at_version_4) {
+  RecordSample out;
   out.record = std::move(record);
-  out.before_pipelines = before_pipelines;
-  out.with_pipelines = with_pipelines;
+  out.text_before_version_4 = text_before_version_4;
+  out.text_at_version_4 = text_at_version_4;
   return out;
 }
-EncodedSample sample(Record record, const std::string& text) {
-  return sample(std::move(record), text, text);
+RecordSample record_sample(Record record, const std::string& text) {
+  return record_sample(std::move(record), text, text);
 }
 
-const std::string kAcceptOfLeastJob = R"([{"accelerators":0.0,"bundle":"img","cores":0.5,"expectedS":0.0,"jobClass":"c","owner":"red",)"
-                                      R"("pieces":1,"pullGb":0.0,"ramGb":1.0,"rank":"idle","shape":"batch","uid":"j-1"},0.25,12.5])";
+const std::string kAcceptOfMinimalJob = R"([{"accelerators":0.0,"bundle":"img","cores":0.5,"expectedS":0.0,"jobClass":"c","owner":"red",)"
+                                        R"("pieces":1,"pullGb":0.0,"ramGb":1.0,"rank":"idle","shape":"batch","uid":"j-1"},0.25,12.5])";
 
-std::vector<EncodedSample> samples() {
+std::vector<RecordSample> record_samples() {
   return {
-      sample(accept_record(described_job()),
-             R"(["accept",[{"accelerators":1.0,"bundle":"img-07","cores":8.0,"dueS":900.0,"expectedS":240.0,"hostKinds":["g8","g16"],)"
-             R"("jobClass":"train","loaners":true,"oneZone":true,"owner":"vision","pieces":16,"pullGb":6.2,"ramGb":64.0,"rank":"high",)"
-             R"("shape":"group","snapshotEveryS":30.0,"snapshotS":4.0,"spread":true,"uid":"j-000412","waitsOn":["j-000410",)"
-             R"("j-000411"],"yard":"a"},0.25,12.5]])"),
-      sample(accept_record(least_job()), R"(["accept",)" + kAcceptOfLeastJob + "]"),
-      sample(accept_record(parse_submission(submission_with(R"("oneZone":true)"))),
-             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("owner")", R"("oneZone":true,"owner")") + "]"),
-      sample(accept_record(parse_submission(submission_with(R"("spread":true)"))),
-             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("uid")", R"("spread":true,"uid")") + "]"),
-      sample(accept_record(parse_submission(submission_with(R"("loaners":true)"))),
-             R"(["accept",)" + replaced(kAcceptOfLeastJob, R"("owner")", R"("loaners":true,"owner")") + "]"),
-      sample(start_record(), R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])"),
-      sample(done_record(0), R"(["done","j-1",[0,1,3,9]])"),
-      sample(done_record(14.5), R"(["done","j-1",[0,1,3,9]])", R"(["done","j-1",[0,1,3,9],{"at":14.5}])"),
-      sample(off_record(0), R"(["off","j-1",5,[1,2]])"),
-      sample(off_record(14.5), R"(["off","j-1",5,[1,2],14.5])"),
-      sample(cancel_record(), R"(["cancel","j-1"])"),
-      sample(flavors_record(),
-             R"(["flavors",[{"accelerators":2.0,"bootS":30.0,"cacheGb":50.0,"cores":8.0,"fetchGbPerS":1.5,"marketPrice":0.5,)"
-             R"("price":3.0,"ramGb":32.0,"sku":"big","yards":["x","y"]},)"
-             R"({"accelerators":0.0,"bootS":0.0,"cacheGb":0.0,"cores":0.5,"fetchGbPerS":0.0,"marketPrice":0.0,"price":0.0,"ramGb":2.0,)"
-             R"("sku":"small","yards":[]}]])"),
-      sample(snapshot_record(JobStatus::queued), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,false])"),
-      sample(snapshot_record(JobStatus::done), R"(["job",)" + kAcceptOfLeastJob + R"(,"done",2,[],[],0,false,false])"),
-      sample(snapshot_record(JobStatus::cancelled), R"(["job",)" + kAcceptOfLeastJob + R"(,"aborted",2,[],[],0,false,false])"),
-      sample(split_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,true,false])"),
-      sample(suspect_job_record(), R"(["job",)" + kAcceptOfLeastJob + R"(,"queued",2,[],[],0,false,true])"),
-      sample(running_job_record(0), R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])"),
-      sample(running_job_record(14.5), R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])",
-             R"(["job",)" + kAcceptOfLeastJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true,{"ready":14.5}])"),
-      sample(ended_record(JobStatus::done), R"(["ended","done",["j-2","j-3"]])"),
-      sample(ended_record_with_times(), R"(["ended","done",["j-2","j-3"]])", R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]]}])"),
-      sample(ended_record_with_services(), R"(["ended","aborted",["j-2","j-3"]])", R"(["ended","aborted",["j-2","j-3"],{"services":[0]}])"),
-      sample(team_record(), R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],false])"),
-      sample(leaving_team_record(), R"(["team","blue",null,null,true])"),
+      record_sample(
+          job_accepted_record(full_job()),
+          R"(["accept",[{"accelerators":1.0,"bundle":"img-07","cores":8.0,"dueS":900.0,"expectedS":240.0,"hostKinds":["g8","g16"],)"
+          R"("jobClass":"train","loaners":true,"oneZone":true,"owner":"vision","pieces":16,"pullGb":6.2,"ramGb":64.0,"rank":"high",)"
+          R"("shape":"group","snapshotEveryS":30.0,"snapshotS":4.0,"spread":true,"uid":"j-000412","waitsOn":["j-000410",)"
+          R"("j-000411"],"yard":"a"},0.25,12.5]])"),
+      record_sample(job_accepted_record(minimal_job()), R"(["accept",)" + kAcceptOfMinimalJob + "]"),
+      record_sample(job_accepted_record(parse_submission(submission_with(R"("oneZone":true)"))),
+                    R"(["accept",)" + replaced(kAcceptOfMinimalJob, R"("owner")", R"("oneZone":true,"owner")") + "]"),
+      record_sample(job_accepted_record(parse_submission(submission_with(R"("spread":true)"))),
+                    R"(["accept",)" + replaced(kAcceptOfMinimalJob, R"("uid")", R"("spread":true,"uid")") + "]"),
+      record_sample(job_accepted_record(parse_submission(submission_with(R"("loaners":true)"))),
+                    R"(["accept",)" + replaced(kAcceptOfMinimalJob, R"("owner")", R"("loaners":true,"owner")") + "]"),
+      record_sample(tasks_started_record(), R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])"),
+      record_sample(tasks_completed_record(0), R"(["done","j-1",[0,1,3,9]])"),
+      record_sample(tasks_completed_record(14.5), R"(["done","j-1",[0,1,3,9]])", R"(["done","j-1",[0,1,3,9],{"at":14.5}])"),
+      record_sample(tasks_removed_record(0), R"(["off","j-1",5,[1,2]])"),
+      record_sample(tasks_removed_record(14.5), R"(["off","j-1",5,[1,2],14.5])"),
+      record_sample(job_cancelled_record(), R"(["cancel","j-1"])"),
+      record_sample(
+          machine_types_record(),
+          R"(["flavors",[{"accelerators":2.0,"bootS":30.0,"cacheGb":50.0,"cores":8.0,"fetchGbPerS":1.5,"marketPrice":0.5,)"
+          R"("price":3.0,"ramGb":32.0,"sku":"big","yards":["x","y"]},)"
+          R"({"accelerators":0.0,"bootS":0.0,"cacheGb":0.0,"cores":0.5,"fetchGbPerS":0.0,"marketPrice":0.0,"price":0.0,"ramGb":2.0,)"
+          R"("sku":"small","yards":[]}]])"),
+      record_sample(job_snapshot_record(JobStatus::queued), R"(["job",)" + kAcceptOfMinimalJob + R"(,"queued",2,[],[],0,false,false])"),
+      record_sample(job_snapshot_record(JobStatus::done), R"(["job",)" + kAcceptOfMinimalJob + R"(,"done",2,[],[],0,false,false])"),
+      record_sample(job_snapshot_record(JobStatus::cancelled), R"(["job",)" + kAcceptOfMinimalJob + R"(,"aborted",2,[],[],0,false,false])"),
+      record_sample(split_job_record(), R"(["job",)" + kAcceptOfMinimalJob + R"(,"queued",2,[],[],0,true,false])"),
+      record_sample(suspect_job_record(), R"(["job",)" + kAcceptOfMinimalJob + R"(,"queued",2,[],[],0,false,true])"),
+      record_sample(running_job_record(0),
+                    R"(["job",)" + kAcceptOfMinimalJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])"),
+      record_sample(running_job_record(14.5),
+                    R"(["job",)" + kAcceptOfMinimalJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true])",
+                    R"(["job",)" + kAcceptOfMinimalJob + R"(,"running",2,[0,1],[["m-1",3,2,13.5,[1,3]]],100,true,true,{"ready":14.5}])"),
+      record_sample(jobs_ended_record(JobStatus::done), R"(["ended","done",["j-2","j-3"]])"),
+      record_sample(jobs_ended_record_with_times(), R"(["ended","done",["j-2","j-3"]])",
+                    R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]]}])"),
+      record_sample(jobs_ended_record_with_services(), R"(["ended","aborted",["j-2","j-3"]])",
+                    R"(["ended","aborted",["j-2","j-3"],{"services":[0]}])"),
+      record_sample(team_quota_record(), R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],false])"),
+      record_sample(removed_team_record(), R"(["team","blue",null,null,true])"),
   };
 }
 
-const std::string kEntryOfLevelFour = R"({"level":4,"generation":3,"check":"2fefa7fe74797301","before":"0123456789abcdef",)"
-                                      R"("n":31,"first":24,"seq":7,"records":[["cancel","j-1"]]})";
+const std::string kEntryAtVersion4 = R"({"level":4,"generation":3,"check":"2fefa7fe74797301","before":"0123456789abcdef",)"
+                                     R"("n":31,"first":24,"seq":7,"records":[["cancel","j-1"]]})";
 
-EntryHead head_at(std::uint32_t format_version) {
+EntryHead entry_head_at(std::uint32_t format_version) {
   EntryHead head;
   head.format_version = format_version;
   head.generation = 3;
@@ -1103,80 +1114,82 @@
   }
   return entry_value(head, text, digest);
 }
-std::string entry_of_samples(std::uint32_t format_version) {
+std::string entry_of_record_samples(std::uint32_t format_version) {
   std::vector<Record> records;
-  for (const auto& s : samples()) records.push_back(s.record);
-  return entry_of(records, head_at(format_version));
+  for (const auto& sample : record_samples()) records.push_back(sample.record);
+  return entry_of(records, entry_head_at(format_version));
 }
 
-// The pinned texts of all samples, behind a pinned head.
-std::string pinned_entry(const std::string& head, std::uint32_t format_version) {
+// The expected entry: `head` and the texts of all record samples.
+std::string expected_entry(const std::string& head, std::uint32_t format_version) {
   std::string out = head;
   const char* separator = "";
-  for (const auto& s : samples()) {
-    out += separator + s.at(format_version);
+  for (const auto& sample : record_samples()) {
+    out += separator + sample.text_at(format_version);
     separator = ",";
   }
   return out + "]}";
 }
 
-// A record read back from an entry of level 4 that holds it alone.
+// Encodes a record in an entry of format version 4 and parses it again.
 template <class RecordType>
-RecordType read_back(const Record& record) {
-  return std::get<RecordType>(parse_entry(entry_of({record}, head_at(4))).records.at(0));
+RecordType encode_and_parse(const Record& record) {
+  return std::get<RecordType>(parse_entry(entry_of({record}, entry_head_at(4))).records.at(0));
 }
-// A record read from its text in an entry of level 1.
+// Parses a record from its text in an entry of format version 1.
 template <class RecordType>
-RecordType read_text(const std::string& text) {
+RecordType parse_record_text(const std::string& text) {
   return std::get<RecordType>(parse_entry(R"({"seq":1,"records":[)" + text + "]}").records.at(0));
 }
 
-TEST(WireFormatLedger, EachRecordAtLevelOne) {
-  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 1).text, s.before_pipelines);
+TEST(WireFormatLedger, EncodesEachRecordAtVersionOne) {
+  for (const auto& sample : record_samples()) EXPECT_EQ(encode_record(sample.record, 1).text, sample.text_before_version_4);
 }
-TEST(WireFormatLedger, EachRecordAtLevelTwo) {
-  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 2).text, s.before_pipelines);
+TEST(WireFormatLedger, EncodesEachRecordAtVersionTwo) {
+  for (const auto& sample : record_samples()) EXPECT_EQ(encode_record(sample.record, 2).text, sample.text_before_version_4);
 }
-TEST(WireFormatLedger, EachRecordAtLevelThree) {
-  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 3).text, s.before_pipelines);
+TEST(WireFormatLedger, EncodesEachRecordAtVersionThree) {
+  for (const auto& sample : record_samples()) EXPECT_EQ(encode_record(sample.record, 3).text, sample.text_before_version_4);
 }
-TEST(WireFormatLedger, EachRecordAtLevelFour) {
-  for (const auto& s : samples()) EXPECT_EQ(encode_record(s.record, 4).text, s.with_pipelines);
+TEST(WireFormatLedger, EncodesEachRecordAtVersionFour) {
+  for (const auto& sample : record_samples()) EXPECT_EQ(encode_record(sample.record, 4).text, sample.text_at_version_4);
 }
 
-TEST(WireFormatLedger, RecordsHaveDigestsFromLevelTwoOn) {
-  EXPECT_EQ(encode_record(done_record(14.5), 1).digest, 0u);
-  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 2).digest), "eeab5885f4e16aef");
-  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 3).digest), "eeab5885f4e16aef");
-  EXPECT_EQ(digest_text(encode_record(done_record(14.5), 4).digest), "17fd7d2d95b432ce");
+TEST(WireFormatLedger, ComputesDigestsOfRecordsFromVersionTwoOn) {
+  EXPECT_EQ(encode_record(tasks_completed_record(14.5), 1).digest, 0u);
+  EXPECT_EQ(digest_text(encode_record(tasks_completed_record(14.5), 2).digest), "eeab5885f4e16aef");
+  EXPECT_EQ(digest_text(encode_record(tasks_completed_record(14.5), 3).digest), "eeab5885f4e16aef");
+  EXPECT_EQ(digest_text(encode_record(tasks_completed_record(14.5), 4).digest), "17fd7d2d95b432ce");
 }
 
-TEST(WireFormatLedger, DigestsAreSixteenHexadecimalDigits) {
+TEST(WireFormatLedger, FormatsDigestsAsSixteenHexadecimalDigits) {
   EXPECT_EQ(digest_text(0xab), "00000000000000ab");
   EXPECT_EQ(parse_digest("00000000000000ab"), 0xabu);
   EXPECT_EQ(digest_text(digest_of_text("123456789")), "3d1b615099f6cbca");
   EXPECT_EQ(digest_text(extend_digest(1, 2)), "2e596ff41153b982");
   EXPECT_EQ(digest_text(link_of(1, 2, 3)), "238415fc0e0f68af");
-  EXPECT_EQ(error_of([] { parse_digest("ab"); }), "not a digest: ab");
+  EXPECT_EQ(error_message_of([] { parse_digest("ab"); }), "not a digest: ab");
 }
 
-TEST(WireFormatLedger, AnEntryOfLevelOne) {
-  EXPECT_EQ(entry_of({cancel_record()}, head_at(1)), R"({"seq":7,"records":[["cancel","j-1"]]})");
+TEST(WireFormatLedger, EncodesAnEntryAtVersionOne) {
+  EXPECT_EQ(entry_of({job_cancelled_record()}, entry_head_at(1)), R"({"seq":7,"records":[["cancel","j-1"]]})");
 }
-TEST(WireFormatLedger, AnEntryOfLevelTwo) {
-  EXPECT_EQ(entry_of({cancel_record()}, head_at(2)), R"({"level":2,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
-                                                     R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
+TEST(WireFormatLedger, EncodesAnEntryAtVersionTwo) {
+  EXPECT_EQ(entry_of({job_cancelled_record()}, entry_head_at(2)),
+            R"({"level":2,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
+            R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
 }
-TEST(WireFormatLedger, AnEntryOfLevelThree) {
-  EXPECT_EQ(entry_of({cancel_record()}, head_at(3)), R"({"level":3,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
-                                                     R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
+TEST(WireFormatLedger, EncodesAnEntryAtVersionThree) {
+  EXPECT_EQ(entry_of({job_cancelled_record()}, entry_head_at(3)),
+            R"({"level":3,"generation":3,"check":"b29c1306499945fe","before":"0123456789abcdef",)"
+            R"("first":24,"seq":7,"records":[["cancel","j-1"]]})");
 }
-TEST(WireFormatLedger, AnEntryOfLevelFour) {
-  EXPECT_EQ(entry_of({cancel_record()}, head_at(4)), kEntryOfLevelFour);
+TEST(WireFormatLedger, EncodesAnEntryAtVersionFour) {
+  EXPECT_EQ(entry_of({job_cancelled_record()}, entry_head_at(4)), kEntryAtVersion4);
 }
 
-TEST(WireFormatLedger, TheFirstNeededEntryIsAlwaysToldAtLevelFourAndBelowWhereThereIsOne) {
-  auto head = head_at(2);
+TEST(WireFormatLedger, OmitsFirstNeededEntryOnlyIfZeroAndBelowVersionFour) {
+  auto head = entry_head_at(2);
   head.first_needed = 0;
   EXPECT_EQ(entry_of({}, head),
             R"({"level":2,"generation":3,"check":"97f253d3b4f680fe","before":"0123456789abcdef","seq":7,"records":[]})");
@@ -1185,37 +1198,37 @@
                                 R"("n":31,"first":0,"seq":7,"records":[]})");
 }
 
-// All kinds of records behind each level's head, in both directions.
-void expect_entry_of_samples(std::uint32_t format_version, const std::string& head_text) {
-  const auto value = pinned_entry(head_text, format_version);
-  EXPECT_EQ(entry_of_samples(format_version), value);
+// Encodes and parses an entry with all record samples.
+void expect_entry_of_record_samples(std::uint32_t format_version, const std::string& head_text) {
+  const auto value = expected_entry(head_text, format_version);
+  EXPECT_EQ(entry_of_record_samples(format_version), value);
   const auto entry = parse_entry(value);
   EXPECT_EQ(entry.format_version, format_version);
   EXPECT_EQ(entry.seq, 7u);
-  const auto expected = samples();
+  const auto expected = record_samples();
   ASSERT_EQ(entry.records.size(), expected.size());
   for (std::size_t i = 0; i < expected.size(); ++i)
-    EXPECT_EQ(encode_record(entry.records[i], format_version).text, expected[i].at(format_version));
+    EXPECT_EQ(encode_record(entry.records[i], format_version).text, expected[i].text_at(format_version));
 }
 
-TEST(WireFormatLedger, EntriesOfLevelOneComeBack) {
-  expect_entry_of_samples(1, R"({"seq":7,"records":[)");
+TEST(WireFormatLedger, EncodesAndParsesAllRecordsAtVersionOne) {
+  expect_entry_of_record_samples(1, R"({"seq":7,"records":[)");
 }
-TEST(WireFormatLedger, EntriesOfLevelTwoComeBack) {
-  expect_entry_of_samples(
+TEST(WireFormatLedger, EncodesAndParsesAllRecordsAtVersionTwo) {
+  expect_entry_of_record_samples(
       2, R"({"level":2,"generation":3,"check":"c7e153d2b5d931fe","before":"0123456789abcdef","first":24,"seq":7,"records":[)");
 }
-TEST(WireFormatLedger, EntriesOfLevelThreeComeBack) {
-  expect_entry_of_samples(
+TEST(WireFormatLedger, EncodesAndParsesAllRecordsAtVersionThree) {
+  expect_entry_of_record_samples(
       3, R"({"level":3,"generation":3,"check":"c7e153d2b5d931fe","before":"0123456789abcdef","first":24,"seq":7,"records":[)");
 }
-TEST(WireFormatLedger, EntriesOfLevelFourComeBack) {
-  expect_entry_of_samples(
+TEST(WireFormatLedger, EncodesAndParsesAllRecordsAtVersionFour) {
+  expect_entry_of_record_samples(
       4, R"({"level":4,"generation":3,"check":"6f9c2c9e7a4d2736","before":"0123456789abcdef","n":31,"first":24,"seq":7,"records":[)");
 }
 
-TEST(WireFormatLedger, TheHeadOfAnEntryIsReadFieldByField) {
-  const auto entry = parse_entry(kEntryOfLevelFour);
+TEST(WireFormatLedger, ParsesEachFieldOfAnEntryHead) {
+  const auto entry = parse_entry(kEntryAtVersion4);
   EXPECT_EQ(entry.format_version, 4u);
   EXPECT_EQ(entry.generation, 3u);
   EXPECT_EQ(entry.seq, 7u);
@@ -1227,7 +1240,7 @@
   EXPECT_EQ(std::get<JobCancelledRecord>(entry.records[0]).uid, "j-1");
 }
 
-TEST(WireFormatLedger, TheHeadOfAnEntryOfLevelOneHasNothingButItsNumberOfCommit) {
+TEST(WireFormatLedger, EntryHeadAtVersionOneHasOnlyASequenceNumber) {
   const auto entry = parse_entry(R"({"seq":7,"records":[]})");
   EXPECT_EQ(entry.format_version, 1u);
   EXPECT_EQ(entry.generation, 0u);
@@ -1238,134 +1251,134 @@
   EXPECT_EQ(entry.checksum, 0u);
 }
 
-TEST(WireFormatLedger, AcceptRecordsAreReadFieldByField) {
-  const auto r = read_back<JobAcceptedRecord>(accept_record(described_job()));
-  EXPECT_EQ(r.random_draw, 0.25);
-  EXPECT_EQ(r.accepted_at, 12.5);
-  EXPECT_EQ(r.job.uid, "j-000412");
-  EXPECT_EQ(r.job.job_class, "train");
-  EXPECT_EQ(r.job.owner, "vision");
-  EXPECT_EQ(r.job.job_type, JobType::gang);
-  EXPECT_EQ(r.job.priority, Priority::high);
-  EXPECT_EQ(r.job.task_count, 16u);
-  EXPECT_EQ(r.job.demand, resources(8, 1, 64));
-  EXPECT_EQ(r.job.image, "img-07");
-  EXPECT_EQ(r.job.image_gb, 6.2);
-  EXPECT_EQ(r.job.machine_types, (std::vector<std::string>{"g8", "g16"}));
-  EXPECT_EQ(r.job.zone, "a");
-  EXPECT_TRUE(r.job.single_zone);
-  EXPECT_TRUE(r.job.spread);
-  EXPECT_TRUE(r.job.allows_spot);
-  EXPECT_EQ(r.job.estimated_run_s, 240);
-  EXPECT_EQ(r.job.checkpoint_interval_s, 30);
-  EXPECT_EQ(r.job.checkpoint_duration_s, 4);
-  EXPECT_EQ(r.job.deadline_s, 900);
-  EXPECT_EQ(r.job.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
-}
-
-TEST(WireFormatLedger, StartRecordsAreReadFieldByField) {
-  const auto r = read_text<TasksStartedRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
-  EXPECT_EQ(r.uid, "j-1");
-  EXPECT_EQ(r.attempt, 5u);
-  EXPECT_EQ(r.decided_at, 13);
-  ASSERT_EQ(r.assignments.size(), 2u);
-  EXPECT_EQ(r.assignments[0].node, "m-1");
-  EXPECT_EQ(r.assignments[0].agent_incarnation, 3u);
-  EXPECT_EQ(r.assignments[0].tasks, (TaskRanges{range(0, 4), range(6, 7)}));
-  EXPECT_EQ(r.assignments[1].node, "m-2");
-}
-
-TEST(WireFormatLedger, DoneRecordsAreReadFieldByField) {
-  const auto r = read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
-  EXPECT_EQ(r.uid, "j-1");
-  EXPECT_EQ(r.tasks, (TaskRanges{range(0, 1), range(3, 9)}));
-  EXPECT_EQ(r.completed_at, 14.5);
-  EXPECT_EQ(read_text<TasksCompletedRecord>(R"(["done","j-1",[0,1]])").completed_at, 0);
-}
-
-TEST(WireFormatLedger, OffRecordsAreReadFieldByField) {
-  const auto r = read_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2],14.5])");
-  EXPECT_EQ(r.uid, "j-1");
-  EXPECT_EQ(r.attempt, 5u);
-  EXPECT_EQ(r.tasks, (TaskRanges{range(1, 2)}));
-  EXPECT_EQ(r.failed_at, 14.5);
-  EXPECT_EQ(read_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2]])").failed_at, 0);
-}
-
-TEST(WireFormatLedger, CancelRecordsAreReadFieldByField) {
-  EXPECT_EQ(read_text<JobCancelledRecord>(R"(["cancel","j-1"])").uid, "j-1");
-}
-
-TEST(WireFormatLedger, FlavorsRecordsAreReadFieldByField) {
-  const auto r = read_back<MachineTypesRecord>(flavors_record());
-  ASSERT_EQ(r.machine_types.size(), 2u);
-  EXPECT_EQ(r.machine_types[0].name, "big");
-  EXPECT_EQ(r.machine_types[0].capacity, resources(8, 2, 32));
-  EXPECT_EQ(r.machine_types[0].image_cache_gb, 50);
-  EXPECT_EQ(r.machine_types[0].image_fetch_gb_per_s, 1.5);
-  EXPECT_EQ(r.machine_types[0].price, 3);
-  EXPECT_EQ(r.machine_types[0].spot_price, 0.5);
-  EXPECT_EQ(r.machine_types[0].boot_s, 30);
-  EXPECT_EQ(r.machine_types[0].zones, (std::vector<std::string>{"x", "y"}));
-  EXPECT_EQ(r.machine_types[1].name, "small");
-}
-
-TEST(WireFormatLedger, JobRecordsAreReadFieldByField) {
-  const auto r = read_back<JobSnapshotRecord>(running_job_record(14.5));
-  EXPECT_EQ(r.accepted.job.uid, "j-1");
-  EXPECT_EQ(r.accepted.random_draw, 0.25);
-  EXPECT_EQ(r.accepted.accepted_at, 12.5);
-  EXPECT_EQ(r.status, JobStatus::running);
-  EXPECT_EQ(r.attempts, 2u);
-  EXPECT_EQ(r.done, (TaskRanges{range(0, 1)}));
-  ASSERT_EQ(r.placed.size(), 1u);
-  EXPECT_EQ(r.placed[0].node, "m-1");
-  EXPECT_EQ(r.placed[0].agent_incarnation, 3u);
-  EXPECT_EQ(r.placed[0].attempt, 2u);
-  EXPECT_EQ(r.placed[0].decided_at, 13.5);
-  EXPECT_EQ(r.placed[0].tasks, (TaskRanges{range(1, 3)}));
-  EXPECT_EQ(r.first_task, 100u);
-  EXPECT_TRUE(r.has_more);
-  EXPECT_TRUE(r.suspect);
-  EXPECT_EQ(r.eligible_since, 14.5);
-}
-
-TEST(WireFormatLedger, FlagsOfJobRecordsAreReadByThemselves) {
-  EXPECT_TRUE(read_back<JobSnapshotRecord>(split_job_record()).has_more);
-  EXPECT_FALSE(read_back<JobSnapshotRecord>(split_job_record()).suspect);
-  EXPECT_FALSE(read_back<JobSnapshotRecord>(suspect_job_record()).has_more);
-  EXPECT_TRUE(read_back<JobSnapshotRecord>(suspect_job_record()).suspect);
-}
-
-TEST(WireFormatLedger, EndedRecordsAreReadFieldByField) {
-  const auto done = read_text<JobsEndedRecord>(R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]],"services":[0]}])");
+TEST(WireFormatLedger, ParsesEachFieldOfAJobAcceptedRecord) {
+  const auto record = encode_and_parse<JobAcceptedRecord>(job_accepted_record(full_job()));
+  EXPECT_EQ(record.random_draw, 0.25);
+  EXPECT_EQ(record.accepted_at, 12.5);
+  EXPECT_EQ(record.job.uid, "j-000412");
+  EXPECT_EQ(record.job.job_class, "train");
+  EXPECT_EQ(record.job.owner, "vision");
+  EXPECT_EQ(record.job.job_type, JobType::gang);
+  EXPECT_EQ(record.job.priority, Priority::high);
+  EXPECT_EQ(record.job.task_count, 16u);
+  EXPECT_EQ(record.job.demand, resources(8, 1, 64));
+  EXPECT_EQ(record.job.image, "img-07");
+  EXPECT_EQ(record.job.image_gb, 6.2);
+  EXPECT_EQ(record.job.machine_types, (std::vector<std::string>{"g8", "g16"}));
+  EXPECT_EQ(record.job.zone, "a");
+  EXPECT_TRUE(record.job.single_zone);
+  EXPECT_TRUE(record.job.spread);
+  EXPECT_TRUE(record.job.allows_spot);
+  EXPECT_EQ(record.job.estimated_run_s, 240);
+  EXPECT_EQ(record.job.checkpoint_interval_s, 30);
+  EXPECT_EQ(record.job.checkpoint_duration_s, 4);
+  EXPECT_EQ(record.job.deadline_s, 900);
+  EXPECT_EQ(record.job.depends_on, (std::vector<std::string>{"j-000410", "j-000411"}));
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfATasksStartedRecord) {
+  const auto record = parse_record_text<TasksStartedRecord>(R"(["start","j-1",5,13.0,[["m-1",3,[0,4,6,7]],["m-2",1,[4,6]]]])");
+  EXPECT_EQ(record.uid, "j-1");
+  EXPECT_EQ(record.attempt, 5u);
+  EXPECT_EQ(record.decided_at, 13);
+  ASSERT_EQ(record.assignments.size(), 2u);
+  EXPECT_EQ(record.assignments[0].node, "m-1");
+  EXPECT_EQ(record.assignments[0].agent_incarnation, 3u);
+  EXPECT_EQ(record.assignments[0].tasks, (TaskRanges{range(0, 4), range(6, 7)}));
+  EXPECT_EQ(record.assignments[1].node, "m-2");
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfATasksCompletedRecord) {
+  const auto record = parse_record_text<TasksCompletedRecord>(R"(["done","j-1",[0,1,3,9],{"at":14.5}])");
+  EXPECT_EQ(record.uid, "j-1");
+  EXPECT_EQ(record.tasks, (TaskRanges{range(0, 1), range(3, 9)}));
+  EXPECT_EQ(record.completed_at, 14.5);
+  EXPECT_EQ(parse_record_text<TasksCompletedRecord>(R"(["done","j-1",[0,1]])").completed_at, 0);
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfATasksRemovedRecord) {
+  const auto record = parse_record_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2],14.5])");
+  EXPECT_EQ(record.uid, "j-1");
+  EXPECT_EQ(record.attempt, 5u);
+  EXPECT_EQ(record.tasks, (TaskRanges{range(1, 2)}));
+  EXPECT_EQ(record.failed_at, 14.5);
+  EXPECT_EQ(parse_record_text<TasksRemovedRecord>(R"(["off","j-1",5,[1,2]])").failed_at, 0);
+}
+
+TEST(WireFormatLedger, ParsesUidOfAJobCancelledRecord) {
+  EXPECT_EQ(parse_record_text<JobCancelledRecord>(R"(["cancel","j-1"])").uid, "j-1");
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfAMachineTypesRecord) {
+  const auto record = encode_and_parse<MachineTypesRecord>(machine_types_record());
+  ASSERT_EQ(record.machine_types.size(), 2u);
+  EXPECT_EQ(record.machine_types[0].name, "big");
+  EXPECT_EQ(record.machine_types[0].capacity, resources(8, 2, 32));
+  EXPECT_EQ(record.machine_types[0].image_cache_gb, 50);
+  EXPECT_EQ(record.machine_types[0].image_fetch_gb_per_s, 1.5);
+  EXPECT_EQ(record.machine_types[0].price, 3);
+  EXPECT_EQ(record.machine_types[0].spot_price, 0.5);
+  EXPECT_EQ(record.machine_types[0].boot_s, 30);
+  EXPECT_EQ(record.machine_types[0].zones, (std::vector<std::string>{"x", "y"}));
+  EXPECT_EQ(record.machine_types[1].name, "small");
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfAJobSnapshotRecord) {
+  const auto record = encode_and_parse<JobSnapshotRecord>(running_job_record(14.5));
+  EXPECT_EQ(record.accepted.job.uid, "j-1");
+  EXPECT_EQ(record.accepted.random_draw, 0.25);
+  EXPECT_EQ(record.accepted.accepted_at, 12.5);
+  EXPECT_EQ(record.status, JobStatus::running);
+  EXPECT_EQ(record.attempts, 2u);
+  EXPECT_EQ(record.done, (TaskRanges{range(0, 1)}));
+  ASSERT_EQ(record.placed.size(), 1u);
+  EXPECT_EQ(record.placed[0].node, "m-1");
+  EXPECT_EQ(record.placed[0].agent_incarnation, 3u);
+  EXPECT_EQ(record.placed[0].attempt, 2u);
+  EXPECT_EQ(record.placed[0].decided_at, 13.5);
+  EXPECT_EQ(record.placed[0].tasks, (TaskRanges{range(1, 3)}));
+  EXPECT_EQ(record.first_task, 100u);
+  EXPECT_TRUE(record.has_more);
+  EXPECT_TRUE(record.suspect);
+  EXPECT_EQ(record.eligible_since, 14.5);
+}
+
+TEST(WireFormatLedger, ParsesEachFlagOfAJobSnapshotRecordIndependently) {
+  EXPECT_TRUE(encode_and_parse<JobSnapshotRecord>(split_job_record()).has_more);
+  EXPECT_FALSE(encode_and_parse<JobSnapshotRecord>(split_job_record()).suspect);
+  EXPECT_FALSE(encode_and_parse<JobSnapshotRecord>(suspect_job_record()).has_more);
+  EXPECT_TRUE(encode_and_parse<JobSnapshotRecord>(suspect_job_record()).suspect);
+}
+
+TEST(WireFormatLedger, ParsesEachFieldOfAJobsEndedRecord) {
+  const auto done = parse_record_text<JobsEndedRecord>(R"(["ended","done",["j-2","j-3"],{"at":[[1,11.5]],"services":[0]}])");
   EXPECT_EQ(done.status, JobStatus::done);
   EXPECT_EQ(done.uids, (std::vector<std::string>{"j-2", "j-3"}));
   ASSERT_EQ(done.done_at.size(), 1u);
   EXPECT_EQ(done.done_at[0].first, 1u);
   EXPECT_EQ(done.done_at[0].second, 11.5);
   EXPECT_EQ(done.services, (std::vector<std::uint32_t>{0}));
-  EXPECT_EQ(read_text<JobsEndedRecord>(R"(["ended","aborted",["j-4"]])").status, JobStatus::cancelled);
+  EXPECT_EQ(parse_record_text<JobsEndedRecord>(R"(["ended","aborted",["j-4"]])").status, JobStatus::cancelled);
 }
 
-TEST(WireFormatLedger, TeamRecordsAreReadFieldByField) {
-  const auto r = read_text<TeamQuotaRecord>(R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],true])");
-  EXPECT_EQ(r.name, "red");
-  EXPECT_EQ(r.agreed, quota(8, 1, 16, 4));
-  EXPECT_EQ(r.proposed, quota(8, 1, 12, 4.5));
-  EXPECT_TRUE(r.in_no_settings);
-  EXPECT_EQ(read_text<TeamQuotaRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
+TEST(WireFormatLedger, ParsesEachFieldOfATeamQuotaRecord) {
+  const auto record = parse_record_text<TeamQuotaRecord>(R"(["team","red",[8.0,1.0,16.0,4.0],[8.0,1.0,12.0,4.5],true])");
+  EXPECT_EQ(record.name, "red");
+  EXPECT_EQ(record.agreed, quota(8, 1, 16, 4));
+  EXPECT_EQ(record.proposed, quota(8, 1, 12, 4.5));
+  EXPECT_TRUE(record.in_no_settings);
+  EXPECT_EQ(parse_record_text<TeamQuotaRecord>(R"(["team","red",null,null,false])").agreed, std::nullopt);
 }
 
-TEST(WireFormatLedger, AnEntryThatCannotBeReadNamesTheReason) {
-  const auto error = [](const std::string& value) { return error_of([&] { parse_entry(value); }); };
+TEST(WireFormatLedger, ErrorNamesTheReasonForAMalformedEntry) {
+  const auto error = [](const std::string& value) { return error_message_of([&] { parse_entry(value); }); };
   EXPECT_EQ(error(R"({"records":[]})"), "seq: missing");
   EXPECT_EQ(error(R"({"seq":1})"), "records: missing");
   EXPECT_EQ(error(R"({"seq":1,"records":[["odd"]]})"), "record 1: ledger record: unknown kind odd");
-  EXPECT_EQ(error(replaced(kEntryOfLevelFour, R"("seq":7)", R"("seq":8)")), "its check is wrong: it was altered");
+  EXPECT_EQ(error(replaced(kEntryAtVersion4, R"("seq":7)", R"("seq":8)")), "its check is wrong: it was altered");
 }
 
-TEST(WireFormatLedger, APageOfEntriesIsReadFieldByField) {
+TEST(WireFormatLedger, ParsesEachFieldOfAPageOfEntries) {
   const auto page = parse_entries(R"({"rows":[{"path":"ledger/000000000001","value":{"seq":7,"records":[["cancel","j-1"]]},"stamp":430},)"
                                   R"({"path":"ledger/000000000002","value":{"seq":8},"stamp":431}],"truncated":true,"ledgerRev":433})");
   EXPECT_TRUE(page.truncated);
@@ -1382,20 +1395,19 @@
 
 // ---- controllers
 
-TEST(WireFormatControllers, Targets) {
+TEST(WireFormatControllers, TargetsOfCallsAreUnchanged) {
   EXPECT_STREQ(kRelaySupportTarget, "/intake");
   EXPECT_STREQ(kSupportedVersionsTarget, "/levels");
   EXPECT_STREQ(kTeamQuotasTarget, "/teams");
 }
 
-// What a frame looks like on a connection: length, version and kind, then the payload.
 TEST(WireFormatControllers, FramesBeginWithLengthVersionAndKind) {
   EXPECT_EQ(kFrameVersion, 2);
   EXPECT_EQ(kMaxFrame, 524288u);
-  int ends[2] = {};
-  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, ends), 0);
-  Stream writer{Socket(ends[0])};
-  Stream reader{Socket(ends[1])};
+  int sockets[2] = {};
+  ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, sockets), 0);
+  Stream writer{Socket(sockets[0])};
+  Stream reader{Socket(sockets[1])};
   Frame frame;
   frame.kind = 3;
   frame.payload = "abc";
@@ -1403,9 +1415,9 @@
   ASSERT_TRUE(write_frame(writer, frame, ec));
   std::array<char, 9> bytes{};
   ASSERT_TRUE(reader.read_exact(bytes.data(), bytes.size(), ec));
-  const std::string pinned = "050000000203616263";
-  EXPECT_EQ(hex_of(std::string_view(bytes.data(), bytes.size())), pinned);
-  const auto sent = bytes_of(pinned);
+  const std::string expected_bytes = "050000000203616263";
+  EXPECT_EQ(hex_of(std::string_view(bytes.data(), bytes.size())), expected_bytes);
+  const auto sent = bytes_of(expected_bytes);
   ASSERT_TRUE(writer.write_all(sent.data(), sent.size(), ec));
   Frame read;
   ASSERT_TRUE(read_frame(reader, read, ec));
@@ -1413,9 +1425,10 @@
   EXPECT_EQ(read.payload, "abc");
 }
 
-constexpr std::string_view kBeatBytes = "01 0900000000000000070000000000000006000000686f73742d310500000000000000d20400000000000006000000";
+constexpr std::string_view kPeerHeartbeatBytes =
+    "01 0900000000000000070000000000000006000000686f73742d310500000000000000d20400000000000006000000";
 
-TEST(WireFormatControllers, BeatIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksPeerHeartbeat) {
   PeerHeartbeat peer_heartbeat;
   peer_heartbeat.label = "host-1";
   peer_heartbeat.fencing_token = 9;
@@ -1423,8 +1436,8 @@
   peer_heartbeat.echoed_process = 5;
   peer_heartbeat.echoed_clock_ms = 1234;
   peer_heartbeat.oldest_cancellation_age_ms = 6;
-  EXPECT_EQ(hex_of(pack(peer_heartbeat)), kBeatBytes);
-  const auto read = unpack_peer_heartbeat(frame_of(kBeatBytes));
+  EXPECT_EQ(hex_of(pack(peer_heartbeat)), kPeerHeartbeatBytes);
+  const auto read = unpack_peer_heartbeat(frame_of(kPeerHeartbeatBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->label, "host-1");
   EXPECT_EQ(read->fencing_token, 9u);
@@ -1434,17 +1447,17 @@
   EXPECT_EQ(read->oldest_cancellation_age_ms, 6u);
 }
 
-constexpr std::string_view kBeatAckBytes = "02 090000000000000006000000686f73742d310500000000000000d20400000000000006000000";
+constexpr std::string_view kPeerHeartbeatAckBytes = "02 090000000000000006000000686f73742d310500000000000000d20400000000000006000000";
 
-TEST(WireFormatControllers, AnswerToABeatIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksPeerHeartbeatAck) {
   PeerHeartbeatAck ack;
   ack.fencing_token = 9;
   ack.leader = "host-1";
   ack.process = 5;
   ack.clock_ms = 1234;
   ack.last_renewal_age_ms = 6;
-  EXPECT_EQ(hex_of(pack(ack)), kBeatAckBytes);
-  const auto read = unpack_peer_heartbeat_ack(frame_of(kBeatAckBytes));
+  EXPECT_EQ(hex_of(pack(ack)), kPeerHeartbeatAckBytes);
+  const auto read = unpack_peer_heartbeat_ack(frame_of(kPeerHeartbeatAckBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->fencing_token, 9u);
   EXPECT_EQ(read->leader, "host-1");
@@ -1455,7 +1468,7 @@
 
 constexpr std::string_view kCallBytes = "03 04000000504f5354080000002f76312f6a6f6273020000007b7d";
 
-TEST(WireFormatControllers, ForwardedRequestIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksForwardedRequest) {
   PeerCall call;
   call.method = "POST";
   call.target = "/v1/jobs";
@@ -1469,10 +1482,10 @@
 }
 
 constexpr std::string_view kReplyBytes = "04 f7010200c4090000020000007b7d";
-constexpr std::string_view kLastingReplyBytes = "04 c8000000ffffffff020000007b7d";
+constexpr std::string_view kUnlimitedReplyBytes = "04 c8000000ffffffff020000007b7d";
 constexpr std::string_view kExpiredReplyBytes = "04 f701020000000000020000007b7d";
 
-TEST(WireFormatControllers, ReplyCarriesTheMillisecondsThatItStaysValid) {
+TEST(WireFormatControllers, PacksAndUnpacksReplyWithRemainingValidity) {
   HttpReply reply;
   reply.status = 503;
   reply.body = "{}";
@@ -1488,30 +1501,30 @@
   EXPECT_EQ(read->valid_until, 12.5);
 }
 
-TEST(WireFormatControllers, ReplyWithoutAnEndOfValidity) {
+TEST(WireFormatControllers, PacksAndUnpacksReplyWithUnlimitedValidity) {
   HttpReply reply;
   reply.body = "{}";
-  EXPECT_EQ(hex_of(pack(reply, 100)), kLastingReplyBytes);
-  const auto read = unpack_reply(frame_of(kLastingReplyBytes), 10);
+  EXPECT_EQ(hex_of(pack(reply, 100)), kUnlimitedReplyBytes);
+  const auto read = unpack_reply(frame_of(kUnlimitedReplyBytes), 10);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->status, 200u);
   EXPECT_EQ(read->retry_after_s, 0);
   EXPECT_EQ(read->valid_until, std::numeric_limits<double>::infinity());
 }
 
-TaskReport reported_piece(const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason, bool kept) {
+TaskReport task_report_of(const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason, bool checkpointed) {
   TaskReport task_report;
-  task_report.id = piece_id(uid, task);
+  task_report.id = task_id(uid, task);
   task_report.attempt = 2;
   task_report.phase = phase;
   task_report.exit_reason = exit_reason;
-  task_report.checkpointed = kept;
+  task_report.checkpointed = checkpointed;
   return task_report;
 }
 
 AttemptKey attempt_key(const std::string& uid, std::uint32_t task, std::uint64_t attempt) {
   AttemptKey key;
-  key.id = piece_id(uid, task);
+  key.id = task_id(uid, task);
   key.attempt = attempt;
   return key;
 }
@@ -1526,22 +1539,22 @@
   return delta;
 }
 
-HeartbeatDelta whole_delta() {
-  auto delta = delta_of(HeartbeatDelta::Kind::whole);
+HeartbeatDelta full_delta() {
+  auto delta = delta_of(HeartbeatDelta::Kind::full);
   delta.interruption_in_s = 61.5;
   delta.address = "10.1.0.2:9000";
   delta.machine_type = "g8";
   delta.zone = "a";
   delta.spot = true;
-  delta.tasks = {reported_piece("j-1", 3, TaskPhase::running, ExitReason::none, false),
-                 reported_piece("j-2", 0, TaskPhase::exited, ExitReason::stopped, true)};
+  delta.tasks = {task_report_of("j-1", 3, TaskPhase::running, ExitReason::none, false),
+                 task_report_of("j-2", 0, TaskPhase::exited, ExitReason::stopped, true)};
   return delta;
 }
 HeartbeatDelta difference_delta() {
   auto delta = delta_of(HeartbeatDelta::Kind::difference);
   delta.base_serial = 87;
   delta.spot = true;
-  delta.tasks = {reported_piece("j-1", 3, TaskPhase::checkpointing, ExitReason::none, false)};
+  delta.tasks = {task_report_of("j-1", 3, TaskPhase::checkpointing, ExitReason::none, false)};
   delta.removed = {attempt_key("j-2", 0, 1), attempt_key("j-3", 7, 4)};
   return delta;
 }
@@ -1561,24 +1574,24 @@
   return batch;
 }
 
-// The only report of a batch, read from its bytes.
-HeartbeatDelta only_report(std::string_view hex) {
+// Unpacks a batch that must contain exactly one heartbeat.
+HeartbeatDelta unpack_only_heartbeat(std::string_view hex) {
   const auto batch = unpack_heartbeat_batch(frame_of(hex));
   EXPECT_TRUE(batch && batch->heartbeats.size() == 1);
   return batch ? batch->heartbeats.at(0) : HeartbeatDelta{};
 }
 
-void expect_piece(const TaskReport& task_report, const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason,
-                  bool kept) {
+void expect_task_report(const TaskReport& task_report, const std::string& uid, std::uint32_t task, TaskPhase phase, ExitReason exit_reason,
+                        bool checkpointed) {
   EXPECT_EQ(task_report.id.uid, uid);
   EXPECT_EQ(task_report.id.task, task);
   EXPECT_EQ(task_report.attempt, 2u);
   EXPECT_EQ(task_report.phase, phase);
   EXPECT_EQ(task_report.exit_reason, exit_reason);
-  EXPECT_EQ(task_report.checkpointed, kept);
+  EXPECT_EQ(task_report.checkpointed, checkpointed);
 }
 
-void expect_head(const HeartbeatDelta& delta, HeartbeatDelta::Kind kind) {
+void expect_delta_header(const HeartbeatDelta& delta, HeartbeatDelta::Kind kind) {
   EXPECT_EQ(delta.kind, kind);
   EXPECT_EQ(delta.node, "m-1");
   EXPECT_EQ(delta.agent_incarnation, 1u);
@@ -1588,7 +1601,7 @@
 
 constexpr std::string_view kEmptyBatchBytes = "05 0106000000686f73742d3207000000000000002c01000000000000";
 
-TEST(WireFormatControllers, BatchOfNoReportsIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksEmptyBatch) {
   EXPECT_EQ(hex_of(pack(batch_of({}))), kEmptyBatchBytes);
   const auto batch = unpack_heartbeat_batch(frame_of(kEmptyBatchBytes));
   ASSERT_TRUE(batch);
@@ -1598,16 +1611,16 @@
   EXPECT_TRUE(batch->heartbeats.empty());
 }
 
-constexpr std::string_view kWholeBytes =
+constexpr std::string_view kFullHeartbeatBytes =
     "05 "
     "0106000000686f73742d3207000000000000002c0100000100000001030000006d2d31010000000000000058000000000000002900000000000000033cf000000d0000"
     "0031302e312e302e323a39303030020000006738010000006102000000030000006a2d31030000000200000000000000020000030000006a2d32000000000200000000"
     "000000040201";
 
-TEST(WireFormatControllers, WholeReportIsPackedAndUnpacked) {
-  EXPECT_EQ(hex_of(pack(batch_of({whole_delta()}))), kWholeBytes);
-  const auto delta = only_report(kWholeBytes);
-  expect_head(delta, HeartbeatDelta::Kind::whole);
+TEST(WireFormatControllers, PacksAndUnpacksFullHeartbeat) {
+  EXPECT_EQ(hex_of(pack(batch_of({full_delta()}))), kFullHeartbeatBytes);
+  const auto delta = unpack_only_heartbeat(kFullHeartbeatBytes);
+  expect_delta_header(delta, HeartbeatDelta::Kind::full);
   EXPECT_EQ(delta.interruption_in_s, 61.5);
   EXPECT_EQ(delta.base_serial, 0u);
   EXPECT_EQ(delta.address, "10.1.0.2:9000");
@@ -1615,8 +1628,8 @@
   EXPECT_EQ(delta.zone, "a");
   EXPECT_TRUE(delta.spot);
   ASSERT_EQ(delta.tasks.size(), 2u);
-  expect_piece(delta.tasks[0], "j-1", 3, TaskPhase::running, ExitReason::none, false);
-  expect_piece(delta.tasks[1], "j-2", 0, TaskPhase::exited, ExitReason::stopped, true);
+  expect_task_report(delta.tasks[0], "j-1", 3, TaskPhase::running, ExitReason::none, false);
+  expect_task_report(delta.tasks[1], "j-2", 0, TaskPhase::exited, ExitReason::stopped, true);
   EXPECT_TRUE(delta.removed.empty());
 }
 
@@ -1626,16 +1639,16 @@
     "000000000001000000030000006a2d3103000000020000000000000003000002000000030000006a2d32000000000100000000000000030000006a2d33070000000400"
     "000000000000";
 
-TEST(WireFormatControllers, DifferenceToAReportIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksHeartbeatDifference) {
   EXPECT_EQ(hex_of(pack(batch_of({difference_delta()}))), kDifferenceBytes);
-  const auto delta = only_report(kDifferenceBytes);
-  expect_head(delta, HeartbeatDelta::Kind::difference);
+  const auto delta = unpack_only_heartbeat(kDifferenceBytes);
+  expect_delta_header(delta, HeartbeatDelta::Kind::difference);
   EXPECT_EQ(delta.interruption_in_s, std::nullopt);
   EXPECT_EQ(delta.base_serial, 87u);
   EXPECT_EQ(delta.address, "");
   EXPECT_TRUE(delta.spot);
   ASSERT_EQ(delta.tasks.size(), 1u);
-  expect_piece(delta.tasks[0], "j-1", 3, TaskPhase::checkpointing, ExitReason::none, false);
+  expect_task_report(delta.tasks[0], "j-1", 3, TaskPhase::checkpointing, ExitReason::none, false);
   ASSERT_EQ(delta.removed.size(), 2u);
   EXPECT_EQ(delta.removed[0].id.uid, "j-2");
   EXPECT_EQ(delta.removed[0].id.task, 0u);
@@ -1650,17 +1663,17 @@
     "0106000000686f73742d3207000000000000002c0100000100000003030000006d2d3101000000000000005800000000000000290000000000000001fa000000560000"
     "0000000000";
 
-TEST(WireFormatControllers, UnchangedReportIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksUnchangedHeartbeat) {
   EXPECT_EQ(hex_of(pack(batch_of({unchanged_delta()}))), kUnchangedBytes);
-  const auto delta = only_report(kUnchangedBytes);
-  expect_head(delta, HeartbeatDelta::Kind::unchanged);
+  const auto delta = unpack_only_heartbeat(kUnchangedBytes);
+  expect_delta_header(delta, HeartbeatDelta::Kind::unchanged);
   EXPECT_EQ(delta.interruption_in_s, 0.25);
   EXPECT_EQ(delta.base_serial, 86u);
   EXPECT_FALSE(delta.spot);
   EXPECT_TRUE(delta.tasks.empty());
 }
 
-constexpr std::string_view kMixedBytes =
+constexpr std::string_view kMixedBatchBytes =
     "05 "
     "0106000000686f73742d3207000000000000002c0100000300000001030000006d2d31010000000000000058000000000000002900000000000000033cf000000d0000"
     "0031302e312e302e323a39303030020000006738010000006102000000030000006a2d31030000000200000000000000020000030000006a2d32000000000200000000"
@@ -1668,29 +1681,29 @@
     "0000000000000003000002000000030000006a2d32000000000100000000000000030000006a2d3307000000040000000000000003030000006d2d3101000000000000"
     "005800000000000000290000000000000001fa0000005600000000000000";
 
-TEST(WireFormatControllers, BatchHoldsReportsOfAllKindsOneBehindTheOther) {
-  EXPECT_EQ(hex_of(pack(batch_of({whole_delta(), difference_delta(), unchanged_delta()}))), kMixedBytes);
-  const auto batch = unpack_heartbeat_batch(frame_of(kMixedBytes));
+TEST(WireFormatControllers, PacksAndUnpacksBatchOfAllDeltaKinds) {
+  EXPECT_EQ(hex_of(pack(batch_of({full_delta(), difference_delta(), unchanged_delta()}))), kMixedBatchBytes);
+  const auto batch = unpack_heartbeat_batch(frame_of(kMixedBatchBytes));
   ASSERT_TRUE(batch);
   ASSERT_EQ(batch->heartbeats.size(), 3u);
-  expect_head(batch->heartbeats[0], HeartbeatDelta::Kind::whole);
-  expect_head(batch->heartbeats[1], HeartbeatDelta::Kind::difference);
-  expect_head(batch->heartbeats[2], HeartbeatDelta::Kind::unchanged);
+  expect_delta_header(batch->heartbeats[0], HeartbeatDelta::Kind::full);
+  expect_delta_header(batch->heartbeats[1], HeartbeatDelta::Kind::difference);
+  expect_delta_header(batch->heartbeats[2], HeartbeatDelta::Kind::unchanged);
 }
 
 const std::vector<TaskPhase> kPhasesInOrder{TaskPhase::pulling_image, TaskPhase::waiting_for_gang, TaskPhase::running,
                                             TaskPhase::checkpointing, TaskPhase::exited};
-const std::vector<ExitReason> kCausesInOrder{ExitReason::none,
-                                             ExitReason::completed,
-                                             ExitReason::stopped,
-                                             ExitReason::gang_member_lost,
-                                             ExitReason::gang_incomplete,
-                                             ExitReason::failed,
-                                             ExitReason::insufficient_resources,
-                                             ExitReason::duplicate_attempt,
-                                             ExitReason::unknown_task,
-                                             ExitReason::node_lost};
-constexpr std::string_view kPhasesAndCausesBytes =
+const std::vector<ExitReason> kExitReasonsInOrder{ExitReason::none,
+                                                  ExitReason::completed,
+                                                  ExitReason::stopped,
+                                                  ExitReason::gang_member_lost,
+                                                  ExitReason::gang_incomplete,
+                                                  ExitReason::failed,
+                                                  ExitReason::insufficient_resources,
+                                                  ExitReason::duplicate_attempt,
+                                                  ExitReason::unknown_task,
+                                                  ExitReason::node_lost};
+constexpr std::string_view kPhasesAndExitReasonsBytes =
     "05 "
     "0106000000686f73742d3207000000000000002c0100000100000002030000006d2d310100000000000000580000000000000029000000000000000200000000570000"
     "00000000000f000000030000006a2d31000000000200000000000000000000030000006a2d31000000000200000000000000010000030000006a2d3100000000020000"
@@ -1700,17 +1713,18 @@
     "0000040600030000006a2d31000000000200000000000000040700030000006a2d31000000000200000000000000040800030000006a2d310000000002000000000000"
     "0004090000000000";
 
-TEST(WireFormatControllers, NumbersOfPhasesAndCauses) {
+TEST(WireFormatControllers, NumbersOfPhasesAndExitReasonsAreUnchanged) {
   auto delta = difference_delta();
   delta.tasks.clear();
   delta.removed.clear();
-  for (const auto phase : kPhasesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, phase, ExitReason::none, false));
-  for (const auto exit_reason : kCausesInOrder) delta.tasks.push_back(reported_piece("j-1", 0, TaskPhase::exited, exit_reason, false));
-  EXPECT_EQ(hex_of(pack(batch_of({delta}))), kPhasesAndCausesBytes);
-  const auto tasks = only_report(kPhasesAndCausesBytes).tasks;
-  ASSERT_EQ(tasks.size(), kPhasesInOrder.size() + kCausesInOrder.size());
+  for (const auto phase : kPhasesInOrder) delta.tasks.push_back(task_report_of("j-1", 0, phase, ExitReason::none, false));
+  for (const auto exit_reason : kExitReasonsInOrder) delta.tasks.push_back(task_report_of("j-1", 0, TaskPhase::exited, exit_reason, false));
+  EXPECT_EQ(hex_of(pack(batch_of({delta}))), kPhasesAndExitReasonsBytes);
+  const auto tasks = unpack_only_heartbeat(kPhasesAndExitReasonsBytes).tasks;
+  ASSERT_EQ(tasks.size(), kPhasesInOrder.size() + kExitReasonsInOrder.size());
   for (std::size_t i = 0; i < kPhasesInOrder.size(); ++i) EXPECT_EQ(tasks[i].phase, kPhasesInOrder[i]) << i;
-  for (std::size_t i = 0; i < kCausesInOrder.size(); ++i) EXPECT_EQ(tasks[kPhasesInOrder.size() + i].exit_reason, kCausesInOrder[i]) << i;
+  for (std::size_t i = 0; i < kExitReasonsInOrder.size(); ++i)
+    EXPECT_EQ(tasks[kPhasesInOrder.size() + i].exit_reason, kExitReasonsInOrder[i]) << i;
 }
 
 HeartbeatAnswer answer_of(HeartbeatAnswer::Outcome outcome) {
@@ -1719,12 +1733,12 @@
   return answer;
 }
 
-constexpr std::string_view kAnswerBytes =
+constexpr std::string_view kBatchAnswerBytes =
     "06 "
     "01070000000000000009000000000000001400000006000000686f73742d3304000000010300000000030000006a2d3104000000020000000000000000000000010300"
     "00006a2d32010000000100000000000000c409000002030000006a2d3300000000010000000000000000000000020000000003000000000400000000";
 
-TEST(WireFormatControllers, AnswerToABatchIsPackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksBatchAnswer) {
   HeartbeatBatchAnswer answer;
   answer.takeover_token = 7;
   answer.fencing_token = 9;
@@ -1734,9 +1748,9 @@
                     answer_of(HeartbeatAnswer::Outcome::full_required), answer_of(HeartbeatAnswer::Outcome::retry_later)};
   answer.answers[0].commands = {command(CommandType::run, "j-1", 4, 2), command(CommandType::kill, "j-2", 1, 1, 2.5),
                                 command(CommandType::acknowledge_exit, "j-3", 0, 1)};
-  EXPECT_EQ(hex_of(pack(answer)), kAnswerBytes);
+  EXPECT_EQ(hex_of(pack(answer)), kBatchAnswerBytes);
 
-  const auto read = unpack_heartbeat_batch_answer(frame_of(kAnswerBytes));
+  const auto read = unpack_heartbeat_batch_answer(frame_of(kBatchAnswerBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->takeover_token, 7u);
   EXPECT_EQ(read->fencing_token, 9u);
@@ -1758,31 +1772,31 @@
   EXPECT_EQ(commands[2].type, CommandType::acknowledge_exit);
 }
 
-TEST(WireFormatControllers, FramesOfAnotherVersionOrKindAreNotTaken) {
-  auto batch = frame_of(kWholeBytes);
+TEST(WireFormatControllers, RejectsFramesOfAnotherVersionOrKind) {
+  auto batch = frame_of(kFullHeartbeatBytes);
   batch.payload[0] = 2;
   EXPECT_FALSE(unpack_heartbeat_batch(batch));
-  EXPECT_FALSE(unpack_heartbeat_batch_answer(frame_of(kWholeBytes)));
-  EXPECT_FALSE(unpack_peer_heartbeat(frame_of(kBeatAckBytes)));
-  EXPECT_FALSE(unpack_peer_heartbeat_ack(frame_of(kBeatBytes)));
+  EXPECT_FALSE(unpack_heartbeat_batch_answer(frame_of(kFullHeartbeatBytes)));
+  EXPECT_FALSE(unpack_peer_heartbeat(frame_of(kPeerHeartbeatAckBytes)));
+  EXPECT_FALSE(unpack_peer_heartbeat_ack(frame_of(kPeerHeartbeatBytes)));
   EXPECT_FALSE(unpack_call(frame_of(kReplyBytes)));
   EXPECT_FALSE(unpack_reply(frame_of(kCallBytes), 0));
 }
 
-constexpr std::string_view kAbleBytes = "01000100000004000000030000002a0000000000000005000000302e332e30ab00000000000000";
+constexpr std::string_view kSupportedVersionsBytes = "01000100000004000000030000002a0000000000000005000000302e332e30ab00000000000000";
 
-TEST(WireFormatControllers, AbilitiesArePackedAndUnpacked) {
-  EXPECT_EQ(hex_of(pack(able_of_host())), kAbleBytes);
-  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes)), able_of_host());
-  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes) + "of a later version"), able_of_host());
-  EXPECT_EQ(unpack_supported_versions(bytes_of(kAbleBytes.substr(2))), std::nullopt);
+TEST(WireFormatControllers, PacksAndUnpacksSupportedVersions) {
+  EXPECT_EQ(hex_of(pack(supported_versions_of_host())), kSupportedVersionsBytes);
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kSupportedVersionsBytes)), supported_versions_of_host());
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kSupportedVersionsBytes) + "of a later version"), supported_versions_of_host());
+  EXPECT_EQ(unpack_supported_versions(bytes_of(kSupportedVersionsBytes.substr(2))), std::nullopt);
 }
 
 constexpr std::string_view kTeamsBytes =
     "01000200000004000000626c75650000000000000000000000000000000000000000000000000000000000000000030000007265640000000000002040000000000000"
     "e03f00000000000030400000000000001140";
 
-TEST(WireFormatControllers, TeamsArePackedAndUnpacked) {
+TEST(WireFormatControllers, PacksAndUnpacksTeamQuotas) {
   std::map<std::string, TeamQuota> teams;
   teams["red"] = quota(8, 0.5, 16, 4.25);
   teams["blue"] = quota(0, 0, 0, 0);
@@ -1868,7 +1882,7 @@
 max_sockets = 900
 )";
 
-// A settings file for the time of one test.
+// A temporary settings file, removed at the end of the test.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& text) : path_(testing::TempDir() + "wire_format_" + std::to_string(getpid()) + ".toml") {
@@ -1888,102 +1902,102 @@
   return load_settings(file.path());
 }
 
-// The error without the file's path, which it must begin with.
+// Error message without the path of the file, with which it must begin.
 std::string settings_error(const std::string& text) {
   const SettingsFile file(text);
-  const auto error = error_of([&] { load_settings(file.path()); });
+  const auto error = error_message_of([&] { load_settings(file.path()); });
   const auto prefix = file.path() + ": ";
   return error.starts_with(prefix) ? error.substr(prefix.size()) : "without the path: " + error;
 }
 
-TEST(WireFormatSettings, AddressesAndPeersAreRead) {
-  const auto s = settings_of(kSettingsText);
-  EXPECT_EQ(s.label, "host-0");
-  EXPECT_EQ(s.site, "north");
-  EXPECT_EQ(s.client_listen, "10.0.0.1:8080");
-  EXPECT_EQ(s.peer_listen, "10.0.0.1:8081");
-  ASSERT_EQ(s.peers.size(), 2u);
-  EXPECT_EQ(s.peers[0].label, "host-1");
-  EXPECT_EQ(s.peers[0].site, "south");
-  EXPECT_EQ(s.peers[0].address, "10.0.0.2:8081");
-  EXPECT_EQ(s.peers[1].label, "host-2");
-  EXPECT_EQ(s.peers[1].site, "north");
-  EXPECT_EQ(s.peers[1].address, "10.0.0.3:8081");
-  EXPECT_EQ(s.cloud_address, "10.2.0.2:8443");
-  EXPECT_EQ(s.store_address, "10.2.0.1:2379");
-}
-
-TEST(WireFormatSettings, TeamsAreRead) {
-  const auto s = settings_of(kSettingsText);
-  ASSERT_EQ(s.teams.size(), 2u);
-  EXPECT_EQ(s.teams[0].name, "red");
-  EXPECT_EQ(s.teams[0].guarantee, resources(192, 16, 0));
-  EXPECT_EQ(s.teams[0].limit, resources(424, 64, 0));
-  EXPECT_EQ(s.teams[1].name, "blue");
-  EXPECT_EQ(s.teams[1].guarantee, resources(0, 0, 0));
-  EXPECT_EQ(s.teams[1].limit, resources(0, 0, 0));
-}
-
-TEST(WireFormatSettings, ObjectivesAreRead) {
-  const auto s = settings_of(kSettingsText);
-  ASSERT_EQ(s.objectives.size(), 3u);
-  EXPECT_EQ(s.objectives[0].kind, "wait");
-  EXPECT_EQ(s.objectives[0].job_class, "viewer");
-  EXPECT_EQ(s.objectives[0].within_s, 1.5);
-  EXPECT_EQ(s.objectives[0].share, 0.95);
-  EXPECT_EQ(s.objectives[1].kind, "finished");
-  EXPECT_EQ(s.objectives[1].job_class, "train");
-  EXPECT_EQ(s.objectives[1].within_s, 300);
-  EXPECT_EQ(s.objectives[1].share, 0.82);
-  EXPECT_EQ(s.objectives[2].kind, "guarantee");
-  EXPECT_EQ(s.objectives[2].job_class, "");
-  EXPECT_EQ(s.objectives[2].within_s, 5);
-  EXPECT_EQ(s.objectives[2].share, 0.94);
-}
-
-TEST(WireFormatSettings, TimesAndLimitsAreRead) {
-  const auto s = settings_of(kSettingsText);
-  EXPECT_EQ(s.count, 3u);
-  EXPECT_EQ(s.skew_ms, 25);
-  EXPECT_EQ(s.heartbeat_interval_s, 1.25);
-  EXPECT_EQ(s.lease_s, 10);
-  EXPECT_EQ(s.gang_wait_s, 50);
-  EXPECT_EQ(s.gang_peer_s, 6);
-  EXPECT_EQ(s.cancel_s, 40);
-  EXPECT_EQ(s.state_rps, 250);
-  EXPECT_EQ(s.state_write_rps, 100);
-  EXPECT_EQ(s.value_kb, 8);
-  EXPECT_EQ(s.txn_ops, 16u);
-  EXPECT_EQ(s.cloud_rps, 6.5);
-  EXPECT_EQ(s.list_lag_s, 4);
-  EXPECT_EQ(s.cpu, 0.064);
-  EXPECT_EQ(s.memory_mb, 56);
-  EXPECT_EQ(s.max_sockets, 900u);
-}
-
-TEST(WireFormatSettings, TheLesserOfPresentAndAnnouncedLimitsHolds) {
+TEST(WireFormatSettings, ReadsAddressesAndPeers) {
+  const auto settings = settings_of(kSettingsText);
+  EXPECT_EQ(settings.label, "host-0");
+  EXPECT_EQ(settings.site, "north");
+  EXPECT_EQ(settings.client_listen, "10.0.0.1:8080");
+  EXPECT_EQ(settings.peer_listen, "10.0.0.1:8081");
+  ASSERT_EQ(settings.peers.size(), 2u);
+  EXPECT_EQ(settings.peers[0].label, "host-1");
+  EXPECT_EQ(settings.peers[0].site, "south");
+  EXPECT_EQ(settings.peers[0].address, "10.0.0.2:8081");
+  EXPECT_EQ(settings.peers[1].label, "host-2");
+  EXPECT_EQ(settings.peers[1].site, "north");
+  EXPECT_EQ(settings.peers[1].address, "10.0.0.3:8081");
+  EXPECT_EQ(settings.cloud_address, "10.2.0.2:8443");
+  EXPECT_EQ(settings.store_address, "10.2.0.1:2379");
+}
+
+TEST(WireFormatSettings, ReadsTeams) {
+  const auto settings = settings_of(kSettingsText);
+  ASSERT_EQ(settings.teams.size(), 2u);
+  EXPECT_EQ(settings.teams[0].name, "red");
+  EXPECT_EQ(settings.teams[0].guarantee, resources(192, 16, 0));
+  EXPECT_EQ(settings.teams[0].limit, resources(424, 64, 0));
+  EXPECT_EQ(settings.teams[1].name, "blue");
+  EXPECT_EQ(settings.teams[1].guarantee, resources(0, 0, 0));
+  EXPECT_EQ(settings.teams[1].limit, resources(0, 0, 0));
+}
+
+TEST(WireFormatSettings, ReadsObjectives) {
+  const auto settings = settings_of(kSettingsText);
+  ASSERT_EQ(settings.objectives.size(), 3u);
+  EXPECT_EQ(settings.objectives[0].kind, "wait");
+  EXPECT_EQ(settings.objectives[0].job_class, "viewer");
+  EXPECT_EQ(settings.objectives[0].within_s, 1.5);
+  EXPECT_EQ(settings.objectives[0].fraction, 0.95);
+  EXPECT_EQ(settings.objectives[1].kind, "finished");
+  EXPECT_EQ(settings.objectives[1].job_class, "train");
+  EXPECT_EQ(settings.objectives[1].within_s, 300);
+  EXPECT_EQ(settings.objectives[1].fraction, 0.82);
+  EXPECT_EQ(settings.objectives[2].kind, "guarantee");
+  EXPECT_EQ(settings.objectives[2].job_class, "");
+  EXPECT_EQ(settings.objectives[2].within_s, 5);
+  EXPECT_EQ(settings.objectives[2].fraction, 0.94);
+}
+
+TEST(WireFormatSettings, ReadsTimesAndLimits) {
+  const auto settings = settings_of(kSettingsText);
+  EXPECT_EQ(settings.controller_count, 3u);
+  EXPECT_EQ(settings.max_clock_skew_ms, 25);
+  EXPECT_EQ(settings.heartbeat_interval_s, 1.25);
+  EXPECT_EQ(settings.lease_s, 10);
+  EXPECT_EQ(settings.gang_wait_s, 50);
+  EXPECT_EQ(settings.gang_peer_s, 6);
+  EXPECT_EQ(settings.cancel_s, 40);
+  EXPECT_EQ(settings.store_rps, 250);
+  EXPECT_EQ(settings.store_write_rps, 100);
+  EXPECT_EQ(settings.max_value_kb, 8);
+  EXPECT_EQ(settings.max_txn_ops, 16u);
+  EXPECT_EQ(settings.cloud_rps, 6.5);
+  EXPECT_EQ(settings.list_lag_s, 4);
+  EXPECT_EQ(settings.cpu, 0.064);
+  EXPECT_EQ(settings.memory_mb, 56);
+  EXPECT_EQ(settings.max_sockets, 900u);
+}
+
+TEST(WireFormatSettings, AppliesMinimumOfPresentAndAnnouncedStoreLimits) {
   const std::string next = "txn_ops = 16\n[deployment.state.next]\nrps = 200.0\nwrite_rps = 120.0\nvalue_kb = 4.0\ntxn_ops = 8\n";
-  const auto s = settings_of(replaced(kSettingsText, "txn_ops = 16\n", next));
-  EXPECT_EQ(s.state_rps, 200);
-  EXPECT_EQ(s.state_write_rps, 100);
-  EXPECT_EQ(s.value_kb, 4);
-  EXPECT_EQ(s.txn_ops, 8u);
+  const auto settings = settings_of(replaced(kSettingsText, "txn_ops = 16\n", next));
+  EXPECT_EQ(settings.store_rps, 200);
+  EXPECT_EQ(settings.store_write_rps, 100);
+  EXPECT_EQ(settings.max_value_kb, 4);
+  EXPECT_EQ(settings.max_txn_ops, 8u);
 }
 
-TEST(WireFormatSettings, OmittedOptionalFieldsHaveTheseValues) {
+TEST(WireFormatSettings, DefaultsOmittedOptionalFields) {
   auto text = kSettingsText;
   text = without(text, "count = 3\n");
   text = without(text, "skew_ms = 25.0\n");
   text = without(text, "class = \"viewer\"\nwithin_s = 1.5\nshare = 0.95\n");
-  const auto s = settings_of(text);
-  EXPECT_EQ(s.count, 0u);
-  EXPECT_EQ(s.skew_ms, 0);
-  EXPECT_EQ(s.objectives.at(0).job_class, "");
-  EXPECT_EQ(s.objectives.at(0).within_s, 0);
-  EXPECT_EQ(s.objectives.at(0).share, 0);
+  const auto settings = settings_of(text);
+  EXPECT_EQ(settings.controller_count, 0u);
+  EXPECT_EQ(settings.max_clock_skew_ms, 0);
+  EXPECT_EQ(settings.objectives.at(0).job_class, "");
+  EXPECT_EQ(settings.objectives.at(0).within_s, 0);
+  EXPECT_EQ(settings.objectives.at(0).fraction, 0);
 }
 
-TEST(WireFormatSettings, AMissingFieldIsNamedWithItsTable) {
+TEST(WireFormatSettings, ErrorNamesTheMissingFieldAndItsTable) {
   const auto error = [](std::string_view line) { return settings_error(without(kSettingsText, line)); };
   EXPECT_EQ(error("label = \"host-0\"\n"), "label: missing");
   EXPECT_EQ(error("site = \"north\"\n"), "site: missing");
@@ -2012,7 +2026,7 @@
   EXPECT_EQ(error("max_sockets = 900\n"), "deployment.limits.max_sockets: missing");
 }
 
-TEST(WireFormatSettings, AMissingTableIsNamed) {
+TEST(WireFormatSettings, ErrorNamesTheMissingTable) {
   const auto error = [](std::string_view table) { return settings_error(replaced(kSettingsText, table, "[other]")); };
   EXPECT_EQ(error("[endpoints]"), "endpoints: missing");
   EXPECT_EQ(error("[deployment.workers]"), "deployment.workers: missing");
@@ -2021,7 +2035,7 @@
   EXPECT_EQ(error("[deployment.limits]"), "deployment.limits: missing");
 }
 
-TEST(WireFormatSettings, AnInvalidFieldIsNamedWithTheReason) {
+TEST(WireFormatSettings, ErrorNamesTheInvalidFieldAndTheReason) {
   const auto error = [](std::string_view line, std::string_view other) { return settings_error(replaced(kSettingsText, line, other)); };
   EXPECT_EQ(error("label = \"host-0\"", "label = 7"), "label: not a string");
   EXPECT_EQ(error("label = \"host-0\"", "label = \"\""), "label: empty");
@@ -2037,11 +2051,11 @@
       "endpoints.state: not a string");
 }
 
-TEST(WireFormatSettings, AFileThatCannotBeReadIsNamed) {
-  EXPECT_EQ(error_of([] { load_settings("/nowhere/settings.toml"); }), "/nowhere/settings.toml: cannot be read");
+TEST(WireFormatSettings, ErrorNamesTheFileThatCannotBeRead) {
+  EXPECT_EQ(error_message_of([] { load_settings("/nowhere/settings.toml"); }), "/nowhere/settings.toml: cannot be read");
 }
 
-TEST(WireFormatSettings, AFileThatIsNotTomlIsToldWithTheLine) {
+TEST(WireFormatSettings, ErrorNamesTheLineOfASyntaxError) {
   EXPECT_EQ(settings_error("label = \"a\"\nsite = \n").substr(0, 8), "line 2: ");
 }
 
