--- a/src/controller/agent_messages.hpp
+++ b/src/controller/agent_messages.hpp
@@ -1,4 +1,4 @@
-// Applies what agents report to the cluster state of the present term, and selects the commands that are due to them.
+// Applies agents' messages to the cluster state of the current term, and selects the commands that are due to agents.
 // Used by HeartbeatHandler, CommandSender and InstanceReleaser, with SharedState::mutex held and the ledger read.
 #pragma once
 #include <vector>
@@ -11,9 +11,9 @@
 
 namespace thistlefront {
 
-// How a report of an agent reached the leader.
+// How an agent's message reached the leader. Both kinds have the content of a heartbeat.
 enum class MessageKind {
-  heartbeat,       // every answer that the agent was given before has been executed or dropped
+  heartbeat,       // the agent has executed or dropped all answers to earlier heartbeats
   command_answer,  // the answer to a direct command or to a status probe
 };
 
@@ -21,15 +21,16 @@
  public:
   AgentMessages(SharedState& shared, CommitQueue& commit_queue, ControllerMetrics& metrics);
 
-  // Queues the records that follow from the report. Whether it was newer than what was known; else nothing was taken from it.
-  bool apply(const Heartbeat& report, MessageKind kind);
-  // All commands that the node is due where this controller may decide; else those alone that stay right under every later
-  // leader: kills of cancelled jobs.
+  // Queues the ledger records that follow from the message. Returns false, and applies nothing, if the message is older than the
+  // latest one applied.
+  bool apply(const Heartbeat& message, MessageKind kind);
+  // All pending commands for the node while this controller may decide; else only kills of cancelled jobs, which no later leader
+  // revokes.
   [[nodiscard]] std::vector<Command> due_commands(NodeIndex node) const;
 
  private:
-  void log_incarnation_change(const Heartbeat& report) const;
-  void observe_responsiveness(Node& node, const Heartbeat& report, MessageKind kind, double steady);
+  void log_incarnation_change(const Heartbeat& message) const;
+  void observe_responsiveness(Node& node, const Heartbeat& message, MessageKind kind, double now);
 
   SharedState& shared_;
   CommitQueue& commit_queue_;
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -17,11 +17,11 @@
 constexpr double kMachineTypesPeriodS = 120.0;
 constexpr double kMinInstancesPeriodS = 1.0;
 constexpr double kMinRoundPauseS = 0.5;
-constexpr double kCallsPerRound = 2.0;
+constexpr double kCallsPerRound = 2.0;  // rounds are spaced so that this many calls each stay within the cloud's rate limit
 constexpr unsigned kPageSize = 500;
-constexpr double kNever = -1e9;
+constexpr double kNever = -1e9;  // steady seconds
 
-bool is_same_offer(const MachineType& a, const MachineType& b) {
+bool is_same_type(const MachineType& a, const MachineType& b) {
   return a.name == b.name && a.capacity == b.capacity && a.boot_s == b.boot_s;
 }
 }  // namespace
@@ -40,10 +40,10 @@
   HttpClient cloud(settings.cloud_address);
   std::stop_callback abort(stop, [&] { cloud.abort(); });
   while (!stop.stop_requested()) {
-    const Round round = begin_round(stop);
+    const LeadershipStatus status = await_leadership(stop);
     if (stop.stop_requested()) return;
-    if (round.is_leading) refresh(cloud);
-    if (round.may_decide) {
+    if (status.is_leading) refresh(cloud);
+    if (status.may_decide) {
       service_monitor_.observe();
       releaser_.check_worker_reachability();
       releaser_.release_silent_nodes(cloud, stop);
@@ -54,12 +54,12 @@
   }
 }
 
-CloudManager::Round CloudManager::begin_round(std::stop_token stop) {
+CloudManager::LeadershipStatus CloudManager::await_leadership(std::stop_token stop) {
   Lock lock(shared_.mutex);
   shared_.role_changed.wait(lock, stop, [&] { return shared_.role == Role::leading; });
   if (!shared_.is_term(term_)) {
     term_ = shared_.term_number;
-    machine_types_at_ = instances_at_ = kNever;
+    machine_types_refreshed_at_ = instances_refreshed_at_ = kNever;
   }
   return {shared_.role == Role::leading, shared_.may_decide()};
 }
@@ -67,8 +67,8 @@
 void CloudManager::refresh(HttpClient& cloud) {
   const double now = steady_now();
   const double instances_period = std::max(kMinInstancesPeriodS, shared_.config.settings.list_lag_s / 2);
-  if (now - machine_types_at_ > kMachineTypesPeriodS && refresh_machine_types(cloud)) machine_types_at_ = now;
-  if (now - instances_at_ > instances_period && refresh_instances(cloud)) instances_at_ = now;
+  if (now - machine_types_refreshed_at_ > kMachineTypesPeriodS && refresh_machine_types(cloud)) machine_types_refreshed_at_ = now;
+  if (now - instances_refreshed_at_ > instances_period && refresh_instances(cloud)) instances_refreshed_at_ = now;
 }
 
 bool CloudManager::refresh_machine_types(HttpClient& cloud) {
@@ -79,7 +79,7 @@
     Lock lock(shared_.mutex);
     if (!shared_.may_decide()) return false;
     const auto& known = shared_.term->cluster_state->machine_types();
-    if (!std::equal(known.begin(), known.end(), types.begin(), types.end(), is_same_offer)) store_machine_types(std::move(types));
+    if (!std::equal(known.begin(), known.end(), types.begin(), types.end(), is_same_type)) store_machine_types(std::move(types));
     return true;
   } catch (const ProtocolError& e) {
     spdlog::error("cloud: malformed machine types: {}", e.what());
@@ -87,7 +87,7 @@
   }
 }
 
-// Kept in the ledger, so that a later leader can decide on submissions during an outage of the cloud.
+// Machine types are stored in the ledger, so that a later leader can decide on submissions during an outage of the cloud.
 void CloudManager::store_machine_types(std::vector<MachineType> types) {
   spdlog::info("cloud: {} machine types known", types.size());
   MachineTypesRecord record{std::move(types)};
@@ -137,7 +137,7 @@
     if (is_running && node.instance.running_since == 0) node.instance.running_since = now;
     if (node.agent.has_reported) continue;
     cluster_state.set_node_attributes(index, instance.address, instance.machine_type, instance.zone, instance.spot);
-    // A node new to this leader may hold tasks: its agent learns of the fencing token at once.
+    // A node that is new to this leader may run tasks, so its agent is sent the fencing token at once.
     if (is_new && is_running) commands_.enqueue(index, true);
   }
 }
--- a/src/controller/cloud_manager.hpp
+++ b/src/controller/cloud_manager.hpp
@@ -1,5 +1,5 @@
-// The leader's dealings with the cloud, on one thread: learns machine types and instances, scales out for work that can't be served
-// in time, and releases instances that are not needed any more. The parts are classes of their own; this one calls them in turn.
+// Runs all of the leader's calls to the cloud on one thread: lists machine types and instances, and calls the service monitor, the
+// instance releaser and the scale-out manager in turn.
 #pragma once
 #include <cstdint>
 #include <stop_token>
@@ -18,17 +18,17 @@
  public:
   CloudManager(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ScaleOutManager& scale_out,
                InstanceReleaser& releaser, ServiceMonitor& service_monitor);
-  // Until asked to stop.
+  // Runs until a stop is requested.
   void run(std::stop_token stop);
 
  private:
-  // What this round may do.
-  struct Round {
+  struct LeadershipStatus {
     bool is_leading = false, may_decide = false;
   };
-  Round begin_round(std::stop_token stop);
+  // Waits until this controller leads or a stop is requested.
+  LeadershipStatus await_leadership(std::stop_token stop);
   void refresh(HttpClient& cloud);
-  // Whether the cloud answered.
+  // Return whether the refresh succeeded.
   bool refresh_machine_types(HttpClient& cloud);
   bool refresh_instances(HttpClient& cloud);
   void apply_instances(const std::vector<Instance>& instances);
@@ -40,9 +40,9 @@
   ScaleOutManager& scale_out_;
   InstanceReleaser& releaser_;
   ServiceMonitor& service_monitor_;
-  // Of this duty's thread alone:
-  std::uint64_t term_ = 0;                                // for which the times below hold
-  double machine_types_at_ = -1e9, instances_at_ = -1e9;  // steady seconds of the latest refresh
+  // Used only by the thread in run():
+  std::uint64_t term_ = 0;                                                    // the term that the times below belong to
+  double machine_types_refreshed_at_ = -1e9, instances_refreshed_at_ = -1e9;  // steady seconds
 };
 
 }  // namespace thistlefront
--- a/src/controller/cloud_timeout.hpp
+++ b/src/controller/cloud_timeout.hpp
@@ -1,4 +1,4 @@
-// The time limit of a request to the cloud.
+// The time-out of a request to the cloud.
 #pragma once
 
 namespace thistlefront {
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -22,7 +22,7 @@
 CommandSender::CommandSender(SharedState& shared, AgentMessages& agent_messages)
     : shared_(shared),
       agent_messages_(agent_messages),
-      queue_(std::max<std::size_t>(shared.config.budget.senders / kSlowThreadsDivisor, 1)),
+      queue_(std::max<std::size_t>(shared.config.budget.sender_threads / kSlowThreadsDivisor, 1)),
       connections_(shared.config.budget.worker_connections) {
   shared_.add_step_down_listener([this] {
     queue_.clear();
@@ -67,7 +67,7 @@
 }
 
 bool CommandSender::add_thread() {
-  if (threads_.size() >= shared_.config.budget.senders) return false;
+  if (threads_.size() >= shared_.config.budget.sender_threads) return false;
   try {
     threads_.emplace_back([this](std::stop_token stop) { run(stop); });
   } catch (const std::system_error& e) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -14,7 +14,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kSleepS = 3600;  // of the thread that waits for the process to be stopped
+constexpr double kSleepS = 3600;  // between wake-ups of the thread that waits for the stop request
 
 HeartbeatCache& heartbeat_cache_of(std::any& session) {
   if (!session.has_value()) session.emplace<HeartbeatCache>();
@@ -22,11 +22,11 @@
 }
 
 // The leader that heartbeats are relayed to, if it is another controller.
-std::optional<HeartbeatRelay::Lead> relay_target(SharedState& shared) {
+std::optional<HeartbeatRelay::Leader> relay_target(SharedState& shared) {
   Lock lock(shared.mutex);
   FramePool* pool = shared.role == Role::follower ? shared.leader_pool() : nullptr;
   if (!pool) return std::nullopt;
-  return HeartbeatRelay::Lead{pool, shared.known_leader.change_count, shared.known_leader.takeover_token};
+  return HeartbeatRelay::Leader{pool, shared.known_leader.change_count, shared.known_leader.takeover_token};
 }
 
 bool reaches_store(StoreClient& store) {
@@ -63,9 +63,10 @@
 
 void Controller::run(std::stop_token stop) {
   const auto& settings = config_.settings;
-  frame_server_ = std::make_unique<FrameServer>(settings.peer_listen, config_.budget.peers, [this](const Frame& f) { return on_frame(f); });
-  http_server_ =
-      std::make_unique<HttpServer>(settings.client_listen, config_.budget.clients, [this](const HttpCall& c) { return on_http(c); });
+  frame_server_ =
+      std::make_unique<FrameServer>(settings.peer_listen, config_.budget.peer_connections, [this](const Frame& f) { return on_frame(f); });
+  http_server_ = std::make_unique<HttpServer>(settings.client_listen, config_.budget.client_connections,
+                                              [this](const HttpCall& c) { return on_http(c); });
   start_duties();
   log_configuration();
   while (pause_for(stop, kSleepS)) {
@@ -92,7 +93,7 @@
   duties_.emplace_back([this](std::stop_token stop) { election_.run(stop); });
 }
 
-// The election first: it gives the lease back, so that another controller takes over at once.
+// Joins the election first (it is the last duty): it releases the lease, so that another controller takes over at once.
 void Controller::stop_duties() {
   for (auto& duty : duties_) duty.request_stop();
   for (auto it = duties_.rbegin(); it != duties_.rend(); ++it) it->join();
@@ -109,8 +110,8 @@
   spdlog::info(
       "resource budget: at most {} of {} threads and {} of {} sockets: {} connections of users and workers, {} of controllers, "
       "{} senders, {} connections to workers",
-      budget.most_threads(), budget.threads, budget.most_sockets(), budget.sockets, budget.clients, budget.peers, budget.senders,
-      budget.worker_connections);
+      budget.max_threads(), budget.threads, budget.max_sockets(), budget.sockets, budget.client_connections, budget.peer_connections,
+      budget.sender_threads, budget.worker_connections);
 }
 
 HttpReply Controller::on_http(const HttpCall& call) {
@@ -135,11 +136,11 @@
 }
 
 Frame Controller::on_peer_call(const PeerCall& call) {
-  // What an answer has left of its validity is counted from here, and by the controller that asked from before it did: so it is
-  // never more than it was, and what the ledger took is not taken off it.
+  // The remaining validity of the reply is sent relative to this time, and the calling controller adds it to the time at which it sent
+  // the call. That was earlier, so the reply never becomes valid for longer, and the time spent on a commit does not shorten it.
   const double received_at = steady_now();
   if (call.target == kSupportedVersionsTarget) return pack(HttpReply{200, pack(config_.supported_versions)}, received_at);
-  if (call.target == kRelaySupportTarget) return pack(heartbeats_.accepts_batches(), received_at);
+  if (call.target == kRelaySupportTarget) return pack(heartbeats_.answer_batch_support_query(), received_at);
   if (call.target == kTeamQuotasTarget) return pack(HttpReply{200, pack(config_.team_quotas)}, received_at);
   const UserRoute route = route_of(call.method, call.target);
   const bool is_heartbeat = route.kind == UserRoute::Kind::heartbeat;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,4 +1,4 @@
-// A controller process: it owns the state and the duties, wires them, and serves clients and peers until it is stopped.
+// A controller process: owns and connects the shared state and the components, runs the duties, and serves clients and peers.
 // docs/architecture.md shows how the parts work together.
 #pragma once
 #include <memory>
@@ -37,7 +37,7 @@
   ~Controller();
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
-  // Serves until asked to stop; then leadership is given back.
+  // Serves until a stop is requested, then releases leadership.
   void run(std::stop_token stop);
 
  private:
--- a/src/controller/controller_config.cpp
+++ b/src/controller/controller_config.cpp
@@ -8,7 +8,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr unsigned kIncarnationShift = 2;  // leaves room in the signed integers of some JSON readers
+constexpr unsigned kIncarnationShift = 2;  // keeps the number within the signed integers of some JSON parsers
 
 std::uint64_t random_word() {
   std::random_device device;
--- a/src/controller/controller_config.hpp
+++ b/src/controller/controller_config.hpp
@@ -1,4 +1,4 @@
-// What a controller process is given at its start and never changes. Read by every duty without a lock.
+// The configuration of a controller process. Set at the start and never changed; read by all threads without a lock.
 #pragma once
 #include <cstdint>
 
@@ -14,10 +14,10 @@
   Settings settings;
   Options options;
   ResourceBudget budget;
-  std::uint64_t incarnation = 0;  // of this process; no other process ever has the same
-  TeamQuotas team_quotas;         // as the settings name them
+  std::uint64_t incarnation = 0;  // random; identifies this process among all processes ever started
+  TeamQuotas team_quotas;         // from the settings
   SupportedVersions supported_versions;
-  double started_at = 0;  // steady seconds: all that an earlier process of this controller did was before
+  double started_at = 0;  // steady seconds; earlier processes of this controller ended before
 };
 
 // Draws the incarnation and reads the clock.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -16,10 +16,10 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLedgerWaitS = 1.0;             // for the ledger to be read; the agent itself waits 4 s
-constexpr double kCommandsLostS = 2.0;           // without an answered command, though some were sent
-constexpr double kCountPeriodS = 1.0;            // how often the leader counts its own agents
-constexpr double kRecentHeartbeatPeriods = 2.5;  // heartbeat intervals within which an agent counts as heard
+constexpr double kLedgerWaitS = 1.0;             // below the 4 s after which a heartbeat times out on the agent
+constexpr double kCommandsLostAfterS = 2.0;      // if commands are sent but none is answered for this long, they do not reach agents
+constexpr double kCountPeriodS = 1.0;            // between counts of the agents that are connected directly
+constexpr double kRecentHeartbeatPeriods = 2.5;  // heartbeat intervals within which a received heartbeat is recent
 
 HttpReply redirect_to(std::string_view label) {
   return {421, redirect_body(label)};
@@ -61,13 +61,13 @@
   return handle_as_leader(lock, heartbeat, Route::forwarded);
 }
 
-HttpReply HeartbeatHandler::accepts_batches() {
+HttpReply HeartbeatHandler::answer_batch_support_query() {
   Lock lock(shared_.mutex);
   if (shared_.role == Role::follower) return unavailable_reply();
   Term& term = *shared_.term;
   const auto& config = shared_.config;
   const bool needed = config.options.relay_mode == RelayMode::automatic && term.cluster_state &&
-                      is_relay_needed(term.cluster_state->node_count(), config.settings.cpu, config.budget.clients);
+                      is_relay_needed(term.cluster_state->node_count(), config.settings.cpu, config.budget.client_connections);
   if (config.options.relay_mode == RelayMode::on || needed) term.accepts_heartbeat_batches = true;
   if (term.accepts_heartbeat_batches) return {200, "{}"};
   if (!term.cluster_state) return unavailable_reply();
@@ -99,16 +99,16 @@
   if (now - term.direct_agents_counted_at < kCountPeriodS) return term.direct_agent_count;
   term.direct_agents_counted_at = now;
   const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
-  const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent_nodes;
+  const auto recent = measure_reachability(*term.cluster_state, now, recent_s).recent_nodes;
   const auto at_relays = term.balancer.workers_at_relays(now);
-  term.direct_agent_count = heard > at_relays ? heard - at_relays : 0;
+  term.direct_agent_count = recent > at_relays ? recent - at_relays : 0;
   return term.direct_agent_count;
 }
 
 HeartbeatAnswer HeartbeatHandler::answer(const Lock& lock, const Heartbeat& heartbeat, Route route) {
   HeartbeatAnswer refused{HeartbeatAnswer::Outcome::refused, {}};
   if (heartbeat.fencing_token > shared_.term->fencing_token) {
-    // The agent has seen a later leader.
+    // The agent has received a reply or a command from a later leader.
     shared_.step_down(lock, "a worker reports a higher fencing token");
     shared_.known_leader.fencing_token = heartbeat.fencing_token;
     shared_.known_leader.label.clear();
@@ -117,17 +117,17 @@
   const double now = steady_now();
   const auto& settings = shared_.config.settings;
   const bool ledger_read = shared_.term->cluster_state != nullptr;
-  // Without the ledger for long, it answers agents without tasks for so long only.
+  // A leader that can't read the ledger renews leases for a limited time only, also those of agents without tasks.
   const double unreadable_since = shared_.ledger_unreadable_since;
-  const double span = max_partition_lease_s(settings.cancel_s, settings.lease_s);
-  if (!ledger_read && unreadable_since != 0 && now - unreadable_since > span) return refused;
+  const double max_renewal_s = max_partition_lease_s(settings.cancel_s, settings.lease_s);
+  if (!ledger_read && unreadable_since != 0 && now - unreadable_since > max_renewal_s) return refused;
   const LeadershipEvidence evidence = leadership_evidence(shared_, heartbeat, now);
-  const bool certain_or_backed = evidence.session_lease_valid || evidence.has_quorum;
+  const bool certain_or_quorum = evidence.session_lease_valid || evidence.has_quorum;
   if (decide_lease_renewal(evidence, !heartbeat.tasks.empty()) == LeaseRenewal::refuse) return refused;
-  if (route != Route::direct && !certain_or_backed) return refused;
-  if (!certain_or_backed) {
+  if (route != Route::direct && !certain_or_quorum) return refused;
+  if (!certain_or_quorum) {
     shared_.partition_lease.record_renewal(now);
-    ++metrics_.counters.kept;
+    ++metrics_.counters.partition_renewals;
   }
   ++metrics_.counters.heartbeats;
   if (!ledger_read) {
@@ -148,21 +148,21 @@
   record_lease_renewal(node, stale, now);
   record_direct_contact(node, route, stale, now);
   HeartbeatAnswer out{HeartbeatAnswer::Outcome::renewed, {}};
-  // Each answer that renews a lease carries the kills of what is cancelled, also one to a heartbeat that another overtook.
+  // Each answer that renews a lease carries the kills of cancelled jobs, even if a newer heartbeat has overtaken this one.
   const bool newest = node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial;
   out.commands = newest ? agent_messages_.due_commands(index) : kills_for_cancelled_jobs(cluster_state, index);
   record_commands_sent(node, heartbeat.serial, out.commands);
   if (!shared_.may_decide()) {
-    ++metrics_.counters.answered_in_doubt;
-    metrics_.counters.kills_in_doubt += out.commands.size();
+    ++metrics_.counters.answered_while_uncertain;
+    metrics_.counters.kills_while_uncertain += out.commands.size();
   }
   return out;
 }
 
-// An agent that stays with a peer has not tried to reach this controller: what is known is whether commands reach it.
+// An agent whose heartbeats are relayed has not tried to reach this controller; whether commands reach it is the only evidence.
 void HeartbeatHandler::record_direct_contact(Node& node, Route route, bool stale, double now) const {
   const double failing_since = shared_.term->commands_failing_since;
-  const bool commands_arrive = !node.commands.last_command_failed && (failing_since == 0 || now - failing_since < kCommandsLostS);
+  const bool commands_arrive = !node.commands.last_command_failed && (failing_since == 0 || now - failing_since < kCommandsLostAfterS);
   const bool reachable = route == Route::direct || (route == Route::relayed && commands_arrive);
   if (reachable && !stale) node.agent.last_direct_contact_at = now;
 }
@@ -175,7 +175,7 @@
   }
   Lock lock(shared_.mutex);
   HeartbeatBatchAnswer out;
-  // Of another leader, or of none: its sender looks again who leads.
+  // Answers with takeover token 0 if the batch is meant for another term; the sender then looks up the leader again.
   if (shared_.role == Role::follower) return pack(out);
   Term& term = *shared_.term;
   if (!term.accepts_heartbeat_batches || batch->takeover_token != term.takeover_token) return pack(out);
--- a/src/controller/heartbeat_handler.hpp
+++ b/src/controller/heartbeat_handler.hpp
@@ -1,6 +1,6 @@
-// Heartbeats of agents. The leader applies them to the cluster state and answers with commands, which renews the agent's lease; a
-// follower redirects the agent to the leader, relays or forwards the heartbeat, or, parted from the leader by a partition, renews
-// the lease itself for a while under its partition lease.
+// Handles heartbeats of agents. The leader applies them to the cluster state and replies with commands; each reply renews the agent's
+// lease. A follower redirects the agent to the leader, or relays or forwards the heartbeat. While partitioned from the leader, it may
+// renew the agent's lease itself under its partition lease.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -24,44 +24,44 @@
   HeartbeatHandler(SharedState& shared, CommitQueue& commit_queue, AgentMessages& agent_messages, HeartbeatRelay& relay,
                    ControllerMetrics& metrics);
 
-  // On the agent's own connection; `cache` belongs to it.
+  // Handles a heartbeat received on the agent's own connection; `cache` belongs to that connection.
   HttpReply handle(std::string_view body, HeartbeatCache& cache);
-  // Forwarded by a peer, for an agent that can't reach the leader.
+  // Handles a heartbeat that a peer forwards for an agent that can't reach the leader.
   HttpReply handle_forwarded(std::string_view body);
-  // A batch that another controller relays.
+  // Handles a batch of heartbeats relayed by a peer.
   Frame handle_batch(const Frame& frame);
-  // What a peer is told that asks whether this leader accepts batches.
-  HttpReply accepts_batches();
+  // Answers a peer that asks whether this leader accepts batches.
+  HttpReply answer_batch_support_query();
 
  private:
-  // By which way a heartbeat came to the leader.
+  // How a heartbeat reached the leader.
   enum class Route {
     direct,     // on the agent's own connection
     forwarded,  // by a peer, for an agent that can't reach the leader
-    relayed,    // in a batch, of an agent that stays with a peer
+    relayed,    // by a peer, in a batch, for an agent that stays connected to the peer
   };
 
   HttpReply handle_as_leader(Lock& lock, const Heartbeat& heartbeat, Route route);
-  // It may step down by what the heartbeat says; then the agent is refused.
+  // Steps down and refuses the agent if the heartbeat has a higher fencing token.
   HeartbeatAnswer answer(const Lock& lock, const Heartbeat& heartbeat, Route route);
   HeartbeatAnswer answer_with_commands(const Heartbeat& heartbeat, Route route, double now);
   void record_direct_contact(Node& node, Route route, bool stale, double now) const;
   HeartbeatAnswer answer_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger);
-  // Heartbeats that come while the ledger is read wait for that, for a short while.
+  // Waits up to kLedgerWaitS until the ledger has been read.
   void await_ledger(Lock& lock);
-  // Agents that report to this leader itself.
+  // The number of agents that send heartbeats directly to this leader.
   std::size_t count_direct_agents(double now);
 
   HttpReply handle_as_follower(Lock& lock, const Heartbeat& heartbeat, std::string_view body);
-  // The reply where relaying settles it; nothing where the agent is better redirected.
+  // Returns nullopt if the heartbeat was not relayed and the agent should rather be redirected.
   std::optional<HttpReply> try_relay(Lock& lock, const Heartbeat& heartbeat, double now);
   std::optional<HttpReply> relay(Lock& lock, const Heartbeat& heartbeat);
-  // Cut off with its zone: renews as soon as the partition lease becomes active.
+  // If the agent is in this controller's partitioned zone, waits until the partition lease becomes active, then renews.
   std::optional<HttpReply> await_partition_lease(Lock& lock, const Heartbeat& heartbeat, double now);
   std::optional<HttpReply> renew_in_partition(const Heartbeat& heartbeat);
-  // Whether the agent is redirected to the leader (true), or can't reach it and is served here.
+  // Whether to redirect the agent to the leader; false if the agent can't reach the leader and is to be served here.
   bool should_redirect(const Heartbeat& heartbeat, bool relaying, double now);
-  HttpReply forward(Lock& lock, std::string_view body, double asked_at);
+  HttpReply forward(Lock& lock, std::string_view body, double received_at);
 
   SharedState& shared_;
   CommitQueue& commit_queue_;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -13,39 +13,39 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kBatchPeriodS = 0.05;    // from one batch to the next, at least
-constexpr double kBatchTimeoutS = 1.2;    // for an answer
-constexpr double kAskAgainS = 2.0;        // a leader that accepted no batches may begin to
-constexpr double kAnnouncePeriodS = 1.0;  // a relay without heartbeats tells the leader that it is there
-// A leader that ended is succeeded sooner; one that can't be reached from here for longer, and still leads, is perhaps reached by
-// the agents themselves.
-constexpr double kLinkPatienceS = 2.2;
+constexpr double kMinBatchPeriodS = 0.05;       // from the start of one batch to the next
+constexpr double kBatchTimeoutS = 1.2;          // for the leader's answer
+constexpr double kSupportRecheckPeriodS = 2.0;  // a leader that accepted no batches may accept them later
+constexpr double kAnnouncePeriodS = 1.0;        // without heartbeats, empty batches tell the leader that this relay is available
+// Longer than a takeover takes. A leader that still leads, but has not answered this controller for longer, may be reachable for the
+// agents themselves.
+constexpr double kMaxLeaderFailureS = 2.2;
 constexpr double kFailurePauseS = 0.1;
-constexpr double kNoLeaderPauseS = 0.05;  // until it is looked again who leads
+constexpr double kNoLeaderPauseS = 0.05;  // until the next leader lookup
 constexpr std::size_t kMaxBatchBytes = std::size_t{256} * 1024;
 constexpr std::size_t kMaxHeartbeatsInBatch = 1024;
-constexpr std::size_t kMaxWaiting = 4096;  // heartbeats; a connection has one at a time
-constexpr double kAgentMemoryS = 20.0;     // an agent that was heard of within this time counts
-constexpr double kCountPeriodS = 1.0;
+constexpr std::size_t kMaxWaitingHeartbeats = 4096;  // one per connection
+constexpr double kAgentRetentionS = 20.0;            // an agent is forgotten this long after its last heartbeat
+constexpr double kCountPeriodS = 1.0;                // between counts of the agents
 }  // namespace
 
 HeartbeatRelay::RelayResult HeartbeatRelay::relay(const Heartbeat& heartbeat, double timeout_s) {
   std::unique_lock lock(mutex_);
   const double now = steady_now();
-  heard_at_[heartbeat.node] = now;
+  last_heartbeat_at_[heartbeat.node] = now;
   if (leader_support_ == LeaderSupport::no) return {RelayResult::Outcome::not_supported, {}, 0, 0};
-  if (waiting_.size() >= kMaxWaiting) return {};
-  WaitingHeartbeat mine;
-  mine.heartbeat = &heartbeat;
-  mine.since = now;
-  mine.until = now + timeout_s;
-  waiting_.push_back(&mine);
+  if (waiting_.size() >= kMaxWaitingHeartbeats) return {};
+  WaitingHeartbeat waiting;
+  waiting.heartbeat = &heartbeat;
+  waiting.received_at = now;
+  waiting.expires_at = now + timeout_s;
+  waiting_.push_back(&waiting);
   queue_filled_.notify_one();
-  // A heartbeat that is in a batch is waited for: the batch's own time limit is short.
-  mine.changed.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] { return mine.done; });
-  mine.changed.wait(lock, [&] { return mine.done || !mine.in_batch; });
-  if (!mine.done) std::erase(waiting_, &mine);
-  return mine.relay_result;
+  // A heartbeat that is in a batch is waited for beyond the time-out; kBatchTimeoutS bounds that.
+  waiting.changed.wait_for(lock, std::chrono::duration<double>(timeout_s), [&] { return waiting.done; });
+  waiting.changed.wait(lock, [&] { return waiting.done || !waiting.in_batch; });
+  if (!waiting.done) std::erase(waiting_, &waiting);
+  return waiting.relay_result;
 }
 
 void HeartbeatRelay::fail_waiting() {
@@ -56,11 +56,11 @@
 HeartbeatRelay::Backlog HeartbeatRelay::backlog() const {
   std::lock_guard lock(mutex_);
   Backlog out{waiting_.size(), 0};
-  for (const WaitingHeartbeat* w : waiting_) out.oldest_s = std::max(out.oldest_s, steady_now() - w->since);
+  for (const WaitingHeartbeat* w : waiting_) out.oldest_s = std::max(out.oldest_s, steady_now() - w->received_at);
   return out;
 }
 
-std::optional<std::string> HeartbeatRelay::redirect_target() {
+std::optional<std::string> HeartbeatRelay::take_redirect_target() {
   std::lock_guard lock(mutex_);
   if (redirect_count_ == 0) return std::nullopt;
   --redirect_count_;
@@ -75,97 +75,99 @@
     }
     if (stop.stop_requested()) break;
     const double began = steady_now();
-    find_leader();
-    double rest = kBatchPeriodS;
-    if (!lead_) {
-      rest = kNoLeaderPauseS;
+    refresh_leader();
+    double period_s = kMinBatchPeriodS;
+    if (!leader_) {
+      period_s = kNoLeaderPauseS;
     } else if (leader_support_ == LeaderSupport::unknown) {
-      query_leader_support(*lead_);
-      rest = leader_support_ == LeaderSupport::unknown ? kFailurePauseS : 0;
+      query_leader_support(*leader_);
+      period_s = leader_support_ == LeaderSupport::unknown ? kFailurePauseS : 0;
     } else if (leader_support_ == LeaderSupport::yes) {
-      send_batch(*lead_);
+      send_batch(*leader_);
     }
-    if (!pause_for(stop, std::max(0.0, began + rest - steady_now()))) break;
+    if (!pause_for(stop, std::max(0.0, began + period_s - steady_now()))) break;
   }
   std::lock_guard lock(mutex_);
   leader_support_ = LeaderSupport::no;
   refuse_waiting();
 }
 
-void HeartbeatRelay::find_leader() {
-  const auto now_leads = current_leader_();
+void HeartbeatRelay::refresh_leader() {
+  const auto current = find_leader_();
   std::lock_guard lock(mutex_);
-  const bool same = lead_ && now_leads && lead_->number == now_leads->number && lead_->takeover_token == now_leads->takeover_token;
-  lead_ = now_leads;
-  if (!same) {
-    heartbeats_.clear();
+  const bool unchanged =
+      leader_ && current && leader_->change_count == current->change_count && leader_->takeover_token == current->takeover_token;
+  leader_ = current;
+  if (!unchanged) {
+    encoder_.clear();
     leader_support_ = LeaderSupport::unknown;
     record_contact();
     redirect_count_ = 0;
   }
-  if (leader_support_ == LeaderSupport::no && steady_now() - asked_at_ > kAskAgainS) leader_support_ = LeaderSupport::unknown;
+  if (leader_support_ == LeaderSupport::no && steady_now() - support_determined_at_ > kSupportRecheckPeriodS)
+    leader_support_ = LeaderSupport::unknown;
 }
 
-// Older builds, and leaders whose operator has switched it off, accept no batches: agents are then redirected to the leader.
-void HeartbeatRelay::query_leader_support(const Lead& lead) {
-  const double asked = steady_now();
-  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
-  const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
+// Older builds, and leaders whose operator has switched the relay off, accept no batches; agents are then redirected to the leader.
+void HeartbeatRelay::query_leader_support(const Leader& leader) {
+  const double sent_at = steady_now();
+  const auto answer = leader.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
+  const auto reply = answer ? unpack_reply(*answer, sent_at) : std::nullopt;
   if (!reply || reply->status == 503) {
-    record_failure(asked);
+    record_failure(sent_at);
     return;
   }
   std::lock_guard lock(mutex_);
   record_contact();
-  asked_at_ = steady_now();
+  support_determined_at_ = steady_now();
   leader_support_ = reply->status == 200 ? LeaderSupport::yes : LeaderSupport::no;
   in_use_ = leader_support_ == LeaderSupport::yes;
   if (leader_support_ == LeaderSupport::no) refuse_waiting();
 }
 
-void HeartbeatRelay::send_batch(const Lead& lead) {
+void HeartbeatRelay::send_batch(const Leader& leader) {
   HeartbeatBatch batch;
-  const auto sent = collect_batch(batch, lead);
-  const double asked = steady_now();
-  const auto frame = lead.pool->ask(pack(batch), kBatchTimeoutS);
+  const auto sent = collect_batch(batch, leader);
+  const double sent_at = steady_now();
+  const auto frame = leader.pool->ask(pack(batch), kBatchTimeoutS);
   const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
-  const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_token == lead.takeover_token;
-  if (taken) {
-    apply_answer(sent, *answer, lead);
+  const bool accepted = answer && answer->answers.size() == sent.size() && answer->takeover_token == leader.takeover_token;
+  if (accepted) {
+    apply_answer(sent, *answer, leader);
     return;
   }
-  // What became of it is not known: it is sent once more, to whoever leads then, with whole heartbeats.
-  if (!frame) record_failure(asked);
+  // Outcome unknown: the heartbeats are sent again, in full, to the leader known then.
+  if (!frame) record_failure(sent_at);
   std::lock_guard lock(mutex_);
-  heartbeats_.clear();
+  encoder_.clear();
   if (leader_support_ == LeaderSupport::yes) leader_support_ = LeaderSupport::unknown;
   for (WaitingHeartbeat* waiting : sent) requeue(*waiting);
 }
 
-std::vector<HeartbeatRelay::WaitingHeartbeat*> HeartbeatRelay::collect_batch(HeartbeatBatch& batch, const Lead& lead) {
+std::vector<HeartbeatRelay::WaitingHeartbeat*> HeartbeatRelay::collect_batch(HeartbeatBatch& batch, const Leader& leader) {
   std::lock_guard lock(mutex_);
   batch.sender = label_;
-  batch.takeover_token = lead.takeover_token;
-  batch.worker_count = count_workers(steady_now());
+  batch.takeover_token = leader.takeover_token;
+  batch.worker_count = count_agents(steady_now());
   std::vector<WaitingHeartbeat*> out;
   std::size_t bytes = 0;
   while (!waiting_.empty() && out.size() < kMaxHeartbeatsInBatch && bytes < kMaxBatchBytes) {
     WaitingHeartbeat* next = waiting_.front();
     waiting_.pop_front();
-    if (steady_now() >= next->until) {
+    if (steady_now() >= next->expires_at) {
       finish(*next, RelayResult::Outcome::not_answered);
       continue;
     }
     next->in_batch = true;
-    batch.heartbeats.push_back(heartbeats_.encode(*next->heartbeat));
+    batch.heartbeats.push_back(encoder_.encode(*next->heartbeat));
     bytes += packed_size(batch.heartbeats.back());
     out.push_back(next);
   }
   return out;
 }
 
-void HeartbeatRelay::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Lead& lead) {
+void HeartbeatRelay::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Leader& leader) {
   std::lock_guard lock(mutex_);
   record_contact();
   redirect_count_ = answer.redirect_count;
@@ -174,13 +176,13 @@
     WaitingHeartbeat& w = *sent[i];
     const auto outcome = answer.answers[i].outcome;
     if (outcome == HeartbeatAnswer::Outcome::full_required) {
-      heartbeats_.forget(w.heartbeat->node);
+      encoder_.forget(w.heartbeat->node);
       requeue(w);
     } else if (outcome == HeartbeatAnswer::Outcome::retry_later) {
       requeue(w);
     } else {
-      heartbeats_.record_acknowledged(*w.heartbeat);
-      w.relay_result = {RelayResult::Outcome::answered, answer.answers[i], answer.fencing_token, lead.number};
+      encoder_.record_acknowledged(*w.heartbeat);
+      w.relay_result = {RelayResult::Outcome::answered, answer.answers[i], answer.fencing_token, leader.change_count};
       finish(w, RelayResult::Outcome::answered);
     }
   }
@@ -188,7 +190,7 @@
 
 void HeartbeatRelay::requeue(WaitingHeartbeat& waiting) {
   waiting.in_batch = false;
-  if (steady_now() >= waiting.until)
+  if (steady_now() >= waiting.expires_at)
     finish(waiting, RelayResult::Outcome::not_answered);
   else
     waiting_.push_back(&waiting);
@@ -196,17 +198,17 @@
 
 void HeartbeatRelay::record_contact() {
   failing_since_ = 0;
-  cut_off_ = false;
+  partitioned_ = false;
 }
 
-void HeartbeatRelay::record_failure(double since) {
+void HeartbeatRelay::record_failure(double sent_at) {
   const bool reaches_store = !is_in_use() || reaches_store_();
   std::lock_guard lock(mutex_);
-  cut_off_ = !reaches_store;
-  if (failing_since_ == 0) failing_since_ = since;
-  if (steady_now() - failing_since_ < kLinkPatienceS) return;
+  partitioned_ = !reaches_store;
+  if (failing_since_ == 0) failing_since_ = sent_at;
+  if (steady_now() - failing_since_ < kMaxLeaderFailureS) return;
   leader_support_ = LeaderSupport::no;
-  asked_at_ = steady_now();
+  support_determined_at_ = steady_now();
   refuse_waiting();
 }
 
@@ -215,9 +217,9 @@
   return in_use_;
 }
 
-bool HeartbeatRelay::is_cut_off() const {
+bool HeartbeatRelay::is_partitioned() const {
   std::lock_guard lock(mutex_);
-  return cut_off_;
+  return partitioned_;
 }
 
 void HeartbeatRelay::finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome) {
@@ -231,16 +233,16 @@
   waiting_.clear();
 }
 
-std::uint32_t HeartbeatRelay::count_workers(double now) {
-  if (now - counted_at_ < kCountPeriodS) return workers_;
-  counted_at_ = now;
-  std::erase_if(heard_at_, [&](const auto& heard) {
-    if (now - heard.second <= kAgentMemoryS) return false;
-    heartbeats_.forget(heard.first);
+std::uint32_t HeartbeatRelay::count_agents(double now) {
+  if (now - agents_counted_at_ < kCountPeriodS) return recent_agent_count_;
+  agents_counted_at_ = now;
+  std::erase_if(last_heartbeat_at_, [&](const auto& entry) {
+    if (now - entry.second <= kAgentRetentionS) return false;
+    encoder_.forget(entry.first);
     return true;
   });
-  workers_ = static_cast<std::uint32_t>(heard_at_.size());
-  return workers_;
+  recent_agent_count_ = static_cast<std::uint32_t>(last_heartbeat_at_.size());
+  return recent_agent_count_;
 }
 
 }  // namespace thistlefront
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -1,6 +1,6 @@
-// Relays heartbeats of the agents that report to this follower to the leader, in batches, and gives each waiting connection its
-// answer. One batch is on its way at a time, so a busy leader gets fewer and larger ones. Thread-safe; its mutex is never held
-// while SharedState::mutex is taken, nor across I/O.
+// Runs on a follower: relays the heartbeats of agents connected to it to the leader, in batches, and returns the leader's answer to
+// each waiting connection. Only one batch is outstanding at a time, so a busy leader receives fewer and larger batches. Thread-safe;
+// its mutex is never held while SharedState::mutex is acquired, nor across I/O.
 #pragma once
 #include <condition_variable>
 #include <cstdint>
@@ -22,95 +22,99 @@
 
 class HeartbeatRelay {
  public:
-  // The leader that heartbeats go to. `number` grows with each lead that this controller learns of.
-  struct Lead {
+  // The leader that heartbeats are relayed to.
+  struct Leader {
     FramePool* pool = nullptr;
-    std::uint64_t number = 0, takeover_token = 0;
+    std::uint64_t change_count = 0;  // KnownLeader::change_count
+    std::uint64_t takeover_token = 0;
   };
-  // Asked without the relay's lock; nothing where no other controller is known to lead.
-  using CurrentLeader = std::function<std::optional<Lead>()>;
+  // Returns nullopt if no other controller is known to lead. Called without the relay's mutex.
+  using FindLeader = std::function<std::optional<Leader>()>;
 
-  // What became of a heartbeat.
+  // The result for one heartbeat.
   struct RelayResult {
     enum class Outcome {
-      answered,       // by the leader: see `answer`
-      not_answered,   // in time
-      not_supported,  // the leader takes no batches, or can't be reached from here
+      answered,       // `answer` is the leader's answer
+      not_answered,   // no answer arrived in time
+      not_supported,  // the leader accepts no batches, or can't be reached from here
     };
     Outcome outcome = Outcome::not_answered;
     HeartbeatAnswer answer;
-    std::uint64_t fencing_token = 0;  // of the answer
-    std::uint64_t lead_number = 0;    // of the lead that made it
+    std::uint64_t fencing_token = 0;        // of the answer
+    std::uint64_t leader_change_count = 0;  // of the leader that answered
   };
 
-  // Whether this controller reaches the key-value store; asked by the relay's thread alone, while the leader does not answer.
+  // Whether this controller reaches the key-value store. Called only on the relay's thread, while the leader does not answer.
   using ReachesStore = std::function<bool()>;
 
-  HeartbeatRelay(std::string label, CurrentLeader current_leader, ReachesStore reaches_store)
-      : label_(std::move(label)), current_leader_(std::move(current_leader)), reaches_store_(std::move(reaches_store)) {}
+  HeartbeatRelay(std::string label, FindLeader find_leader, ReachesStore reaches_store)
+      : label_(std::move(label)), find_leader_(std::move(find_leader)), reaches_store_(std::move(reaches_store)) {}
 
-  // Waits until the leader has answered, at most this long. `heartbeat` must outlive the call.
+  // Relays the heartbeat and waits for the leader's answer. `heartbeat` must outlive the call.
   RelayResult relay(const Heartbeat& heartbeat, double timeout_s);
-  // Neither the leader nor the key-value store is reached: a partition, with this controller inside. Where the store is reached,
-  // the agents may well reach the leader themselves.
-  [[nodiscard]] bool is_cut_off() const;
-  // The latest leader that answered accepts batches: heartbeats wait for the next one to say so too.
+  // Whether this controller reaches neither the leader nor the key-value store. If it reaches the store, the agents may still reach the
+  // leader themselves.
+  [[nodiscard]] bool is_partitioned() const;
+  // Whether the latest leader that answered accepts batches. If so, heartbeats wait until its successor has answered whether it does.
   [[nodiscard]] bool is_in_use() const;
-  // This controller leads now: what waits is ended as not supported, and answered here.
+  // Called when this controller becomes the leader: ends all waiting relay() calls with not_supported, so that their heartbeats are
+  // answered here.
   void fail_waiting();
-  // Sends batches until asked to stop.
+  // Sends batches until a stop is requested.
   void run(std::stop_token stop);
 
-  // Heartbeats that wait now, and for how many seconds the one that has waited longest.
   struct Backlog {
-    std::size_t heartbeats = 0;
-    double oldest_s = 0;
+    std::size_t heartbeats = 0;  // waiting now
+    double oldest_s = 0;         // waiting time of the oldest
   };
   [[nodiscard]] Backlog backlog() const;
-  // The controller that one of the agents is to be redirected to: this relay serves more than its share. Each call counts as one.
-  std::optional<std::string> redirect_target();
+  // The controller that the calling agent is to be redirected to, while this relay serves more than its share of the agents. Each call
+  // consumes one of the redirections that the leader asked for.
+  std::optional<std::string> take_redirect_target();
 
  private:
   struct WaitingHeartbeat {
-    const Heartbeat* heartbeat = nullptr;  // of the connection that waits
-    double since = 0, until = 0;           // steady seconds
+    const Heartbeat* heartbeat = nullptr;    // owned by the waiting connection
+    double received_at = 0, expires_at = 0;  // steady seconds
     bool in_batch = false, done = false;
     RelayResult relay_result;
-    std::condition_variable changed;  // done, or no longer in a batch
+    std::condition_variable changed;  // notified when done
   };
   enum class LeaderSupport { unknown, yes, no };  // whether the leader accepts batches
 
-  void find_leader();
-  void query_leader_support(const Lead& lead);
-  void send_batch(const Lead& lead);
-  std::vector<WaitingHeartbeat*> collect_batch(HeartbeatBatch& batch, const Lead& lead);
-  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Lead& lead);
-  void record_contact();  // the leader answered
-  // The leader did not answer. Where that lasts though it still leads, agents are better redirected to it.
-  void record_failure(double since);
+  void refresh_leader();
+  void query_leader_support(const Leader& leader);
+  void send_batch(const Leader& leader);
+  std::vector<WaitingHeartbeat*> collect_batch(HeartbeatBatch& batch, const Leader& leader);
+  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Leader& leader);
+  // Called when the leader answers.
+  void record_contact();
+  // Called when the leader does not answer a call sent at `sent_at`. If that lasts although it still leads, agents are redirected to it.
+  void record_failure(double sent_at);
   void finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome);
-  // Puts it into a later batch, if its time is not over.
+  // Queues the heartbeat for a later batch, unless it has expired.
   void requeue(WaitingHeartbeat& waiting);
+  // Ends all waiting heartbeats as not supported. Called with the mutex held.
   void refuse_waiting();
-  std::uint32_t count_workers(double now);
+  std::uint32_t count_agents(double now);
 
   const std::string label_;
-  const CurrentLeader current_leader_;
+  const FindLeader find_leader_;
   const ReachesStore reaches_store_;
   mutable std::mutex mutex_;
   std::condition_variable_any queue_filled_;
   std::deque<WaitingHeartbeat*> waiting_;
-  std::optional<Lead> lead_;
+  std::optional<Leader> leader_;
   LeaderSupport leader_support_ = LeaderSupport::unknown;
-  double asked_at_ = 0;       // steady seconds: whether the leader accepts batches
-  double failing_since_ = 0;  // steady seconds: the leader does not answer this controller; 0: it does
-  HeartbeatDeltaEncoder heartbeats_;
-  NameMap<double> heard_at_;  // by worker, steady seconds
-  double counted_at_ = 0;
-  std::uint32_t workers_ = 0;  // heard of recently
+  double support_determined_at_ = 0;  // steady seconds of the latest change of leader_support_ to yes or no
+  double failing_since_ = 0;          // steady seconds since which the leader does not answer this controller; 0: it does
+  HeartbeatDeltaEncoder encoder_;
+  NameMap<double> last_heartbeat_at_;     // by node name, steady seconds
+  double agents_counted_at_ = 0;          // steady seconds
+  std::uint32_t recent_agent_count_ = 0;  // agents with a recent heartbeat, as of the latest count
   std::uint32_t redirect_count_ = 0;
   std::string redirect_target_;
-  bool cut_off_ = false;
+  bool partitioned_ = false;
   bool in_use_ = false;
 };
 
--- a/src/controller/histograms.hpp
+++ b/src/controller/histograms.hpp
@@ -6,14 +6,14 @@
 
 namespace thistlefront {
 
-// Seconds, in buckets that double.
+// A histogram of seconds. Each bucket's upper edge is twice that of the one before.
 class SecondsHistogram {
  public:
   void add(double seconds) {
     counts_(seconds);
     sum_ += seconds;
   }
-  // Lines in the text format of /metrics; `label` is empty or like class="visor".
+  // Appends the lines in the text format of /metrics; `label` is empty or of the form class="visor".
   void print(std::string& out, const std::string& name, const std::string& label) const;
 
  private:
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -221,7 +221,7 @@
   if (!shared_.may_decide() || are_most_heartbeats_relayed(shared_)) return out;
   for (const NodeIndex index : find_nodes_to_probe()) {
     const Node& node = shared_.term->cluster_state->node(index);
-    if (out.size() < shared_.config.budget.probes) out.push_back({node.name, node.address});
+    if (out.size() < shared_.config.budget.concurrent_probes) out.push_back({node.name, node.address});
   }
   return out;
 }
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -137,7 +137,7 @@
   const auto status = store.commit(transaction->body(), lease.fencing_token, failed);
   if (status == StoreStatus::ok) return lease;
   // The transaction may have been committed nevertheless: the key shows it.
-  if (status == StoreStatus::in_doubt || status == StoreStatus::conflict) {
+  if (status == StoreStatus::indeterminate || status == StoreStatus::conflict) {
     if (const auto token = find_own_fencing_token(store, leader_key_for(snapshot.active.format_version), lease.session_lease)) {
       lease.fencing_token = *token;
       return lease;
@@ -297,7 +297,7 @@
   shared_.term->hand_over_reason = reason;  // no decisions are made from here on
   commit_queue_.wait_for_progress(lock, kFinalCommitTimeoutS, [&] { return !shared_.is_term(term) || commit_queue_.is_idle(); });
   if (shared_.is_term(term)) shared_.step_down(lock, reason);
-  ++metrics_.counters.handed_over;
+  ++metrics_.counters.hand_overs;
   backoff_.extend_until(steady_now() + backoff_s);
   wait_for_outstanding_replies(lock);
   lock.unlock();
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -155,7 +155,7 @@
     std::vector<std::string> failed;
     const auto status = store.commit(transaction.body, revision, failed);
     if (status == StoreStatus::ok) return Committed{revision};
-    if (status == StoreStatus::in_doubt) transaction.has_unacknowledged_attempt = true;
+    if (status == StoreStatus::indeterminate) transaction.has_unacknowledged_attempt = true;
     if (status == StoreStatus::refused)
       spdlog::error("key-value store: transaction refused, {} bytes, {} changes, largest value {} bytes", transaction.body.size(),
                     transaction.pending.changes(), transaction.largest_value);
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -23,7 +23,7 @@
   std::string_view name, value;
 };
 
-// In the form of the text format: {name="value",...}.
+// Formats labels as {name="value",...}.
 std::string label_set(std::initializer_list<Label> labels) {
   std::string out;
   for (const auto& label : labels) {
@@ -69,7 +69,7 @@
   const Term* term = shared_.term.get();
   add_line(out, "leading", shared_.role == Role::leading ? 1 : 0);
   add_line(out, "epoch", shared_.known_leader.fencing_token);
-  add_line(out, "state_level", term ? term->active_version.format_version : 0);  // on the leader alone
+  add_line(out, "state_level", term ? term->active_version.format_version : 0);  // 0 on followers
   add_line(out, "state_level_writes", term ? term->active_version.written_version() : 0);
   add_line(out, "state_level_most", shared_.config.supported_versions.max_version);
   if (!rollout_.blocked_by().empty()) add_line(out, "state_level_waits_for" + label_set({{"reason", rollout_.blocked_by()}}), 1);
@@ -95,18 +95,18 @@
   add_line(out, "start_stalled_seconds", shared_.start_stall_detector.stalled_for(steady_now()));
   add_line(out, "reports_total", counters.heartbeats.load());
   add_line(out, "reports_repeated_total", counters.repeated_heartbeats.load());
-  add_line(out, "reports_passed_on_total", counters.relayed.load());
+  add_line(out, "reports_passed_on_total", counters.relayed_heartbeats.load());
   const auto backlog = relay_.backlog();
   add_line(out, "intake_waiting", backlog.heartbeats);
   add_line(out, "intake_oldest_seconds", backlog.oldest_s);
   add_line(out, "suspected_jobs_total", counters.suspected.load());
   add_line(out, "machines_set_aside_total", counters.cordoned.load());
   add_line(out, "machines_deaf_total", counters.unresponsive.load());
-  add_line(out, "handed_over_total", counters.handed_over.load());
-  add_line(out, "kept_in_cuts_total", counters.kept.load());
-  add_line(out, "answered_in_doubt_total", counters.answered_in_doubt.load());
-  add_line(out, "kills_in_doubt_total", counters.kills_in_doubt.load());
-  add_line(out, "cancellations_not_confirmed_total", counters.unconfirmed_cancellation.load());
+  add_line(out, "handed_over_total", counters.hand_overs.load());
+  add_line(out, "kept_in_cuts_total", counters.partition_renewals.load());
+  add_line(out, "answered_in_doubt_total", counters.answered_while_uncertain.load());
+  add_line(out, "kills_in_doubt_total", counters.kills_while_uncertain.load());
+  add_line(out, "cancellations_not_confirmed_total", counters.unconfirmed_cancellations.load());
   add_line(out, "ledger_queue", commit_queue_.size());
 }
 
@@ -116,12 +116,12 @@
   add_line(out, "renewals_late_seconds", metrics_.counters.renewal_lag_s.load());
   add_line(out, "threads_budget", budget.threads);
   add_line(out, "client_connections", connections.clients);
-  add_line(out, "client_connections_most", budget.clients);
+  add_line(out, "client_connections_most", budget.client_connections);
   add_line(out, "peer_connections", connections.peers);
-  add_line(out, "peer_connections_most", budget.peers);
+  add_line(out, "peer_connections_most", budget.peer_connections);
   add_line(out, "senders", load.threads);
   add_line(out, "senders_busy", load.busy_threads);
-  add_line(out, "senders_most", budget.senders);
+  add_line(out, "senders_most", budget.sender_threads);
   add_line(out, "worker_connections", load.connections);
   add_line(out, "worker_connections_most", budget.worker_connections);
   add_line(out, "workers_due", load.due_nodes);
--- a/src/controller/metrics_reporter.hpp
+++ b/src/controller/metrics_reporter.hpp
@@ -1,4 +1,4 @@
-// The text of /metrics. The names of the metrics are what dashboards know; they stay as they are.
+// Produces the text of /metrics. Dashboards depend on the metric names, so these must not change.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace thistlefront {
 
-// Connections that the controller has accepted.
+// Numbers of connections that the controller has accepted.
 struct AcceptedConnections {
   std::size_t clients = 0, peers = 0;
 };
--- a/src/controller/options.hpp
+++ b/src/controller/options.hpp
@@ -1,4 +1,4 @@
-// The operator's own options: command-line flags and environment variables, with their defaults.
+// Options set by the operator through command-line flags or environment variables, with their defaults.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,17 +9,17 @@
 namespace thistlefront {
 
 struct Options {
-  double weight = 0.1 / 3600;       // of a second waited, in a job's key
-  double pass_period_s = 0.1;       // least time between scheduling passes
-  double overrun_s = 5;             // a task that overruns its estimate counts as ending this long after the pass
+  double wait_weight = 0.1 / 3600;  // weight of one second of waiting in a job's sort key
+  double pass_period_s = 0.1;       // minimum time between scheduling passes
+  double overrun_s = 5;             // a task that exceeds its estimate is expected to end this long after the pass
   unsigned leader_lease_ms = 1300;  // time to live of the session lease that the leader's key is attached to
-  std::size_t threads = 2000;       // that the process may have
-  std::uint32_t max_format_version = rollout::kMaxFormatVersion;  // highest one that this controller lets be activated
-  double format_version_soak_s = 2;  // a version is activated when all controllers have supported it for so long
-  // Only set by tests, to play an older build: the highest version that this process can read.
+  std::size_t threads = 2000;       // maximum of the process
+  std::uint32_t max_format_version = rollout::kMaxFormatVersion;  // highest version that this controller allows to be activated
+  double format_version_soak_s = 2;  // a version is activated once all controllers have supported it for this long
+  // The highest version that this process can read. Set only by tests, to simulate an older build.
   std::uint32_t max_readable_format_version = rollout::kMaxFormatVersion;
-  bool scale_out = true;                        // request machines for work that can't be served in time
-  RelayMode relay_mode = RelayMode::automatic;  // workers may report to any controller, which relays their heartbeats
+  bool scale_out = true;                        // request instances for work that can't start in time
+  RelayMode relay_mode = RelayMode::automatic;  // whether agents may send heartbeats to any controller, which relays them
 };
 
 }  // namespace thistlefront
--- a/src/controller/request_handler.hpp
+++ b/src/controller/request_handler.hpp
@@ -1,5 +1,5 @@
-// Requests of users: submissions, polls and cancellations. A leader answers from its cluster state; a follower forwards to the
-// leader.
+// Handles users' requests: submissions, polls and cancellations. A leader answers from its cluster state; a follower forwards the
+// request to the leader.
 #pragma once
 #include <optional>
 #include <random>
@@ -19,36 +19,37 @@
  public:
   RequestHandler(SharedState& shared, CommitQueue& commit_queue, CommandSender& commands, ControllerMetrics& metrics);
 
-  // A request as a user sent it.
+  // Handles a request received from a user.
   HttpReply handle(const UserRoute& route, const HttpCall& call);
-  // The same on a controller that is to answer itself: it leads, or a peer took it for the leader.
+  // Answers a request here, without forwarding it: on the leader, or on a controller that a peer took for the leader.
   HttpReply answer(const UserRoute& route, std::string_view body);
-  // 200 while this controller can take requests.
+  // Status 200 while this controller can serve requests, else 503.
   HttpReply health() const;
 
  private:
   HttpReply forward(Lock& lock, const UserRoute& route, const HttpCall& call);
-  // One try; nothing where no leader can be asked.
   struct ForwardResult {
-    std::optional<HttpReply> reply;
-    bool asked = false;
+    std::optional<HttpReply> reply;  // nullopt: no valid reply from the leader
+    bool sent = false;               // false: no leader to send to, or no time left
   };
-  ForwardResult ask_leader(Lock& lock, const HttpCall& call, double began);
+  // Makes one attempt.
+  ForwardResult forward_once(Lock& lock, const HttpCall& call, double began);
 
   UserAnswer submit(Lock& lock, std::string_view body);
-  // The reply that refuses the submission or puts it off; nothing where it can be accepted.
-  std::optional<HttpReply> reason_not_to_accept(const JobSpec& spec);
-  std::optional<HttpReply> reason_not_to_accept_dependencies(const JobSpec& spec);
-  // Queues the acceptance; its ticket, or the reply that refuses it.
+  // The reply that rejects or defers the submission; nullopt if it can be accepted.
+  std::optional<HttpReply> rejection_reply(const JobSpec& spec);
+  std::optional<HttpReply> dependency_rejection_reply(const JobSpec& spec);
+  // Queues the acceptance and sets `ticket`; returns a reply instead if the submission is rejected or deferred.
   std::optional<HttpReply> queue_acceptance(JobSpec spec, std::uint64_t& ticket);
   UserAnswer await_acceptance(Lock& lock, const std::string& uid, std::uint64_t ticket);
   UserAnswer poll(const std::string& uid);
   UserAnswer cancel(Lock& lock, const std::string& uid);
-  // A job as the cluster state has it: its end is final, if it may be told; all else only while this controller leads for certain.
+  // The job as in the cluster state. The status of an ended job is final, if it may be confirmed; any other status is reported only
+  // while leadership is certain.
   UserAnswer describe(const Job& job, unsigned status, bool with_counts);
   HttpReply unconfirmed_cancellation_reply();
-  HttpReply refuse(unsigned status, std::string_view reason);
-  // Whether the verdict on the job may change once its team's quota is the same on all controllers.
+  HttpReply reject(unsigned status, std::string_view reason);
+  // Whether the decision on the job may change once its team's quota is the same on all controllers.
   [[nodiscard]] bool is_quota_changing_for(const JobSpec& spec) const;
   [[nodiscard]] bool is_ledger_failing() const;
 
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -140,7 +140,7 @@
   // If the outcome is unknown, or an earlier attempt may have been committed, nothing is written until the keys have been read: neither
   // the format version nor the fencing token is known.
   std::optional<rollout::LeadershipSnapshot> snapshot;
-  if (status == StoreStatus::conflict || status == StoreStatus::in_doubt) {
+  if (status == StoreStatus::conflict || status == StoreStatus::indeterminate) {
     snapshot = read_keys(store, stop, term);
     if (!snapshot) {
       lock.lock();
--- a/src/controller/scale_out_manager.hpp
+++ b/src/controller/scale_out_manager.hpp
@@ -1,4 +1,5 @@
-// Requests machines from the cloud for work that has no slot in time. What to request is decided by scheduling/scale_out.
+// Requests instances from the cloud for work that can't start in time on the present nodes. scheduling/scale_out chooses what to
+// request.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,33 +14,34 @@
 class ScaleOutManager {
  public:
   explicit ScaleOutManager(SharedState& shared) : shared_(shared) {}
-  // Makes as many requests as are worth it and as the cloud's limit allows in one round.
+  // Sends requests while there is unmet demand, up to the share of the cloud's rate limit for one round.
   void run(HttpClient& cloud);
 
  private:
-  // A request with the name that makes its repetition harmless.
+  // The name makes the request idempotent: the cloud executes a repeated request only once.
   struct NamedRequest {
     std::uint64_t term = 0;
     std::string name, machine_type;
     ScaleOutRequest request;
   };
 
-  // Makes one request; whether another may be made at once.
-  bool request_machines(HttpClient& cloud);
-  // The request that has no answer yet, or a new one; nothing where none is worth it.
+  // Sends one request. Returns whether another may be sent at once.
+  bool request_instances(HttpClient& cloud);
+  // The unacknowledged request, if there is one, else a new one; nullopt if nothing is to be requested.
   std::optional<NamedRequest> next_request();
-  std::optional<ScaleOutRequest> choose(double now);
-  // Whether the cloud answered clearly.
+  std::optional<ScaleOutRequest> choose_request(double now);
+  // Returns whether the response settles the request: granted, or refused for lack of capacity.
   bool apply_response(const NamedRequest& sent, const HttpResult& response);
   void apply_granted(const NamedRequest& sent, const std::string& body);
-  void refuse_offer_for_now(const NamedRequest& sent);
-  [[nodiscard]] bool is_worth_it(const Job& job, double wall) const;
-  // Whether all that is up is known, so that what seems to be missing is not requested twice.
+  void suspend_offer(const NamedRequest& sent);
+  // Whether instances may be requested for this job now.
+  [[nodiscard]] bool needs_scale_out(const Job& job, double wall_now_s) const;
+  // Whether all running instances are known, so that none is requested a second time.
   [[nodiscard]] bool is_fleet_known(double now) const;
 
   SharedState& shared_;
-  // Of the cloud duty's thread alone:
-  std::optional<NamedRequest> pending_;  // sent, and not answered
+  // Used only by CloudManager's thread:
+  std::optional<NamedRequest> unacknowledged_;  // the latest request, until it is answered
   std::uint64_t request_count_ = 0;
 };
 
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -20,7 +20,7 @@
 
 PassParameters make_pass_parameters(const ControllerConfig& config) {
   PassParameters out;
-  out.weight = config.options.weight;
+  out.weight = config.options.wait_weight;
   out.overrun_s = config.options.overrun_s;
   out.heartbeat_interval_s = config.settings.heartbeat_interval_s;
   for (const auto& objective : config.settings.objectives)
--- a/src/controller/service_monitor.cpp
+++ b/src/controller/service_monitor.cpp
@@ -10,19 +10,19 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kLongWaitS = 60.0;       // without a start: reported
-constexpr double kPendingPeriodS = 30.0;  // between looks at what is pending
-constexpr double kMaxGapS = 10.0;         // a longer one was not observed by this leader
+constexpr double kLongWaitS = 60.0;             // work unstarted for longer is logged
+constexpr double kPendingReportPeriodS = 30.0;  // between reports of pending work
+constexpr double kMaxObservationGapS = 10.0;    // after a longer gap this controller may not have led in between
 }  // namespace
 
 void ServiceMonitor::observe() {
   Lock lock(shared_.mutex);
   const double now = steady_now();
-  const double since = std::exchange(observed_at_, now);
+  const double previous = std::exchange(observed_at_, now);
   if (!shared_.may_decide()) return;
-  if (now - since < kMaxGapS) metrics_.service_levels.add_replica_time(*shared_.term->cluster_state, now - since);
+  if (now - previous < kMaxObservationGapS) metrics_.service_levels.add_replica_time(*shared_.term->cluster_state, now - previous);
   report_stalled_starts(now);
-  if (now - pending_reported_at_ < kPendingPeriodS) return;
+  if (now - pending_reported_at_ < kPendingReportPeriodS) return;
   pending_reported_at_ = now;
   report_pending_work();
   correct_quota_accounts();
--- a/src/controller/service_monitor.hpp
+++ b/src/controller/service_monitor.hpp
@@ -1,5 +1,5 @@
-// Watches on the leader how well work is served, for the operator's log and the metrics: stalled starts, what is pending for long
-// and why, the time that replicas were up, and quota accounts that differ from what is placed.
+// Monitors on the leader how well work is served, for the operator's log and the metrics: stalled starts, tasks pending for long and
+// the reason, the running time of service replicas, and quota accounts that differ from the placed tasks.
 #pragma once
 #include "controller/commit_queue.hpp"
 #include "controller/controller_metrics.hpp"
@@ -11,7 +11,7 @@
  public:
   ServiceMonitor(SharedState& shared, CommitQueue& commit_queue, ControllerMetrics& metrics)
       : shared_(shared), commit_queue_(commit_queue), metrics_(metrics) {}
-  // To be called every second or so.
+  // Called by CloudManager about once a second.
   void observe();
 
  private:
@@ -22,7 +22,7 @@
   SharedState& shared_;
   CommitQueue& commit_queue_;
   ControllerMetrics& metrics_;
-  // Of the cloud duty's thread alone, steady seconds:
+  // Steady seconds; used only by CloudManager's thread:
   double observed_at_ = 0;
   double pending_reported_at_ = 0;
 };
--- a/src/controller/shared_state.cpp
+++ b/src/controller/shared_state.cpp
@@ -15,7 +15,7 @@
   for (const auto& peer : config.settings.peers) {
     PeerLink link;
     link.peer = peer;
-    link.calls = std::make_unique<FramePool>(peer.address, ResourceBudget::kCallsToAPeer);
+    link.calls = std::make_unique<FramePool>(peer.address, ResourceBudget::kCallConnectionsPerPeer);
     link.heartbeats = std::make_unique<FramePool>(peer.address, 1);
     peers.push_back(std::move(link));
   }
--- a/src/controller/user_answer.hpp
+++ b/src/controller/user_answer.hpp
@@ -1,4 +1,4 @@
-// Answers to users, and the replies with an error that several handlers give.
+// Answers to users, and error replies shared by several handlers.
 #pragma once
 #include <string_view>
 #include <utility>
@@ -11,13 +11,13 @@
 inline constexpr const char* kUnavailable = "not available now";
 
 HttpReply error_reply(unsigned status, std::string_view reason, int retry_after_s = 0);
-// 503: to be asked again.
+// Status 503 with a Retry-After header.
 HttpReply unavailable_reply(std::string_view reason = kUnavailable);
 
-// What a user is told. What another leader may make untrue is good for a short time only: RequestHandler limits each answer that
-// is not marked as final.
+// An answer to a user. An answer that another leader's decisions could make outdated is valid for a short time only: RequestHandler
+// limits the validity of each answer that is not final.
 struct UserAnswer {
-  UserAnswer(HttpReply r) : reply(std::move(r)) {}  // NOLINT(google-explicit-constructor): nearly all answers are made of a reply
+  UserAnswer(HttpReply r) : reply(std::move(r)) {}  // NOLINT(google-explicit-constructor): nearly all answers are made from a reply
   static UserAnswer final_answer(HttpReply r) {
     UserAnswer answer(std::move(r));
     answer.is_final = true;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// The thistlefront program: reads flags, variables and the platform's settings, and runs one controller until a signal ends it.
+// The thistlefront program: reads flags, environment variables and the platform's settings file, and runs a controller until SIGTERM or
+// SIGINT.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -25,36 +26,37 @@
 constexpr int kBadConfiguration = 2;
 
 void add_scheduling_options(CLI::App& app, Options& options) {
-  app.add_option("--weight", options.weight, "weight of a second waited in the key")
+  app.add_option("--weight", options.wait_weight, "weight of one second of waiting in a job's sort key")
       ->envname("THISTLEFRONT_WEIGHT")
       ->check(CLI::Range(0.0, 1e6))
       ->capture_default_str();
-  app.add_option("--pass-period", options.pass_period_s, "least seconds between passes")
+  app.add_option("--pass-period", options.pass_period_s, "minimum seconds between scheduling passes")
       ->envname("THISTLEFRONT_PASS_PERIOD")
       ->check(CLI::Range(0.01, 60.0))
       ->capture_default_str();
-  app.add_option("--overrun", options.overrun_s, "seconds after the pass at which an overrun counts as ending")
+  app.add_option("--overrun", options.overrun_s,
+                 "a task that exceeds its estimate is expected to end this many seconds after the scheduling pass")
       ->envname("THISTLEFRONT_OVERRUN")
       ->check(CLI::Range(0.1, 86400.0))
       ->capture_default_str();
-  app.add_option("--rent", options.scale_out, "request machines from the cloud for work that can't be served in time")
+  app.add_option("--rent", options.scale_out, "request instances from the cloud for work that can't start in time")
       ->envname("THISTLEFRONT_RENT")
       ->capture_default_str();
 }
 
 void add_coordination_options(CLI::App& app, Options& options) {
   static const std::map<std::string, RelayMode> kRelayModes{{"off", RelayMode::off}, {"on", RelayMode::on}, {"auto", RelayMode::automatic}};
-  app.add_option("--hold-ms", options.leader_lease_ms, "time to live of the leader's lease, milliseconds")
+  app.add_option("--hold-ms", options.leader_lease_ms, "time to live of the leader lease in milliseconds")
       ->envname("THISTLEFRONT_HOLD_MS")
       ->check(CLI::Range(500u, 600000u))
       ->capture_default_str();
-  app.add_option("--threads", options.threads, "threads that the process may have")
+  app.add_option("--threads", options.threads, "maximum number of threads of the process")
       ->envname("THISTLEFRONT_THREADS")
-      ->check(CLI::Range(thistlefront::ResourceBudget::kLeastThreads, std::size_t{1000000}))
+      ->check(CLI::Range(thistlefront::ResourceBudget::kMinThreads, std::size_t{1000000}))
       ->capture_default_str();
   app.add_option("--state-level-most", options.max_format_version,
-                 "highest format version (state level) that this controller lets be activated; a majority held below the active one "
-                 "lowers it")
+                 "highest format version (state level) that this controller allows to be activated; if a majority allows only lower ones, "
+                 "the active version is lowered")
       ->envname("THISTLEFRONT_STATE_LEVEL_MOST")
       ->check(CLI::Range(thistlefront::rollout::kMinFormatVersion, thistlefront::rollout::kMaxFormatVersion))
       ->capture_default_str();
@@ -64,13 +66,13 @@
       ->check(CLI::Range(0.0, 604800.0))
       ->capture_default_str();
   app.add_option("--intake", options.relay_mode,
-                 "workers stay with any controller, which relays their heartbeats to the leader in batches: on, off or auto")
+                 "agents may connect to any controller, which relays their heartbeats to the leader in batches: on, off or auto")
       ->envname("THISTLEFRONT_INTAKE")
       ->transform(CLI::CheckedTransformer(kRelayModes))
       ->default_str("auto");
 }
 
-// False, with a line on standard error, where LOG_LEVEL has no known value.
+// Returns false and prints an error if the value of LOG_LEVEL is unknown.
 bool set_up_logging() {
   auto logger = spdlog::stderr_logger_mt("thistlefront");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v", spdlog::pattern_time_type::utc);
@@ -94,7 +96,7 @@
   }
 }
 
-// Serves until SIGTERM or SIGINT. The thread that waits for these is the only one that takes them.
+// Serves until SIGTERM or SIGINT. Both are blocked in all threads; this one waits for them.
 int run_controller(thistlefront::Settings settings, const Options& options) {
   sigset_t signals;
   sigemptyset(&signals);
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -329,7 +329,7 @@
 // With more connections than the process may have threads for, idle connections are closed and nothing else is affected.
 TEST(Leadership, KeepsLeadingAndServingUsersBeyondTheConnectionBudget) {
   Options few_threads;
-  few_threads.threads = ResourceBudget::kLeastThreads;
+  few_threads.threads = ResourceBudget::kMinThreads;
   Cluster c(1, 1, {few_threads});
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto fencing_token = std::to_string(c.state.fencing_token());
@@ -345,7 +345,7 @@
   const auto line_start = metrics.find("thistlefront_client_connections ");
   ASSERT_NE(line_start, std::string::npos);
   EXPECT_LE(std::stoul(metrics.substr(line_start + 32)),
-            split_resource_budget(few_threads.threads, 400, 0).clients + ResourceBudget::kOver);
+            split_resource_budget(few_threads.threads, 400, 0).client_connections + ResourceBudget::kMaxClosingConnections);
 }
 
 // A process may be suspended between making a reply and sending it, so the server rechecks the reply's validity just before sending.
