--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -1,5 +1,5 @@
-// Users who ask all controllers within milliseconds, and repeat the submission, right after a job was accepted, ended or cancelled: no
-// controller may answer with an older state than any other one told before it was asked, nor give an answer that was held up on its way
+// Users poll all controllers within milliseconds, and repeat the submission, right after a job was accepted, has ended or was cancelled.
+// No controller may reply with an older state than another controller replied before the request was sent, nor deliver a delayed reply
 // after another leader could have given a newer one. docs/design.md, "What a freeze just there does".
 #include <gtest/gtest.h>
 
@@ -11,101 +11,103 @@
 using test_support::status_of;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
-constexpr std::size_t kEnoughQuestions = 10;       // that a deposed leader must be asked while a fault lasts: more than this
-constexpr double kLongestFault = 20;               // seconds
+constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // seconds: heartbeat interval, lease, cancellation limit, image pull
+constexpr std::size_t kSufficientCalls = 10;       // a deposed leader must receive more calls than this during a fault
+constexpr double kMaxFaultS = 20;
 
-// An answer that the leader gave is held up on its way through a follower until the next leader has told a user something newer. The
-// follower must not give the older answer to its user then.
-struct HeldRequest {
+// The leader's answer to a request forwarded by a follower is delayed until the next leader has given a user a newer answer. The follower
+// must not deliver the older answer to its user then.
+struct DelayedRequest {
   const char* name;
-  bool known;                        // the job is accepted before
-  const char *method, *path, *body;  // null: the submission of the job
-  friend std::ostream& operator<<(std::ostream& out, const HeldRequest& held) { return out << held.name; }
+  bool job_accepted;  // the job is accepted before the request
+  // `method` null: a submission. `path`: after the job's path. `body`: of a submission, after the uid; null: a valid job.
+  const char *method, *path, *body;
+  friend std::ostream& operator<<(std::ostream& out, const DelayedRequest& request) { return out << request.name; }
 };
-class HeldAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<HeldRequest> {
+class DelayedAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<DelayedRequest> {
  protected:
-  HeldAnswer() : ClusterFixture(kTimes) {}
+  DelayedAnswer() : ClusterFixture(kTimes) {}
 };
-TEST_P(HeldAnswer, IsNotGivenAfterANewerOne) {
-  const HeldRequest& held = GetParam();
+TEST_P(DelayedAnswer, IsNotDeliveredAfterANewerOne) {
+  const DelayedRequest& request = GetParam();
   Options options = test_support::fixed_version_options();
-  options.leader_lease_ms = 500;  // another controller leads well within the time that a follower waits
+  options.leader_lease_ms = 500;  // another controller takes over well within the follower's forwarding time-out
   start_cluster(3, 0, "", options);
-  bool met = false;
-  for (int round = 1; round <= 4 && !met; ++round) {
+  bool delayed_past_takeover = false;
+  for (int round = 1; round <= 4 && !delayed_past_takeover; ++round) {
     const std::string uid = "j-" + std::to_string(round);
-    if (held.known) {
+    if (request.job_accepted) {
       ASSERT_TRUE(cluster->submit_until(uid, 20));
     }
     ASSERT_TRUE(cluster->submit_until("j-9", 20));
     const auto leader = cluster->leader(), follower = (leader + 1) % 3, next = (leader + 2) % 3;
     ASSERT_TRUE(cluster->eventually(10, [&] { return cluster->ask(follower, "GET", "/v1/jobs/j-9").is(200); }));
-    // The follower does not learn of the next leader.
+    // Keeps the follower from learning of the next leader.
     network_relays.at({next, follower})->cut(true);
     network_relays.at({follower, leader})->hold_answers(true);
     HttpResult answer;
-    double answered = 0;
+    double answered_at = 0;
     std::jthread user([&] {
-      answer = held.method
-                   ? cluster->ask(follower, held.method, "/v1/jobs/" + uid + held.path, "")
-                   : cluster->ask(follower, "POST", "/v1/jobs", held.body ? R"({"uid":")" + uid + held.body : test_support::job_body(uid));
-      answered = steady_now();
+      answer = request.method ? cluster->ask(follower, request.method, "/v1/jobs/" + uid + request.path, "")
+                              : cluster->ask(follower, "POST", "/v1/jobs",
+                                             request.body ? R"({"uid":")" + uid + request.body : test_support::job_body(uid));
+      answered_at = steady_now();
     });
     wait(0.1);
     cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = true;
-    std::string newer;
+    std::string newer_status;
     cluster->eventually(1.4, [&] {
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
-      newer =
-          status_of(held.known || !held.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw") : cluster->submit(next, uid));
-      if (newer == "unknown") newer = status_of(cluster->submit(next, uid));  // a job that was refused before
-      return !newer.empty();
+      newer_status = status_of(request.job_accepted || !request.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw")
+                                                                       : cluster->submit(next, uid));
+      if (newer_status == "unknown") newer_status = status_of(cluster->submit(next, uid));  // the delayed submission was refused
+      return !newer_status.empty();
     });
-    met = !newer.empty() && answered == 0;
+    delayed_past_takeover = !newer_status.empty() && answered_at == 0;
     const double released_at = steady_now();
     network_relays.at({follower, leader})->hold_answers(false);
     user.join();
-    // Only an answer that came when it was let through, and not at its time limit, shows anything.
-    met = met && answered - released_at < 0.3;
-    if (met) {
-      EXPECT_TRUE(answer.is(503)) << held.name << ": " << answer.status << " " << answer.body << " after " << newer;
+    // The round counts only if the answer arrived on its release and not at the follower's time-out.
+    delayed_past_takeover = delayed_past_takeover && answered_at - released_at < 0.3;
+    if (delayed_past_takeover) {
+      EXPECT_TRUE(answer.is(503)) << request.name << ": " << answer.status << " " << answer.body << " after " << newer_status;
     }
     cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = false;
     network_relays.at({next, follower})->cut(false);
   }
-  EXPECT_TRUE(met) << "the answer was held while another one led";
+  EXPECT_TRUE(delayed_past_takeover) << "in no round was the answer delayed until another controller led";
 }
-INSTANTIATE_TEST_SUITE_P(Kinds, HeldAnswer,
-                         testing::Values(HeldRequest{"poll", true, "GET", "", nullptr},
-                                         HeldRequest{"first", false, nullptr, nullptr, nullptr},
-                                         HeldRequest{"repeat", true, nullptr, nullptr, nullptr},
-                                         HeldRequest{"unknown", false, "GET", "", nullptr},
-                                         HeldRequest{"withdrawal", false, "POST", "/withdraw", nullptr},
-                                         HeldRequest{"malformed", false, nullptr, nullptr, "\",\"pieces\":-1}"}),
+INSTANTIATE_TEST_SUITE_P(RequestKinds, DelayedAnswer,
+                         testing::Values(DelayedRequest{"poll", true, "GET", "", nullptr},
+                                         DelayedRequest{"first_submission", false, nullptr, nullptr, nullptr},
+                                         DelayedRequest{"repeated_submission", true, nullptr, nullptr, nullptr},
+                                         DelayedRequest{"poll_of_unknown_job", false, "GET", "", nullptr},
+                                         DelayedRequest{"cancellation", false, "POST", "/withdraw", nullptr},
+                                         DelayedRequest{"malformed_submission", false, nullptr, nullptr, "\",\"pieces\":-1}"}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-class CloseLooks : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
+class ConcurrentPolls : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
  protected:
-  CloseLooks() : ClusterFixture(kTimes) {}
-  void look(const std::string& uid, std::size_t replica, bool submission) {
-    const bool at_deposed = deposed == replica && newer_told.load();
-    const auto status = submission ? submit(replica, uid) : poll(replica, uid);
-    if (at_deposed && deposed == replica) ++asked_deposed;
-    if (status == "done" || status == "aborted") ++told_ended;
+  ConcurrentPolls() : ClusterFixture(kTimes) {}
+  void poll_or_submit(const std::string& uid, std::size_t controller, bool submission) {
+    const bool is_deposed = deposed == controller && newer_answer_given.load();
+    const auto status = submission ? submit(controller, uid) : poll(controller, uid);
+    if (is_deposed && deposed == controller) ++calls_to_deposed;
+    if (status == "done" || status == "aborted") ++final_answers;
   }
-  // Asks all controllers at once, four times each, submissions among them.
-  void look_everywhere(const std::string& uid) {
-    std::vector<std::jthread> lookers;
+  // Calls all controllers at the same time, each four times: two polls and two submissions.
+  void call_all_controllers(const std::string& uid) {
+    std::vector<std::jthread> users;
     for (std::size_t i = 0; i < cluster->users.size(); ++i) {
-      lookers.emplace_back([this, uid, i] {
-        for (int k = 0; k < 4; ++k) look(uid, i, k % 2 == 1);
+      users.emplace_back([this, uid, i] {
+        for (int k = 0; k < 4; ++k) poll_or_submit(uid, i, k % 2 == 1);
       });
     }
   }
-  void use(unsigned user) {
+  // Submits jobs and follows each until it is done or cancelled.
+  void simulate_user(unsigned user) {
     std::mt19937 random(user);
-    for (int n = 1; !over; ++n) {
+    for (int n = 1; !stop_users; ++n) {
       const std::string uid = "j-" + std::to_string(user * 1000 + n);
       checker.submitted({uid, "red", "batch", "", 2, 1, 0.3 + 0.1 * (random() % 6)}, steady_now());
       const bool cancels = random() % 3 == 0;
@@ -114,66 +116,67 @@
         const auto status = submit(random() % cluster->users.size(), uid);
         return !status.empty() && status != "refused";
       };
-      while (!over && !accepted()) wait(0.05);
-      if (over) break;
-      newer_told = true;
-      if (!cancels || random() % 2) look_everywhere(uid);
-      for (const double until = steady_now() + 6; steady_now() < until && !over; wait(0.02)) {
-        const auto replica = random() % cluster->users.size();
-        const auto status = cancels ? withdraw(replica, uid) : poll(replica, uid);
+      while (!stop_users && !accepted()) wait(0.05);
+      if (stop_users) break;
+      newer_answer_given = true;
+      if (!cancels || random() % 2) call_all_controllers(uid);
+      for (const double until = steady_now() + 6; steady_now() < until && !stop_users; wait(0.02)) {
+        const auto controller = random() % cluster->users.size();
+        const auto status = cancels ? withdraw(controller, uid) : poll(controller, uid);
         if (status != "done" && status != "aborted") continue;
-        look_everywhere(uid);
+        call_all_controllers(uid);
         break;
       }
     }
   }
-  // Questions to a deposed leader after others told something newer, while it does not know that another one leads.
-  std::atomic<std::size_t> asked_deposed{0}, told_ended{0};
-  std::atomic<std::size_t> deposed{SIZE_MAX};
-  std::atomic<bool> newer_told{false}, over{false};
+  // Calls to a deposed leader that does not know of its successor, made after other controllers gave newer answers.
+  std::atomic<std::size_t> calls_to_deposed{0};
+  std::atomic<std::size_t> final_answers{0};   // "done" or "aborted"
+  std::atomic<std::size_t> deposed{SIZE_MAX};  // index of the controller; SIZE_MAX: none
+  std::atomic<bool> newer_answer_given{false}, stop_users{false};
 };
 
-TEST_P(CloseLooks, NoControllerAnswersSomethingOlder) {
+TEST_P(ConcurrentPolls, NoControllerRepliesWithAnOlderStateThanBefore) {
   const auto n = GetParam();
   start_cluster(n, 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   std::vector<std::jthread> users;
-  for (unsigned u = 1; u <= 3; ++u) users.emplace_back([this, u] { use(u); });
-  std::vector<std::size_t> asked;
-  // The fault lasts for `for_s`, and longer until the deposed leader was asked `questions` times: how many fall into a fixed time depends
-  // on how busy the machine is.
-  const auto depose = [&](std::size_t leader, double for_s, std::size_t questions, const std::function<void(bool)>& fault) {
-    fault(true);
+  for (unsigned u = 1; u <= 3; ++u) users.emplace_back([this, u] { simulate_user(u); });
+  std::vector<std::size_t> calls_by_fault;
+  // The fault lasts for at least `for_s`, and until the deposed leader has received `min_calls` calls or kMaxFaultS have passed. The number
+  // of calls in a fixed time depends on the load of the machine.
+  const auto depose = [&](std::size_t leader, double for_s, std::size_t min_calls, const std::function<void(bool)>& set_fault) {
+    set_fault(true);
     EXPECT_TRUE(cluster->eventually(10, [&] {
-      const auto now = cluster->state.leader();
-      return !now.empty() && now != "host-" + std::to_string(leader);
+      const auto current = cluster->state.leader();
+      return !current.empty() && current != "host-" + std::to_string(leader);
     }));
-    newer_told = false;  // only what is told from now on counts
+    newer_answer_given = false;  // only answers given from now on count
     deposed = leader;
-    const auto before = asked_deposed.load();
+    const auto before = calls_to_deposed.load();
     wait(for_s);
-    cluster->eventually(kLongestFault - for_s, [&] { return asked_deposed - before >= questions; });
+    cluster->eventually(kMaxFaultS - for_s, [&] { return calls_to_deposed - before >= min_calls; });
     deposed = SIZE_MAX;
-    asked.push_back(asked_deposed - before);
-    fault(false);
+    calls_by_fault.push_back(calls_to_deposed - before);
+    set_fault(false);
     wait(1);
   };
   auto leader = cluster->leader();
-  depose(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).refuses = is; });
+  depose(leader, 1, 0, [&](bool faulty) { cluster->state.endpoint(leader).refuses = faulty; });
   leader = cluster->leader();
-  // It reaches nobody but its workers and users.
-  depose(leader, 3, kEnoughQuestions + 1, [&](bool is) {
-    set_partition(leader, is);
-    cluster->state.endpoint(leader).refuses = is;
+  // The leader reaches only its agents and users.
+  depose(leader, 3, kSufficientCalls + 1, [&](bool faulty) {
+    set_partition(leader, faulty);
+    cluster->state.endpoint(leader).refuses = faulty;
   });
-  EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while it is parted and another one leads";
+  EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that is partitioned";
   leader = cluster->leader();
-  // What it sends to the store is executed, and no answer comes; and it reaches nobody but its workers and users.
-  depose(leader, 2, kEnoughQuestions + 1, [&](bool is) {
-    set_partition(leader, is);
-    cluster->state.endpoint(leader).frozen = is;
+  // The leader reaches only its agents and users; the store executes its requests but does not answer.
+  depose(leader, 2, kSufficientCalls + 1, [&](bool faulty) {
+    set_partition(leader, faulty);
+    cluster->state.endpoint(leader).frozen = faulty;
   });
-  EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while nothing answers it and another one leads";
+  EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that gets no answers from the store";
   for (const double pause : {0.05, 0.0}) {
     leader = cluster->leader();
     cluster->stop(leader);
@@ -181,13 +184,13 @@
     cluster->start(leader, test_support::fixed_version_options());
     wait(1);
   }
-  over = true;
+  stop_users = true;
   users.clear();
-  EXPECT_GT(told_ended.load(), 50u);
+  EXPECT_GT(final_answers.load(), 50u);
 }
-// Without any fault: a cancellation meets the end of the last task, a question and a repeated submission at other controllers. The job is
-// done or cancelled, and the same for everybody.
-TEST_P(CloseLooks, ACancellationAtTheEndOfTheLastTaskIsOneOrTheOther) {
+// Without any fault: a cancellation coincides with the completion of the last task, and with a poll and a repeated submission at other
+// controllers. The job is either done or cancelled, and all users receive the same status.
+TEST_P(ConcurrentPolls, ACancellationNearTheLastCompletionHasOneOutcomeForAllUsers) {
   start_cluster(GetParam(), 3);
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   std::atomic<std::size_t> done{0}, aborted{0};
@@ -201,18 +204,19 @@
         checker.wants_withdrawn(uid);
         ASSERT_TRUE(cluster->submit_until(uid, 20));
         checker.told(uid, "queued", steady_now());
-        // Within milliseconds of the end, or some time before it.
+        // Cancels within milliseconds of the last completion, or some time before.
         if (random() % 3 == 0) {
           wait(0.001 * (random() % 800));
         } else {
           cluster->eventually(6, [&] { return checker.ended_tasks(uid) == 2; });
           wait(0.001 * (random() % 60));
         }
-        std::jthread asks([&, replica = random() % GetParam()] { look(uid, replica, false), look(uid, replica, true); });
+        std::jthread other_user(
+            [&, controller = random() % GetParam()] { poll_or_submit(uid, controller, false), poll_or_submit(uid, controller, true); });
         std::string status;
         while (status.empty()) status = withdraw(random() % GetParam(), uid);
-        asks.join();
-        look_everywhere(uid);
+        other_user.join();
+        call_all_controllers(uid);
         ++(status == "done" ? done : aborted);
       }
     });
@@ -222,7 +226,7 @@
   EXPECT_GT(done.load(), 3u);
   EXPECT_GT(aborted.load(), 3u);
 }
-INSTANTIATE_TEST_SUITE_P(Controllers, CloseLooks, testing::Values(3, 5));
+INSTANTIATE_TEST_SUITE_P(Controllers, ConcurrentPolls, testing::Values(3, 5));
 
 }  // namespace
 }  // namespace thistlefront
