--- a/testbed/cluster.hpp
+++ b/testbed/cluster.hpp
@@ -1,5 +1,5 @@
-// A cluster on loopback around real controller processes: key-value store, cloud, network between controllers, worker nodes and users are
-// stand-ins of this process. The fault test's scenarios run on it. Time is real.
+// A cluster on loopback with real controller processes. The key-value store, the cloud, the network between controllers, the worker nodes
+// and the users are simulated in this process. The fault test's scenarios run on it in real time.
 #pragma once
 #include <atomic>
 #include <list>
@@ -19,7 +19,7 @@
 
 namespace thistlefront::testbed {
 
-// Cores that each team may use at first.
+// Initial limit of each team in cores.
 inline const std::map<std::string, double> kLimits{{"red", 60}, {"blue", 25}};
 inline const std::vector<std::string> kZones{"x", "y"};
 
@@ -28,50 +28,50 @@
   struct Options {
     std::size_t controllers = 3, workers = 40, users = 6;
     unsigned seed = 1;
-    std::string logs;  // directory for what the controllers write; empty: nowhere
+    std::string logs;  // directory for the logs of the controllers; empty: they are discarded
   };
-  // No controller runs yet; workers and users are there.
+  // Starts workers and users, but no controllers.
   explicit Cluster(const Options& options);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Writes a controller's settings file, which it reads at its next start, with these teams and limits.
-  void configure(std::size_t i, const std::map<std::string, double>& limits);
-  // Starts a controller with this program, in place of the process that runs, which is killed.
-  void start(std::size_t i, const std::string& program, const std::vector<std::string>& flags);
-  void end(std::size_t i);
-  void freeze(std::size_t i, bool frozen);
-  // Cuts a controller from its peers, and from the store if `store_too`; its workers and users still reach it.
-  void part(std::size_t i, bool parted, bool store_too);
-  // The number of controllers: nobody leads.
+  // Writes a controller's settings file with these team limits in cores. The controller reads it at its next start.
+  void write_settings(std::size_t i, const std::map<std::string, double>& limits);
+  // Starts a controller with this program; kills its running process first.
+  void start_controller(std::size_t i, const std::string& program, const std::vector<std::string>& flags);
+  void kill_controller(std::size_t i);
+  void set_frozen(std::size_t i, bool frozen);
+  // Starts or ends a partition of a controller from its peers, and from the store if `store_too`. Its workers and users still reach it.
+  void set_partitioned(std::size_t i, bool partitioned, bool store_too);
+  // Index of the leader, or the number of controllers while there is no leader.
   [[nodiscard]] std::size_t leader();
 
-  // Calls controllers in random order until one gets the request.
-  HttpResult ask(const std::string& method, const std::string& path, const std::string& body, unsigned& random) const;
-  // Tells the checker what a user was answered about a job. `sent`: when it was asked, where its user asks several questions at once;
-  // 0: one after the other.
-  void note_answer(const std::string& uid, const HttpResult& answer, double sent = 0);
-  // Asks all controllers for the job within milliseconds, and repeats the submission at each unless it is empty.
-  void ask_everywhere(const std::string& uid, const std::string& submission);
+  // Calls randomly chosen controllers until the request could be sent to one.
+  HttpResult call(const std::string& method, const std::string& path, const std::string& body, unsigned& random) const;
+  // Reports a reply about a job to the checker. `sent_at`: when the request was sent (steady seconds), for users with concurrent requests;
+  // 0: the user sends one request after the other.
+  void record_reply(const std::string& uid, const HttpResult& reply, double sent_at = 0);
+  // Polls the job at all controllers at once, and then repeats the submission at each, or polls again if `submission` is empty.
+  void poll_all_controllers(const std::string& uid, const std::string& submission);
   void stop_users() { users_.clear(); }
 
   Checker checker;
   test_support::FakeStateStore state;
-  std::atomic<bool> dependent_jobs{false};  // users submit jobs that wait for others
+  std::atomic<bool> dependent_jobs{false};  // whether users submit jobs with dependencies
   std::list<std::unique_ptr<Worker>> workers;
 
  private:
-  [[nodiscard]] HttpReply answer_as_cloud(const HttpCall& call) const;
+  [[nodiscard]] HttpReply handle_cloud_request(const HttpCall& call) const;
 
   Options options_;
-  Times times_;
-  std::vector<std::string> addresses_, peers_, configs_;
-  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<Relay>> relays_;  // from, to
+  ProtocolTimes times_;
+  std::vector<std::string> addresses_, peer_addresses_, settings_files_;                         // by controller
+  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<NetworkRelay>> network_relays_;  // by calling and called controller
   std::vector<ControllerProcess> processes_;
   std::string directory_, cloud_address_;
   std::unique_ptr<HttpServer> cloud_;
-  std::jthread ticker_;
+  std::jthread checker_thread_;
   std::vector<std::jthread> users_;
 };
 
--- a/testbed/controller_process.cpp
+++ b/testbed/controller_process.cpp
@@ -18,12 +18,12 @@
 }
 
 void ControllerProcess::start(const std::string& program, const std::vector<std::string>& arguments, const std::string& log) {
-  end();
+  kill();
   std::vector<std::string> words{program};
   words.insert(words.end(), arguments.begin(), arguments.end());
   std::vector<char*> argv;
   argv.reserve(words.size() + 1);
-  for (auto& w : words) argv.push_back(w.data());
+  for (auto& word : words) argv.push_back(word.data());
   argv.push_back(nullptr);
   const pid_t pid = ::fork();
   if (pid == 0) {
@@ -38,14 +38,14 @@
   pid_ = pid;
 }
 
-void ControllerProcess::end() {
+void ControllerProcess::kill() {
   if (pid_ <= 0) return;
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, nullptr, 0);
   pid_ = 0;
 }
 
-void ControllerProcess::freeze(bool frozen) const {
+void ControllerProcess::set_frozen(bool frozen) const {
   if (pid_ > 0) ::kill(pid_, frozen ? SIGSTOP : SIGCONT);
 }
 
--- a/testbed/controller_process.hpp
+++ b/testbed/controller_process.hpp
@@ -10,19 +10,19 @@
 class ControllerProcess {
  public:
   ControllerProcess() = default;
-  ~ControllerProcess() { end(); }
+  ~ControllerProcess() { kill(); }
   ControllerProcess(ControllerProcess&& other) noexcept;
   ControllerProcess& operator=(ControllerProcess&& other) noexcept;
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess& operator=(const ControllerProcess&) = delete;
 
-  // Starts `program` with `arguments`, in place of the one that runs; its standard error goes to the end of `log`.
+  // Starts `program` with `arguments`; kills the running process first. Its standard error is appended to the file `log`.
   void start(const std::string& program, const std::vector<std::string>& arguments, const std::string& log);
-  // Kills it without a signal that it could handle, and waits until it is gone.
-  void end();
-  // Stops it, or lets it go on.
-  void freeze(bool frozen) const;
-  // 0: none runs.
+  // Kills the process with SIGKILL and waits until it has exited.
+  void kill();
+  // Suspends or resumes the process.
+  void set_frozen(bool frozen) const;
+  // Process id; 0: no process was started, or it was killed.
   [[nodiscard]] pid_t pid() const { return pid_; }
 
  private:
--- a/testbed/controller_settings.cpp
+++ b/testbed/controller_settings.cpp
@@ -5,7 +5,7 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr int kDigits = 15;  // whole numbers of any size that occurs are written without an exponent
+constexpr int kDigits = 15;  // enough to write all integers that occur without an exponent
 
 const std::string& zone_of(const ControllerSettings& settings, std::size_t controller) {
   return settings.zones.at(controller % settings.zones.size());
@@ -55,7 +55,7 @@
   return "host-" + std::to_string(controller);
 }
 
-std::size_t controller_of_label(const std::string& label, std::size_t controllers) {
+std::size_t find_controller(const std::string& label, std::size_t controllers) {
   for (std::size_t i = 0; i < controllers; ++i)
     if (label == controller_label(i)) return i;
   return controllers;
--- a/testbed/fake_state_store.cpp
+++ b/testbed/fake_state_store.cpp
@@ -8,18 +8,18 @@
 using json = nlohmann::json;
 
 constexpr int kServerConnections = 50;
-constexpr std::chrono::milliseconds kTick{10};
-constexpr double kLostAnswerDelay = 1.7;         // seconds: longer than a controller waits for an answer
-constexpr double kLeastLateDelay = 1.8;          // seconds
-constexpr double kRepeatDelay = 1.0;             // seconds
-constexpr double kOvertakenLeaseDuration = 1.3;  // seconds
+constexpr std::chrono::milliseconds kTimerInterval{10};
+constexpr double kLostReplyDelayS = 1.7;  // longer than a controller waits for a reply
+constexpr double kMinTransactionDelayS = 1.8;
+constexpr double kDuplicateDelayS = 1.0;
+constexpr double kDelayedTakeoverLeaseS = 1.3;
 constexpr const char* kUnavailable = R"({"error":"trouble"})";
 
-// A parameter of a request's query; empty: not given.
+// A query parameter of a request; empty: not given.
 std::string query_parameter(const std::string& target, const std::string& name) {
-  const auto at = target.find(name + "=");
-  if (at == std::string::npos) return "";
-  const auto from = at + name.size() + 1;
+  const auto position = target.find(name + "=");
+  if (position == std::string::npos) return "";
+  const auto from = position + name.size() + 1;
   return target.substr(from, target.find('&', from) - from);
 }
 
@@ -37,11 +37,11 @@
     endpoint.server = std::make_unique<HttpServer>(endpoint.address, kServerConnections,
                                                    [this, &endpoint](const HttpCall& call) { return serve(endpoint, call); });
   }
-  clock_ = std::jthread([this](const std::stop_token& stop) {
+  timer_thread_ = std::jthread([this](const std::stop_token& stop) {
     while (!stop.stop_requested()) {
-      std::this_thread::sleep_for(kTick);
+      std::this_thread::sleep_for(kTimerInterval);
       std::lock_guard lock(mutex_);
-      tick();
+      process_due_events();
     }
   });
 }
@@ -49,7 +49,7 @@
 FakeStateStore::~FakeStateStore() {
   {
     std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
     changed_.notify_all();
   }
   for (auto& endpoint : endpoints_) endpoint.server->stop();
@@ -59,23 +59,23 @@
   return *std::next(endpoints_.begin(), static_cast<std::ptrdiff_t>(i));
 }
 
-// ---- what tests ask and set
+// ---- interface for tests
 
-void FakeStateStore::limit(std::size_t value_bytes, std::size_t changes) {
+void FakeStateStore::set_limits(std::size_t max_value_bytes, std::size_t max_changes) {
   std::lock_guard lock(mutex_);
-  value_bytes_ = value_bytes;
-  most_changes_ = changes;
+  max_value_bytes_ = max_value_bytes;
+  max_changes_ = max_changes;
 }
 
 void FakeStateStore::expire_session_leases() {
   std::lock_guard lock(mutex_);
   for (auto& [id, session_lease] : session_leases_) session_lease.expires_at = 0;
-  tick();
+  process_due_events();
 }
 
-void FakeStateStore::outage(bool is) {
+void FakeStateStore::set_outage(bool is_out) {
   std::lock_guard lock(mutex_);
-  set_outage(is);
+  apply_outage(is_out);
 }
 
 std::string FakeStateStore::leader() {
@@ -89,7 +89,7 @@
   return revision_of(leader_key());
 }
 
-std::map<std::string, std::string> FakeStateStore::entries() {
+std::map<std::string, std::string> FakeStateStore::ledger_entries() {
   std::lock_guard lock(mutex_);
   std::map<std::string, std::string> out;
   for (const auto& [name, key] : keys_)
@@ -111,18 +111,18 @@
 void FakeStateStore::put(const std::string& key, const std::string& value) {
   std::lock_guard lock(mutex_);
   keys_[key] = {json::parse(value), ++revision_, 0};
-  changes_[key] = revision_;
+  latest_changes_[key] = revision_;
   changed_.notify_all();
 }
 
 void FakeStateStore::remove(const std::string& key) {
   std::lock_guard lock(mutex_);
   keys_.erase(key);
-  changes_[key] = ++revision_;
+  latest_changes_[key] = ++revision_;
   changed_.notify_all();
 }
 
-std::string FakeStateStore::lead() const {
+std::string FakeStateStore::leader_key_name() const {
   std::lock_guard lock(mutex_);
   return leader_key();
 }
@@ -134,14 +134,14 @@
   return it != keys_.end() && it->second.value.at("level") > 1 ? "lead" : "leader";
 }
 
-void FakeStateStore::set_outage(bool is) {
-  if (outage_ && !is)
+void FakeStateStore::apply_outage(bool is_out) {
+  if (outage_ && !is_out)
     for (auto& [id, session_lease] : session_leases_) session_lease.expires_at = steady_now() + session_lease.duration_s;
-  outage_ = is;
-  for (auto& endpoint : endpoints_) endpoint.refuses = is;
+  outage_ = is_out;
+  for (auto& endpoint : endpoints_) endpoint.rejects_requests = is_out;
 }
 
-void FakeStateStore::tick() {
+void FakeStateStore::process_due_events() {
   const double now = steady_now();
   if (!outage_) expire_due_session_leases(now);
   execute_delayed(now);
@@ -155,7 +155,7 @@
     }
     std::erase_if(keys_, [&](const auto& entry) {
       const bool attached = entry.second.session_lease == it->first;
-      if (attached) changes_[entry.first] = ++revision_;
+      if (attached) latest_changes_[entry.first] = ++revision_;
       return attached;
     });
     it = session_leases_.erase(it);
@@ -164,14 +164,14 @@
 }
 
 void FakeStateStore::execute_delayed(double now) {
-  for (auto it = delayed_.begin(); it != delayed_.end();) {
+  for (auto it = delayed_transactions_.begin(); it != delayed_transactions_.end();) {
     if (now < it->execute_at) {
       ++it;
       continue;
     }
-    ++late_ones_;
+    ++delayed_executions_;
     execute(it->transaction);
-    it = delayed_.erase(it);
+    it = delayed_transactions_.erase(it);
   }
 }
 
@@ -179,33 +179,33 @@
 
 HttpReply FakeStateStore::serve(Endpoint& endpoint, const HttpCall& call) {
   const std::string target(call.target);
-  if (endpoint.slow > 0 && target == "/txn") std::this_thread::sleep_for(std::chrono::duration<double>(endpoint.slow.load()));
+  if (endpoint.latency_s > 0 && target == "/txn") std::this_thread::sleep_for(std::chrono::duration<double>(endpoint.latency_s.load()));
   Lock lock(mutex_);
-  const bool counts = !target.starts_with("/follow") && !target.ends_with("/renew");
-  if (counts && endpoint.fuse >= 0) {
-    --endpoint.fuse;
-    if (endpoint.fuse < 0) return reach_fuse(endpoint, lock, call);
+  const bool counts_for_crash = !target.starts_with("/follow") && !target.ends_with("/renew");
+  if (counts_for_crash && endpoint.requests_before_crash >= 0) {
+    --endpoint.requests_before_crash;
+    if (endpoint.requests_before_crash < 0) return simulate_crash(endpoint, lock, call);
   }
   HttpReply reply = dispatch(endpoint, lock, call);
-  while (endpoint.frozen && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(20));
+  while (endpoint.holds_replies && !stopping_) changed_.wait_for(lock, std::chrono::milliseconds(20));
   return reply;
 }
 
-HttpReply FakeStateStore::reach_fuse(Endpoint& endpoint, Lock& lock, const HttpCall& call) {
-  if (endpoint.executes) dispatch(endpoint, lock, call);
-  endpoint.blown = true;
-  while (endpoint.blown && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(2));
-  HttpReply none{503, "{}"};
-  none.close = true;
-  return none;
+HttpReply FakeStateStore::simulate_crash(Endpoint& endpoint, Lock& lock, const HttpCall& call) {
+  if (endpoint.executes_last_request) dispatch(endpoint, lock, call);
+  endpoint.crash_reached = true;
+  while (endpoint.crash_reached && !stopping_) changed_.wait_for(lock, std::chrono::milliseconds(2));
+  HttpReply reply{503, "{}"};
+  reply.close = true;
+  return reply;
 }
 
 HttpReply FakeStateStore::dispatch(Endpoint& endpoint, Lock& lock, const HttpCall& call) {
   const std::string target(call.target), body(call.body);
   if (target.starts_with("/follow")) return watch(endpoint, lock, target);
-  if (target.starts_with("/store?prefix=ledger/") && outage_at_reading.exchange(false)) set_outage(true);
-  if (endpoint.refuses) return {503, kUnavailable};
-  tick();
+  if (target.starts_with("/store?prefix=ledger/") && outage_at_ledger_read.exchange(false)) apply_outage(true);
+  if (endpoint.rejects_requests) return {503, kUnavailable};
+  process_due_events();
   constexpr std::string_view kLeasePath = "/holds/", kKeyPath = "/store/";
   if (target == "/txn") return transact(endpoint, lock, json::parse(body));
   if (target == "/holds") return grant_session_lease(body);
@@ -220,61 +220,63 @@
   const auto from = std::stoull(query_parameter(target, "from"));
   const double until = steady_now() + std::stod(query_parameter(target, "blockMs")) / 1000;
   const auto changed = [&] {
-    return std::any_of(changes_.begin(), changes_.end(),
+    return std::any_of(latest_changes_.begin(), latest_changes_.end(),
                        [&](const auto& change) { return change.second > from && change.first.starts_with(prefix); });
   };
-  if (endpoint.refuses && until <= steady_now()) return {503, kUnavailable};
-  while (!ending_ && steady_now() < until && (endpoint.refuses || !changed())) changed_.wait_for(lock, std::chrono::milliseconds(20));
+  if (endpoint.rejects_requests && until <= steady_now()) return {503, kUnavailable};
+  while (!stopping_ && steady_now() < until && (endpoint.rejects_requests || !changed()))
+    changed_.wait_for(lock, std::chrono::milliseconds(20));
   json events = json::array();
-  for (const auto& [key, revision] : changes_) {
+  for (const auto& [key, revision] : latest_changes_) {
     if (revision <= from || !key.starts_with(prefix)) continue;
-    const auto at = keys_.find(key);
-    events.push_back(at == keys_.end() ? json{{"remove", key}, {"stamp", revision}}
-                                       : json{{"set", key}, {"value", at->second.value}, {"stamp", revision}});
+    const auto it = keys_.find(key);
+    events.push_back(it == keys_.end() ? json{{"remove", key}, {"stamp", revision}}
+                                       : json{{"set", key}, {"value", it->second.value}, {"stamp", revision}});
   }
   return {200, json{{"ledgerRev", revision_}, {"events", events}}.dump()};
 }
 
 HttpReply FakeStateStore::transact(Endpoint& endpoint, Lock& lock, const json& transaction) {
-  if (endpoint.lead_overtaken && takes_lead(transaction)) {
-    if (overtaken_.is_null()) {
-      overtaken_ = transaction;
-      return lost_answer(lock);
+  if (endpoint.delays_takeover && takes_leader_key(transaction)) {
+    if (delayed_takeover_.is_null()) {
+      delayed_takeover_ = transaction;
+      return lose_reply(lock);
     }
-    for (const auto& change : overtaken_.at("apply"))
+    for (const auto& change : delayed_takeover_.at("apply"))
       if (const auto id = change.value("hold", std::uint64_t{0}))
-        session_leases_[id] = {kOvertakenLeaseDuration, steady_now() + kOvertakenLeaseDuration};
-    execute(std::exchange(overtaken_, json()));
-    endpoint.lead_overtaken = false;
+        session_leases_[id] = {kDelayedTakeoverLeaseS, steady_now() + kDelayedTakeoverLeaseS};
+    execute(std::exchange(delayed_takeover_, json()));
+    endpoint.delays_takeover = false;
   }
-  if (chance(endpoint.repeats)) delayed_.push_back({steady_now() + kRepeatDelay, transaction});
-  if (chance(endpoint.late)) {
-    const double most = std::max(kLeastLateDelay + 0.01, endpoint.late_most.load());
-    const double delay = std::uniform_real_distribution<double>(kLeastLateDelay, most)(random_);
-    delayed_.push_back({steady_now() + delay, transaction});
-    return lost_answer(lock);
+  if (draw_with_probability(endpoint.duplicate_probability))
+    delayed_transactions_.push_back({steady_now() + kDuplicateDelayS, transaction});
+  if (draw_with_probability(endpoint.delay_probability)) {
+    const double max_delay_s = std::max(kMinTransactionDelayS + 0.01, endpoint.max_delay_s.load());
+    const double delay_s = std::uniform_real_distribution<double>(kMinTransactionDelayS, max_delay_s)(random_);
+    delayed_transactions_.push_back({steady_now() + delay_s, transaction});
+    return lose_reply(lock);
   }
   auto reply = execute(transaction);
-  if (const char* prefix = endpoint.loses_next; prefix && reply.status == 200 && changes_prefix(transaction, prefix)) {
-    endpoint.loses_next = nullptr;
-    ++endpoint.lost;
-    return lost_answer(lock);
+  if (const char* prefix = endpoint.lose_next_reply_for; prefix && reply.status == 200 && changes_prefix(transaction, prefix)) {
+    endpoint.lose_next_reply_for = nullptr;
+    ++endpoint.lost_replies;
+    return lose_reply(lock);
   }
-  return chance(endpoint.loses) ? lost_answer(lock) : reply;
+  return draw_with_probability(endpoint.reply_loss_probability) ? lose_reply(lock) : reply;
 }
 
 HttpReply FakeStateStore::grant_session_lease(const std::string& body) {
   const double duration_s = json::parse(body).at("lifeMs").get<double>() / 1000;
-  session_leases_[++session_lease_ids_] = {duration_s, steady_now() + duration_s};
-  return {200, json{{"hold", session_lease_ids_}}.dump()};
+  session_leases_[++last_session_lease_id_] = {duration_s, steady_now() + duration_s};
+  return {200, json{{"hold", last_session_lease_id_}}.dump()};
 }
 
-HttpReply FakeStateStore::change_session_lease(const Endpoint& endpoint, std::uint64_t id, bool removes) {
+HttpReply FakeStateStore::change_session_lease(const Endpoint& endpoint, std::uint64_t id, bool deletes) {
   const auto it = session_leases_.find(id);
   if (it == session_leases_.end()) return {404, "{}"};
-  if (removes && endpoint.lead_overtaken) return {503, kUnavailable};
-  it->second.expires_at = removes ? 0 : steady_now() + it->second.duration_s;
-  tick();
+  if (deletes && endpoint.delays_takeover) return {503, kUnavailable};
+  it->second.expires_at = deletes ? 0 : steady_now() + it->second.duration_s;
+  process_due_events();
   return {200, "{}"};
 }
 
@@ -294,9 +296,9 @@
   return {200, row.dump()};
 }
 
-HttpReply FakeStateStore::lost_answer(Lock& lock) {
-  const double until = steady_now() + kLostAnswerDelay;
-  while (!ending_ && steady_now() < until) changed_.wait_for(lock, std::chrono::milliseconds(50));
+HttpReply FakeStateStore::lose_reply(Lock& lock) {
+  const double until = steady_now() + kLostReplyDelayS;
+  while (!stopping_ && steady_now() < until) changed_.wait_for(lock, std::chrono::milliseconds(50));
   HttpReply reply{503, "{}"};
   reply.close = true;
   return reply;
@@ -307,7 +309,7 @@
 HttpReply FakeStateStore::execute(const json& transaction) {
   const auto changes = transaction.value("apply", json::array());
   if (exceeds_limits(changes)) {
-    ++too_large_;
+    ++oversized_transactions_;
     return {400, R"({"error":"too large"})"};
   }
   json failed = json::array();
@@ -331,23 +333,23 @@
 void FakeStateStore::apply(const json& change, std::uint64_t leader_key_condition) {
   if (change.contains("remove")) {
     const auto removed = change.at("remove").get<std::string>();
-    changes_[removed] = revision_;
+    latest_changes_[removed] = revision_;
     keys_.erase(removed);
     return;
   }
   const auto key = change.at("set").get<std::string>();
   if (key.starts_with("ledger/")) {
     const auto current = keys_.find(leader_key());
-    if (current == keys_.end() || current->second.mod_revision != leader_key_condition) ++unfenced_;
+    if (current == keys_.end() || current->second.mod_revision != leader_key_condition) ++unfenced_writes_;
   }
-  changes_[key] = revision_;
-  if (key == leader_key() && !keys_.contains(key) && outage_at_takeover.exchange(false)) set_outage(true);
+  latest_changes_[key] = revision_;
+  if (key == leader_key() && !keys_.contains(key) && outage_at_takeover.exchange(false)) apply_outage(true);
   keys_[key] = {change.at("value"), revision_, change.value("hold", std::uint64_t{0})};
 }
 
 bool FakeStateStore::exceeds_limits(const json& changes) const {
-  return changes.size() > most_changes_ || std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
-           return change.contains("value") && change.at("value").dump().size() > value_bytes_;
+  return changes.size() > max_changes_ || std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
+           return change.contains("value") && change.at("value").dump().size() > max_value_bytes_;
          });
 }
 
@@ -356,15 +358,15 @@
   return it == keys_.end() ? 0 : it->second.mod_revision;
 }
 
-bool FakeStateStore::takes_lead(const json& transaction) const {
+bool FakeStateStore::takes_leader_key(const json& transaction) const {
   const auto changes = transaction.value("apply", json::array());
   return !keys_.contains(leader_key()) && std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
     return change.value("set", std::string()) == leader_key();
   });
 }
 
-bool FakeStateStore::chance(double share) {
-  return std::uniform_real_distribution<double>(0, 1)(random_) < share;
+bool FakeStateStore::draw_with_probability(double probability) {
+  return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
 }  // namespace thistlefront::test_support
--- a/testbed/fault_run.cpp
+++ b/testbed/fault_run.cpp
@@ -12,10 +12,10 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr double kLostShare = 0.3, kLateShare = 0.2, kRepeatedShare = 0.3;
-constexpr double kLongestDelayS = 12;  // of a late transaction
-constexpr double kWellAfterHealingS = 8;
-constexpr int kLastPollTries = 20;
+constexpr double kReplyLossProbability = 0.3, kDelayProbability = 0.2, kDuplicateProbability = 0.3;
+constexpr double kMaxTransactionDelayS = 12;
+constexpr double kHealthyPeriodS = 8;
+constexpr int kMaxLastPollTries = 20;
 }  // namespace
 
 void wait(double seconds) {
@@ -26,22 +26,23 @@
     : options(run_options),
       cluster(run_options.cluster),
       random(run_options.cluster.seed),
-      newer_(run_options.cluster.controllers, false),
-      began_(steady_now()) {
-  for (auto& worker : cluster.workers) worker->copy_heartbeats(true);
+      runs_newer_build_(run_options.cluster.controllers, false),
+      started_at_(steady_now()) {
+  for (auto& worker : cluster.workers) worker->duplicate_heartbeats(true);
 }
 
-void FaultRun::say(const std::string& what) const {
-  if (options.verbose) std::cout << "  " << steady_now() - began_ << " s: " << what << std::endl;
+void FaultRun::log_event(const std::string& event) const {
+  if (options.verbose) std::cout << "  " << steady_now() - started_at_ << " s: " << event << std::endl;
 }
 
 void FaultRun::start(std::size_t i, bool newer, const std::vector<std::string>& more_flags) {
-  newer_[i] = newer;
+  runs_newer_build_[i] = newer;
   std::vector<std::string> flags;
   if (newer && options.soak_s > 0) flags = {"--state-level-soak", std::to_string(options.soak_s)};
-  if (newer && (options.relay == kRelayOn || (options.relay == kRelayDrawn && draw(2) != 0))) flags.insert(flags.end(), {"--intake", "on"});
+  if (newer && (options.relay_mode == kRelayOn || (options.relay_mode == kRelayDrawn && draw(2) != 0)))
+    flags.insert(flags.end(), {"--intake", "on"});
   flags.insert(flags.end(), more_flags.begin(), more_flags.end());
-  cluster.start(i, newer ? options.newer_program : options.older_program, flags);
+  cluster.start_controller(i, newer ? options.newer_program : options.older_program, flags);
 }
 
 void FaultRun::start_all(bool newer) {
@@ -56,31 +57,31 @@
   return std::min(cluster.leader(), controllers() - 1);
 }
 
-double FaultRun::since_healed() const {
-  return steady_now() - healed_;
+double FaultRun::seconds_since_faults_ended() const {
+  return steady_now() - faults_ended_at_;
 }
 
-bool FaultRun::over() const {
-  return steady_now() > began_ + options.faults_s;
+bool FaultRun::is_fault_time_over() const {
+  return steady_now() > started_at_ + options.faults_s;
 }
 
-void FaultRun::heal() {
-  for (auto& worker : cluster.workers) worker->deafen(0);
-  cluster.state.outage(false);
+void FaultRun::end_faults() {
+  for (auto& worker : cluster.workers) worker->lose_replies_until(0);
+  cluster.state.set_outage(false);
   for (std::size_t i = 0; i < controllers(); ++i) {
-    cluster.part(i, false, false);
+    cluster.set_partitioned(i, false, false);
     auto& endpoint = cluster.state.endpoint(i);
-    endpoint.refuses = false;
-    endpoint.loses = endpoint.late = endpoint.repeats = 0;
+    endpoint.rejects_requests = false;
+    endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
   }
-  healed_ = steady_now();
-  cluster.checker.healed(healed_);
+  faults_ended_at_ = steady_now();
+  cluster.checker.record_faults_ended(faults_ended_at_);
 }
 
-bool FaultRun::format_version_comes_on(std::uint32_t format_version, double within_s) {
-  const auto wanted = active_version_value({format_version, 0});
+bool FaultRun::wait_for_format_version(std::uint32_t format_version, double within_s) {
+  const auto expected_value = active_version_value({format_version, 0});
   for (const double until = steady_now() + within_s; steady_now() < until; wait(0.1))
-    if (cluster.state.value(kActiveVersionKey) == wanted) return true;
+    if (cluster.state.value(kActiveVersionKey) == expected_value) return true;
   return false;
 }
 
@@ -91,10 +92,10 @@
   std::size_t unanswered = 0;
   for (const auto& uid : uids) {
     bool known = false;
-    for (int tries = 0; tries < kLastPollTries && !known; ++tries) {
-      const auto answer = cluster.ask("GET", "/v1/jobs/" + uid, "", address_random);
-      if (answer.is(404)) cluster.checker.told(uid, "unknown", steady_now());
-      known = answer.is(200) || answer.is(404);
+    for (int tries = 0; tries < kMaxLastPollTries && !known; ++tries) {
+      const auto reply = cluster.call("GET", "/v1/jobs/" + uid, "", address_random);
+      if (reply.is(404)) cluster.checker.record_reply(uid, "unknown", steady_now());
+      known = reply.is(200) || reply.is(404);
       if (!known) wait(0.2);
     }
     if (!known) ++unanswered;
@@ -104,22 +105,23 @@
 
 bool FaultRun::report(const std::string& scenario_figures) {
   cluster.stop_users();
-  const auto accepted = cluster.checker.accepted();
+  const auto accepted = cluster.checker.accepted_jobs();
   RunReport report;
   report.unanswered = count_unanswered(accepted);
   report.seed = options.cluster.seed;
   report.events = events;
   report.accepted = accepted.size();
-  report.tasks_done = cluster.checker.tasks_done();
-  report.longest_without_acceptance_s = cluster.checker.longest_without_acceptance(began_, healed_);
-  report.longest_without_acceptance_healed_s = cluster.checker.longest_without_acceptance(healed_, healed_ + kWellAfterHealingS);
+  report.completed_tasks = cluster.checker.completed_tasks();
+  report.longest_acceptance_gap_s = cluster.checker.longest_acceptance_gap(started_at_, faults_ended_at_);
+  report.longest_acceptance_gap_after_faults_s =
+      cluster.checker.longest_acceptance_gap(faults_ended_at_, faults_ended_at_ + kHealthyPeriodS);
   report.scenario_figures = scenario_figures;
-  report.unfenced = cluster.state.unfenced();
-  report.too_large = cluster.state.too_large();
+  report.unfenced_writes = cluster.state.unfenced_writes();
+  report.oversized_transactions = cluster.state.oversized_transactions();
   report.dependent_jobs = cluster.checker.dependent_jobs();
-  report.first_dependent_after_s = report.dependent_jobs.first_accepted - all_newer_at;
-  report.pairs = pairs_;
-  report.broken = cluster.checker.broken();
+  report.first_dependent_after_s = report.dependent_jobs.first_accepted_at - all_newer_at;
+  report.fault_pairs = fault_pairs_;
+  report.violations = cluster.checker.violations();
   print(std::cout, report);
   return report.passed();
 }
@@ -127,146 +129,161 @@
 // ---- faults
 
 const char* FaultRun::name_of(Fault fault) {
-  static constexpr std::array kNames{"leader-ends", "leader-freezes", "any-freezes", "endpoint-refuses", "answers-lost", "late-writes",
-                                     "repeats",     "outage",         "gap",         "parted",           "deaf",         "hang",
-                                     "all-end"};
+  static constexpr std::array kNames{"leader-killed",
+                                     "leader-freezes",
+                                     "controller-freezes",
+                                     "endpoint-rejects",
+                                     "replies-lost",
+                                     "transactions-delayed",
+                                     "transactions-duplicated",
+                                     "store-outage",
+                                     "leader-rejected-then-outage",
+                                     "controller-partitioned",
+                                     "workers-unresponsive",
+                                     "worker-hangs",
+                                     "all-killed"};
   static_assert(kNames.size() == static_cast<std::size_t>(Fault::count));
   return kNames.at(static_cast<std::size_t>(fault));
 }
 
-FaultRun::Fault FaultRun::draw_fault() {
+FaultRun::Fault FaultRun::choose_fault() {
   return static_cast<Fault>(draw(static_cast<std::size_t>(Fault::count)));
 }
 
-void FaultRun::play_fault() {
-  const Fault first = draw_fault();
+void FaultRun::inject_fault() {
+  const Fault first = choose_fault();
   if (draw(2) != 0) {
-    second_ = draw_fault();
-    ++pairs_[std::string(name_of(first)) + "+" + name_of(*second_)];
+    second_fault_ = choose_fault();
+    ++fault_pairs_[std::string(name_of(first)) + "+" + name_of(*second_fault_)];
   }
-  play(first);
-  if (!second_) return;
+  inject(first);
+  if (!second_fault_) return;
   wait(0.05 * static_cast<double>(draw(20)));
-  play_second_fault();
+  inject_second_fault();
 }
 
-void FaultRun::play_second_fault() {
-  if (const auto second = std::exchange(second_, std::nullopt)) play(*second);
+void FaultRun::inject_second_fault() {
+  if (const auto second = std::exchange(second_fault_, std::nullopt)) inject(*second);
 }
 
-void FaultRun::last(double seconds) {
+void FaultRun::wait_during_fault(double seconds) {
   wait(seconds / 2);
-  play_second_fault();
+  inject_second_fault();
   wait(seconds / 2);
 }
 
-void FaultRun::play(Fault fault) {
+void FaultRun::inject(Fault fault) {
   const auto any = draw(controllers()), leader = leader_or_last();
   auto& endpoint = cluster.state.endpoint(any);
   ++events;
   switch (fault) {
-    case Fault::leader_ends: end_leader(leader); break;
+    case Fault::leader_killed: kill_leader(leader); break;
     case Fault::leader_freezes:
-      say("the leader freezes");
-      freeze(leader, 0.5 + 0.5 * static_cast<double>(draw(8)));
+      log_event("leader freezes");
+      freeze_controller(leader, 0.5 + 0.5 * static_cast<double>(draw(8)));
       break;
-    case Fault::any_freezes:
-      // With answers to its workers in hand, and back under another leader.
-      say(controller_label(any) + " freezes");
-      freeze(any, 0.5 + 0.5 * static_cast<double>(draw(16)));
+    case Fault::controller_freezes:
+      // Replies to its workers may be pending, and it may resume under another leader.
+      log_event(controller_label(any) + " freezes");
+      freeze_controller(any, 0.5 + 0.5 * static_cast<double>(draw(16)));
       break;
-    case Fault::endpoint_refuses:
-      say("an endpoint refuses, or no longer");
-      endpoint.refuses = !endpoint.refuses;
+    case Fault::endpoint_rejects:
+      log_event("endpoint of the store: rejection of requests toggled");
+      endpoint.rejects_requests = !endpoint.rejects_requests;
       break;
-    case Fault::answers_lost: toggle_share("answers are lost", endpoint.loses, kLostShare); break;
-    case Fault::late_writes:
-      endpoint.late_most = kLongestDelayS;
-      toggle_share("transactions are late", endpoint.late, kLateShare);
+    case Fault::replies_lost:
+      toggle_probability("loss of the store's replies", endpoint.reply_loss_probability, kReplyLossProbability);
       break;
-    case Fault::repeats: toggle_share("transactions are repeated", endpoint.repeats, kRepeatedShare); break;
-    case Fault::outage: play_outage(); break;
-    case Fault::gap: refuse_leader_then_all(leader); break;
-    case Fault::parted: part(leader, any); break;
-    case Fault::deaf: deafen_workers(); break;
-    case Fault::hang: hang_worker(); break;
-    case Fault::all_end:
-    case Fault::count: end_all(); break;
+    case Fault::transactions_delayed:
+      endpoint.max_delay_s = kMaxTransactionDelayS;
+      toggle_probability("delay of transactions", endpoint.delay_probability, kDelayProbability);
+      break;
+    case Fault::transactions_duplicated:
+      toggle_probability("duplication of transactions", endpoint.duplicate_probability, kDuplicateProbability);
+      break;
+    case Fault::store_outage: inject_outage(); break;
+    case Fault::leader_rejected_then_outage: reject_leader_then_all(leader); break;
+    case Fault::controller_partitioned: partition_controller(leader, any); break;
+    case Fault::workers_unresponsive: make_workers_unresponsive(); break;
+    case Fault::worker_hangs: hang_worker(); break;
+    case Fault::all_killed:
+    case Fault::count: kill_all(); break;
   }
 }
 
-void FaultRun::end_leader(std::size_t leader) {
-  say("the leader ends");
-  cluster.end(leader);
-  last(draw(2) != 0 ? 0.5 : 0.05);
-  start(leader, newer(leader));
+void FaultRun::kill_leader(std::size_t leader) {
+  log_event("leader is killed");
+  cluster.kill_controller(leader);
+  wait_during_fault(draw(2) != 0 ? 0.5 : 0.05);
+  start(leader, runs_newer_build(leader));
 }
 
-void FaultRun::freeze(std::size_t i, double seconds) {
-  cluster.freeze(i, true);
-  last(seconds);
-  cluster.freeze(i, false);
+void FaultRun::freeze_controller(std::size_t i, double seconds) {
+  cluster.set_frozen(i, true);
+  wait_during_fault(seconds);
+  cluster.set_frozen(i, false);
 }
 
-void FaultRun::toggle_share(const std::string& said, std::atomic<double>& share, double to) {
-  say(said + ", or no longer");
-  share = share > 0 ? 0 : to;
+void FaultRun::toggle_probability(const std::string& event, std::atomic<double>& probability, double enabled_value) {
+  log_event(event + " toggled");
+  probability = probability > 0 ? 0 : enabled_value;
 }
 
-void FaultRun::play_outage() {
-  say("an outage of the store");
-  cluster.state.outage(true);
-  last(1 + static_cast<double>(draw(4)));
-  cluster.state.outage(false);
+void FaultRun::inject_outage() {
+  log_event("outage of the store");
+  cluster.state.set_outage(true);
+  wait_during_fault(1 + static_cast<double>(draw(4)));
+  cluster.state.set_outage(false);
 }
 
-// The leader's successor leads when all are refused, or is about to; now and then for longer than cancel_s.
-void FaultRun::refuse_leader_then_all(std::size_t leader) {
-  say("the store refuses the leader alone, then all");
-  cluster.state.endpoint(leader).refuses = true;
+// The store rejects the leader's requests, then those of all controllers: the outage meets the successor during or just before its
+// takeover. Some outages last longer than cancel_s.
+void FaultRun::reject_leader_then_all(std::size_t leader) {
+  log_event("store rejects the leader's requests, then all requests");
+  cluster.state.endpoint(leader).rejects_requests = true;
   wait(1.3 + 0.1 * static_cast<double>(draw(12)));
-  cluster.state.outage(true);
-  last(draw(3) != 0 ? 8 : 26);
-  cluster.state.outage(false);
+  cluster.state.set_outage(true);
+  wait_during_fault(draw(3) != 0 ? 8 : 26);
+  cluster.state.set_outage(false);
 }
 
-// The leader or any controller reaches nobody but its workers and users.
-void FaultRun::part(std::size_t leader, std::size_t any) {
-  const auto who = draw(2) != 0 ? leader : any;
+// Partitions the leader or a random controller from its peers and mostly from the store; its workers and users still reach it.
+void FaultRun::partition_controller(std::size_t leader, std::size_t any) {
+  const auto controller = draw(2) != 0 ? leader : any;
   const bool store_too = draw(3) != 0;
-  say(controller_label(who) + " is parted from its peers" + (store_too ? " and the store" : ""));
-  cluster.part(who, true, store_too);
-  last(2 + static_cast<double>(draw(12)));
-  cluster.part(who, false, false);
+  log_event(controller_label(controller) + " is partitioned from its peers" + (store_too ? " and the store" : ""));
+  cluster.set_partitioned(controller, true, store_too);
+  wait_during_fault(2 + static_cast<double>(draw(12)));
+  cluster.set_partitioned(controller, false, false);
 }
 
-void FaultRun::deafen_workers() {
-  enum Share : std::uint8_t { one, some, zone, shares };
-  const auto share = draw(shares);
+void FaultRun::make_workers_unresponsive() {
+  enum Scope : std::uint8_t { one, some, zone, scope_count };
+  const auto scope = draw(scope_count);
   const double until = steady_now() + 3 + static_cast<double>(draw(25));
-  const auto cut_zone = cluster.workers.empty() ? std::string() : cluster.workers.front()->zone();
-  say(std::string("answers do not reach ") + (share == one ? "a machine" : share == some ? "some machines" : "a zone"));
+  const auto affected_zone = cluster.workers.empty() ? std::string() : cluster.workers.front()->zone();
+  log_event(std::string("replies are lost to ") + (scope == one ? "a node" : scope == some ? "some nodes" : "a zone"));
   for (auto& worker : cluster.workers) {
-    bool deaf = worker->zone() == cut_zone;
-    if (share == one) deaf = draw(cluster.workers.size()) == 0;
-    if (share == some) deaf = draw(4) == 0;
-    if (deaf) worker->deafen(until);
+    bool affected = worker->zone() == affected_zone;
+    if (scope == one) affected = draw(cluster.workers.size()) == 0;
+    if (scope == some) affected = draw(4) == 0;
+    if (affected) worker->lose_replies_until(until);
   }
 }
 
 void FaultRun::hang_worker() {
   if (cluster.workers.empty()) return;
-  const auto at = static_cast<std::ptrdiff_t>(draw(cluster.workers.size()));
-  Worker& worker = **std::next(cluster.workers.begin(), at);
-  say(worker.name() + " hangs");
-  worker.hang(steady_now() + 1 + static_cast<double>(draw(9)));
+  const auto index = static_cast<std::ptrdiff_t>(draw(cluster.workers.size()));
+  Worker& worker = **std::next(cluster.workers.begin(), index);
+  log_event(worker.name() + " hangs");
+  worker.hang_until(steady_now() + 1 + static_cast<double>(draw(9)));
 }
 
-void FaultRun::end_all() {
-  say("all end");
-  for (std::size_t i = 0; i < controllers(); ++i) cluster.end(i);
-  last(draw(2) != 0 ? 0.5 : 0.05);
-  for (std::size_t i = 0; i < controllers(); ++i) start(i, newer(i));
+void FaultRun::kill_all() {
+  log_event("all controllers are killed");
+  for (std::size_t i = 0; i < controllers(); ++i) cluster.kill_controller(i);
+  wait_during_fault(draw(2) != 0 ? 0.5 : 0.05);
+  for (std::size_t i = 0; i < controllers(); ++i) start(i, runs_newer_build(i));
 }
 
 }  // namespace thistlefront::testbed
--- a/testbed/fault_run.hpp
+++ b/testbed/fault_run.hpp
@@ -1,5 +1,5 @@
-// One seed of the fault test: a cluster with real controllers, the faults that are drawn for it, and its report. The scenarios
-// (scenarios.hpp) decide when faults are played.
+// One seed of the fault test: a cluster with real controllers, its randomly chosen faults, and its report. The scenarios (scenarios.hpp)
+// decide when faults are injected.
 #pragma once
 #include <atomic>
 #include <cstdint>
@@ -14,20 +14,20 @@
 
 namespace thistlefront::testbed {
 
-// Whether controllers of the newer build relay heartbeats.
+// Values of ScenarioOptions::relay_mode: whether controllers of the newer build relay heartbeats.
 inline constexpr const char* kRelayOn = "on";
 inline constexpr const char* kRelayOff = "off";
-inline constexpr const char* kRelayDrawn = "drawn";  // by each start of a controller
+inline constexpr const char* kRelayDrawn = "drawn";  // random at each start of a controller
 
 struct ScenarioOptions {
   Cluster::Options cluster;
   std::string older_program, newer_program;
-  double faults_s = 40;         // how long faults are played
-  double settle_s = 60;         // within which the format version must come on
-  unsigned format_version = 4;  // that the newer build has
-  double restart_after_s = 1;   // at most, until an ended controller is started again
-  double soak_s = 0;            // before a format version comes on; 0: the build's own
-  std::string relay = kRelayOff;
+  double faults_s = 40;         // duration of fault injection
+  double settle_s = 60;         // maximum time until the format version is active
+  unsigned format_version = 4;  // of the newer build
+  double restart_after_s = 1;   // maximum time until a killed controller is restarted
+  double soak_s = 0;            // soak time before a format version is activated; 0: the build's default
+  std::string relay_mode = kRelayOff;
   bool roll_back = false, verbose = false;
 };
 
@@ -37,27 +37,27 @@
  public:
   explicit FaultRun(const ScenarioOptions& run_options);
 
-  // Starts a controller with the newer or the older build, in place of the one that runs.
+  // Starts a controller with the newer or the older build; kills its running process first.
   void start(std::size_t i, bool newer, const std::vector<std::string>& more_flags = {});
   void start_all(bool newer);
-  // Plays a fault that is drawn. Half of them are met by a second one while they last, or right after.
-  void play_fault();
-  // Ends every fault that lasts.
-  void heal();
-  // Waits until the store holds this format version; false when it does not in time.
-  bool format_version_comes_on(std::uint32_t format_version, double within_s);
-  // Asks for each accepted job once more, prints the report, and returns whether the seed passed.
+  // Injects a random fault. Half of the faults are joined by a second one while they last or shortly afterwards.
+  void inject_fault();
+  // Ends all active faults of the network and the store.
+  void end_faults();
+  // Waits until this format version is active in the store; false on timeout.
+  bool wait_for_format_version(std::uint32_t format_version, double within_s);
+  // Polls each accepted job a last time, prints the report, and returns whether the seed passed.
   bool report(const std::string& scenario_figures);
-  // Prints an event where --verbose is given.
-  void say(const std::string& what) const;
-  // Waits for half a second to two and a quarter.
+  // Prints an event if --verbose is given.
+  void log_event(const std::string& event) const;
+  // Waits for 0.5 to 2.25 s.
   void wait_between_events();
 
-  [[nodiscard]] double since_healed() const;
-  [[nodiscard]] bool over() const;
-  [[nodiscard]] bool newer(std::size_t i) const { return newer_[i]; }
-  [[nodiscard]] std::size_t controllers() const { return newer_.size(); }
-  // A leader or, while nobody leads, the last controller.
+  [[nodiscard]] double seconds_since_faults_ended() const;
+  [[nodiscard]] bool is_fault_time_over() const;
+  [[nodiscard]] bool runs_newer_build(std::size_t i) const { return runs_newer_build_[i]; }
+  [[nodiscard]] std::size_t controllers() const { return runs_newer_build_.size(); }
+  // Index of the leader, or of the last controller while there is no leader.
   std::size_t leader_or_last();
   // A random number below `bound`.
   std::size_t draw(std::size_t bound) { return random() % bound; }
@@ -66,49 +66,49 @@
   Cluster cluster;
   std::mt19937 random;
   std::size_t events = 0;
-  double all_newer_at = 0;  // steady seconds
+  double all_newer_at = 0;  // when all controllers ran the newer build, steady seconds
 
  private:
   enum class Fault : unsigned {
-    leader_ends,
+    leader_killed,
     leader_freezes,
-    any_freezes,
-    endpoint_refuses,
-    answers_lost,
-    late_writes,
-    repeats,
-    outage,
-    gap,
-    parted,
-    deaf,
-    hang,
-    all_end,
+    controller_freezes,
+    endpoint_rejects,
+    replies_lost,
+    transactions_delayed,
+    transactions_duplicated,
+    store_outage,
+    leader_rejected_then_outage,
+    controller_partitioned,
+    workers_unresponsive,
+    worker_hangs,
+    all_killed,
     count
   };
   static const char* name_of(Fault fault);
-  Fault draw_fault();
-  void play(Fault fault);
-  // The second fault of a pair, if it is still to come.
-  void play_second_fault();
-  // Lets a fault last, with the second one of its pair in the middle.
-  void last(double seconds);
+  Fault choose_fault();
+  void inject(Fault fault);
+  // Injects the second fault of a pair unless it was injected already.
+  void inject_second_fault();
+  // Waits while a fault lasts, and injects the second one of its pair halfway.
+  void wait_during_fault(double seconds);
 
-  void end_leader(std::size_t leader);
-  void freeze(std::size_t i, double seconds);
-  void toggle_share(const std::string& said, std::atomic<double>& share, double to);
-  void play_outage();
-  void refuse_leader_then_all(std::size_t leader);
-  void part(std::size_t leader, std::size_t any);
-  void deafen_workers();
+  void kill_leader(std::size_t leader);
+  void freeze_controller(std::size_t i, double seconds);
+  void toggle_probability(const std::string& event, std::atomic<double>& probability, double enabled_value);
+  void inject_outage();
+  void reject_leader_then_all(std::size_t leader);
+  void partition_controller(std::size_t leader, std::size_t any);
+  void make_workers_unresponsive();
   void hang_worker();
-  void end_all();
+  void kill_all();
 
   std::size_t count_unanswered(const std::vector<std::string>& uids);
 
-  std::vector<bool> newer_;                   // by controller: runs the newer build
-  std::map<std::string, std::size_t> pairs_;  // of faults that met, by their names
-  std::optional<Fault> second_;
-  double began_, healed_ = 0;
+  std::vector<bool> runs_newer_build_;              // by controller: whether it runs the newer build
+  std::map<std::string, std::size_t> fault_pairs_;  // faults injected as pairs: names -> count
+  std::optional<Fault> second_fault_;
+  double started_at_, faults_ended_at_ = 0;
 };
 
 }  // namespace thistlefront::testbed
--- a/testbed/free_address.hpp
+++ b/testbed/free_address.hpp
@@ -4,9 +4,9 @@
 
 namespace thistlefront::test_support {
 
-// An address ("IP:port") that nothing listens on now. Its IP is a loopback address of this process alone: processes that shared one
-// took each other's ports in the moment between two runs of a controller, and users were answered by the wrong cluster. The port lies
-// below the range that outgoing connections take. Tries on until an address is free.
+// Returns an address ("IP:port") on which no process listens, and retries until it finds one. The loopback IP is derived from the process
+// id: processes that share an IP can take each other's ports while a controller restarts, so that users get replies from the wrong cluster.
+// The port lies below the range of ephemeral ports of outgoing connections.
 std::string free_address();
 
 }  // namespace thistlefront::test_support
--- a/testbed/load_test/hollow_fleet.hpp
+++ b/testbed/load_test/hollow_fleet.hpp
@@ -76,7 +76,7 @@
   HollowFleet(const HollowFleet&) = delete;
   HollowFleet& operator=(const HollowFleet&) = delete;
 
-  [[nodiscard]] const std::vector<MachineDescription>& machines() const { return machines_; }
+  [[nodiscard]] const std::vector<InstanceDescription>& machines() const { return machines_; }
   [[nodiscard]] const FleetCounters& counters() const { return state_.counters; }
   // Seconds from a task's submission to its first moment on a machine, of tasks that began since the last call.
   std::vector<double> take_waits();
@@ -88,7 +88,7 @@
  private:
   struct Shard;
   FleetState state_;
-  std::vector<MachineDescription> machines_;
+  std::vector<InstanceDescription> machines_;
   std::vector<std::unique_ptr<Shard>> shards_;
 };
 
--- a/testbed/load_test/hollow_worker.cpp
+++ b/testbed/load_test/hollow_worker.cpp
@@ -44,7 +44,7 @@
 }
 }  // namespace
 
-HollowWorker::HollowWorker(FleetState& fleet, asio::io_context& context, const MachineDescription& machine, unsigned seed)
+HollowWorker::HollowWorker(FleetState& fleet, asio::io_context& context, const InstanceDescription& machine, unsigned seed)
     : fleet_(fleet), machine_(machine), acceptor_(context, endpoint_of(machine.address)), wake_(context), stream_(context), random_(seed) {
   // Workers of a running fleet do not send in step.
   next_heartbeat_at_ = steady_now() + std::uniform_real_distribution<double>(0, times().heartbeat)(random_);
@@ -88,7 +88,7 @@
   task.on = changed_ = true;
   ++fleet_.counters.starts;
   ++fleet_.counters.running;
-  fleet_.checker.on(task.uid, task.task, machine_.name, machine_.zone, now);
+  fleet_.checker.record_task_start(task.uid, task.task, machine_.name, machine_.zone, now);
   std::lock_guard lock(fleet_.waits_mutex);
   fleet_.waits.push_back(now - task.submitted_at);
 }
@@ -97,7 +97,7 @@
   const bool done = exit_reason == std::string_view("done");
   if (task.on) {
     --fleet_.counters.running;
-    fleet_.checker.off(task.uid, task.task, machine_.name, done, now);
+    fleet_.checker.record_task_end(task.uid, task.task, machine_.name, done, now);
   }
   task.on = false;
   task.exited = changed_ = true;
@@ -254,7 +254,7 @@
   stream_.close();
   change_controller();
   const auto redirect_target = body.is_object() ? body.value("steward", std::string()) : std::string();
-  const auto redirected = controller_of_label(redirect_target, fleet_.options.controllers.size());
+  const auto redirected = find_controller(redirect_target, fleet_.options.controllers.size());
   if (status != 421 || redirected == fleet_.options.controllers.size()) return;
   controller_ = redirected;
   next_heartbeat_at_ = steady_now();
--- a/testbed/load_test/hollow_worker.hpp
+++ b/testbed/load_test/hollow_worker.hpp
@@ -27,7 +27,7 @@
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
   // All calls from here on must come from the thread that runs `context`, or before it runs.
-  HollowWorker(FleetState& fleet, boost::asio::io_context& context, const MachineDescription& machine, unsigned seed);
+  HollowWorker(FleetState& fleet, boost::asio::io_context& context, const InstanceDescription& machine, unsigned seed);
 
   // Its two duties; neither ends before `context` does.
   boost::asio::awaitable<void> send_heartbeats();
@@ -75,7 +75,7 @@
   boost::beast::http::status take_commands(const Request& request);
 
   FleetState& fleet_;
-  const MachineDescription machine_;
+  const InstanceDescription machine_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer wake_;
   boost::beast::tcp_stream stream_;
--- a/testbed/load_test/load_cluster.cpp
+++ b/testbed/load_test/load_cluster.cpp
@@ -45,7 +45,7 @@
       state_(options.controllers, options.seed),
       directory_((std::filesystem::temp_directory_path() / ("thistlefront-load-test-" + std::to_string(::getpid()))).string()),
       cloud_address_(test_support::free_address()) {
-  state_.limit(static_cast<std::size_t>(options.state_value_kb * 1024), options.state_txn_ops);
+  state_.set_limits(static_cast<std::size_t>(options.state_value_kb * 1024), options.state_txn_ops);
   std::filesystem::create_directories(directory_);
   for (std::size_t i = 0; i < options.controllers; ++i) {
     addresses_.push_back(test_support::free_address());
@@ -64,13 +64,13 @@
   processes_.resize(options.controllers);
   for (std::size_t i = 0; i < options.controllers; ++i) start(i);
   ticker_ = std::jthread([this](const std::stop_token& stop) {
-    while (pause_for(stop, kTick)) checker_.tick(steady_now());
+    while (pause_for(stop, kTick)) checker_.check_deadlines(steady_now());
   });
 }
 
 LoadCluster::~LoadCluster() {
   submitters_.clear();
-  for (auto& process : processes_) process.end();
+  for (auto& process : processes_) process.kill();
   fleet_.reset();
   cloud_->stop();
   std::filesystem::remove_all(directory_);
@@ -86,7 +86,7 @@
 }
 
 std::size_t LoadCluster::leader() {
-  return controller_of_label(state_.leader(), processes_.size());
+  return find_controller(state_.leader(), processes_.size());
 }
 
 std::string LoadCluster::settings(std::size_t i) {
@@ -126,7 +126,7 @@
   const auto first = std::upper_bound(machines.begin(), machines.end(), from,
                                       [](const std::string& name, const auto& machine) { return name < machine.name; });
   const auto count = std::min<std::ptrdiff_t>(static_cast<std::ptrdiff_t>(kPage), machines.end() - first);
-  return {200, machine_list({first, first + count}, first + count != machines.end()).dump()};
+  return {200, instance_list({first, first + count}, first + count != machines.end()).dump()};
 }
 
 // ---- the load
@@ -177,13 +177,13 @@
   const double share_left = ramp ? static_cast<double>(number % 97 + 3) / 100 : 1;
   const auto job = make_job(number, run_s * share_left);
   jobs_.add(job.uid, {job.run_s, steady_now(), job.cores});
-  checker_.submitted(job, steady_now());
-  const auto body = submission(job, "array", run_s).dump();
+  checker_.record_submission(job, steady_now());
+  const auto body = submission_body(job, "array", run_s).dump();
   const double asked = steady_now();
   while (!stop.stop_requested()) {
     const auto answer = client.post("/v1/jobs", body, 5);
     if (answer.is(200) || answer.is(201)) {
-      checker_.told(job.uid, "queued", steady_now());
+      checker_.record_reply(job.uid, "queued", steady_now());
       std::lock_guard lock(acceptances_mutex_);
       acceptances_.push_back(steady_now() - asked);
       return;
--- a/testbed/load_test/load_cluster.hpp
+++ b/testbed/load_test/load_cluster.hpp
@@ -30,7 +30,7 @@
   LoadCluster& operator=(const LoadCluster&) = delete;
 
   void start(std::size_t i);
-  void end(std::size_t i) { processes_[i].end(); }
+  void end(std::size_t i) { processes_[i].kill(); }
   // The number of controllers: nobody leads.
   [[nodiscard]] std::size_t leader();
 
--- a/testbed/load_test/load_test_run.cpp
+++ b/testbed/load_test/load_test_run.cpp
@@ -179,7 +179,7 @@
   out["start_wait_s"] = quantiles(cluster_.fleet().take_waits());
   out["accept_s"] = quantiles(cluster_.take_acceptances());
   out["submissions_refused"] = cluster_.refused();
-  out["rules_broken"] = cluster_.checker().broken();
+  out["rules_broken"] = cluster_.checker().violations();
   return out;
 }
 
--- a/testbed/network_relay.cpp
+++ b/testbed/network_relay.cpp
@@ -9,15 +9,15 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr int kTickMs = 50;
+constexpr int kPollIntervalMs = 50;
 constexpr double kConnectTimeoutS = 1.0;
 constexpr std::size_t kBufferBytes = 16384;
 
-void wait_tick() {
-  ::poll(nullptr, 0, kTickMs);
+void wait_poll_interval() {
+  ::poll(nullptr, 0, kPollIntervalMs);
 }
 
-// Sends all bytes; false when the other side is gone.
+// Sends all bytes; false if the connection is closed.
 bool send_all(int socket, const char* bytes, std::size_t size) {
   while (size > 0) {
     const ssize_t sent = ::send(socket, bytes, size, MSG_NOSIGNAL);
@@ -28,59 +28,60 @@
   return true;
 }
 
-// Passes on what has arrived; false when either side is gone.
-bool pass_on(int source, int destination) {
+// Forwards the bytes that have arrived; false if either side is closed.
+bool forward(int source, int destination) {
   std::array<char, kBufferBytes> bytes;
   const ssize_t received = ::recv(source, bytes.data(), bytes.size(), 0);
   return received > 0 && send_all(destination, bytes.data(), static_cast<std::size_t>(received));
 }
 }  // namespace
 
-Relay::Relay(std::string to) : to_(std::move(to)), listener_(listen_on(address_)) {
-  accepting_ = std::jthread([this] { accept_connections(); });
+NetworkRelay::NetworkRelay(std::string destination) : destination_(std::move(destination)), listener_(listen_on(address_)) {
+  accept_thread_ = std::jthread([this] { accept_connections(); });
 }
 
-Relay::~Relay() {
-  ending_ = true;
+NetworkRelay::~NetworkRelay() {
+  stopping_ = true;
   listener_.shutdown();
-  accepting_.join();
+  accept_thread_.join();
   std::lock_guard lock(mutex_);
   connections_.clear();
 }
 
-void Relay::accept_connections() {
-  while (!ending_) {
+void NetworkRelay::accept_connections() {
+  while (!stopping_) {
     Socket accepted = accept_from(listener_);
     if (!accepted.open()) continue;
     std::lock_guard lock(mutex_);
-    std::erase_if(connections_, [](const auto& connection) { return connection->over.load(); });
+    std::erase_if(connections_, [](const auto& connection) { return connection->closed.load(); });
     connections_.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
   }
 }
 
-Relay::Connection::Connection(Relay& relay, Socket accepted) : from(std::move(accepted)), thread([this, &relay] { run(relay); }) {}
+NetworkRelay::Connection::Connection(NetworkRelay& relay, Socket accepted)
+    : client(std::move(accepted)), thread([this, &relay] { run(relay); }) {}
 
-void Relay::Connection::run(const Relay& relay) {
-  while (relay.cut_ && !relay.ending_) wait_tick();
-  to = connect_to(relay.to_, kConnectTimeoutS);
-  copy(relay);
-  from.shutdown();
-  to.shutdown();
-  over = true;
+void NetworkRelay::Connection::run(const NetworkRelay& relay) {
+  while (relay.partitioned_ && !relay.stopping_) wait_poll_interval();
+  server = connect_to(relay.destination_, kConnectTimeoutS);
+  copy_bytes(relay);
+  client.shutdown();
+  server.shutdown();
+  closed = true;
 }
 
-void Relay::Connection::copy(const Relay& relay) {
-  while (to.open() && !relay.ending_) {
-    const auto answer_events = static_cast<short>(relay.answers_held_ ? 0 : POLLIN);
-    pollfd fds[2] = {{from.fd(), POLLIN, 0}, {to.fd(), answer_events, 0}};
-    if (relay.cut_) {
-      wait_tick();
+void NetworkRelay::Connection::copy_bytes(const NetworkRelay& relay) {
+  while (server.open() && !relay.stopping_) {
+    const auto server_events = static_cast<short>(relay.holds_replies_ ? 0 : POLLIN);
+    pollfd fds[2] = {{client.fd(), POLLIN, 0}, {server.fd(), server_events, 0}};
+    if (relay.partitioned_) {
+      wait_poll_interval();
       continue;
     }
-    if (::poll(fds, 2, kTickMs) < 0) return;
+    if (::poll(fds, 2, kPollIntervalMs) < 0) return;
     bool alive = true;
-    if (fds[0].revents != 0) alive = pass_on(from.fd(), to.fd());
-    if (fds[1].revents != 0) alive = pass_on(to.fd(), from.fd()) && alive;
+    if (fds[0].revents != 0) alive = forward(client.fd(), server.fd());
+    if (fds[1].revents != 0) alive = forward(server.fd(), client.fd()) && alive;
     if (!alive) return;
   }
 }
--- a/testbed/network_relay.hpp
+++ b/testbed/network_relay.hpp
@@ -1,6 +1,6 @@
-// The network between two controllers: a TCP relay that passes on what is sent to its address, and that tests can cut. Bytes on their way
-// when it is cut are held in order and let through when the cut ends; a connection made meanwhile hangs, as it does in a network that
-// drops packets.
+// The network between two controllers: a TCP relay that forwards connections to another address and can simulate a partition. Bytes in
+// transit when a partition starts are held and delivered in order when it ends; a connection opened meanwhile hangs, as in a network
+// that drops packets.
 #pragma once
 #include <sys/types.h>
 
@@ -16,38 +16,38 @@
 
 namespace thistlefront::testbed {
 
-class Relay {
+class NetworkRelay {
  public:
-  // Listens at an address of its own and connects to `to` for each connection that comes.
-  explicit Relay(std::string to);
-  ~Relay();
-  Relay(const Relay&) = delete;
-  Relay& operator=(const Relay&) = delete;
+  // Listens on an address of its own, and opens a connection to `destination` for each one that it accepts.
+  explicit NetworkRelay(std::string destination);
+  ~NetworkRelay();
+  NetworkRelay(const NetworkRelay&) = delete;
+  NetworkRelay& operator=(const NetworkRelay&) = delete;
 
   [[nodiscard]] const std::string& address() const { return address_; }
-  void cut(bool is) { cut_ = is; }
-  // Holds what comes back, while what is sent there goes on.
-  void hold_answers(bool is) { answers_held_ = is; }
+  void set_partitioned(bool partitioned) { partitioned_ = partitioned; }
+  // While set, holds the bytes from the destination; those to it are still forwarded.
+  void hold_replies(bool holds) { holds_replies_ = holds; }
 
  private:
-  // One connection through the relay, with a thread that copies its bytes both ways.
+  // One connection through the relay, with a thread that copies its bytes in both directions.
   struct Connection {
-    Connection(Relay& relay, Socket accepted);
-    void run(const Relay& relay);
-    // Copies until one side closes or the relay ends.
-    void copy(const Relay& relay);
-    Socket from, to;
-    std::atomic<bool> over{false};
+    Connection(NetworkRelay& relay, Socket accepted);
+    void run(const NetworkRelay& relay);
+    // Copies until one side closes or the relay stops.
+    void copy_bytes(const NetworkRelay& relay);
+    Socket client, server;
+    std::atomic<bool> closed{false};
     std::jthread thread;
   };
   void accept_connections();
 
-  const std::string address_ = test_support::free_address(), to_;
+  const std::string address_ = test_support::free_address(), destination_;
   Socket listener_;
-  std::atomic<bool> cut_{false}, answers_held_{false}, ending_{false};
+  std::atomic<bool> partitioned_{false}, holds_replies_{false}, stopping_{false};
   std::mutex mutex_;
   std::list<std::unique_ptr<Connection>> connections_;
-  std::jthread accepting_;
+  std::jthread accept_thread_;
 };
 
 }  // namespace thistlefront::testbed
--- a/testbed/protocol_json.cpp
+++ b/testbed/protocol_json.cpp
@@ -12,20 +12,20 @@
   return out;
 }
 
-json machine_list(const std::vector<MachineDescription>& machines, bool truncated) {
+json instance_list(const std::vector<InstanceDescription>& instances, bool truncated) {
   json listed = json::array();
-  for (const auto& machine : machines)
-    listed.push_back({{"uid", machine.name},
-                      {"address", machine.address},
+  for (const auto& instance : instances)
+    listed.push_back({{"uid", instance.name},
+                      {"address", instance.address},
                       {"hostKind", "big"},
-                      {"yard", machine.zone},
+                      {"yard", instance.zone},
                       {"loaners", false},
                       {"status", "running"},
                       {"heldS", 100}});
   return {{"hosts", std::move(listed)}, {"truncated", truncated}};
 }
 
-json submission(const SubmittedJob& job, const std::string& job_class, double expected_s) {
+json submission_body(const SubmittedJob& job, const std::string& job_class, double expected_s) {
   json body{{"uid", job.uid},
             {"jobClass", job_class},
             {"owner", job.owner},
--- a/testbed/protocol_json.hpp
+++ b/testbed/protocol_json.hpp
@@ -1,4 +1,4 @@
-// What the testbed's stand-in cloud and users say in the protocol's JSON. Shared by the fault test and the load test.
+// Protocol messages of the simulated cloud and the simulated users. Shared by the fault test and the load test.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -8,16 +8,16 @@
 
 namespace thistlefront::testbed {
 
-// A machine as the cloud lists it.
-struct MachineDescription {
+// An instance in the cloud's list.
+struct InstanceDescription {
   std::string name, address, zone;
 };
 
 // The cloud's only machine type, "big".
 nlohmann::json machine_types(double cores, int ram_gb, const std::vector<std::string>& zones);
-// One page of the cloud's list. `truncated`: more machines follow.
-nlohmann::json machine_list(const std::vector<MachineDescription>& machines, bool truncated);
+// One page of the cloud's list. `truncated`: further pages follow.
+nlohmann::json instance_list(const std::vector<InstanceDescription>& instances, bool truncated);
 // The body with which a user submits a job.
-nlohmann::json submission(const SubmittedJob& job, const std::string& job_class, double expected_s);
+nlohmann::json submission_body(const SubmittedJob& job, const std::string& job_class, double expected_s);
 
 }  // namespace thistlefront::testbed
--- a/testbed/run_report.cpp
+++ b/testbed/run_report.cpp
@@ -3,19 +3,20 @@
 namespace thistlefront::testbed {
 
 void print(std::ostream& out, const RunReport& report) {
-  out << "seed " << report.seed << ": " << report.events << " events, " << report.accepted << " jobs accepted, " << report.tasks_done
-      << " tasks done, longest without an acceptance " << report.longest_without_acceptance_s << " s ("
-      << report.longest_without_acceptance_healed_s << " s when all was well), " << report.scenario_figures << report.unanswered
-      << " unanswered, " << report.unfenced << " unfenced, " << report.too_large << " too large, " << report.broken.size()
-      << " rules broken\n";
+  out << "seed " << report.seed << ": " << report.events << " events, " << report.accepted << " jobs accepted, " << report.completed_tasks
+      << " tasks done, longest time without an acceptance " << report.longest_acceptance_gap_s << " s ("
+      << report.longest_acceptance_gap_after_faults_s << " s after all faults ended), " << report.scenario_figures << report.unanswered
+      << " unanswered jobs, " << report.unfenced_writes << " unfenced writes, " << report.oversized_transactions
+      << " oversized transactions, " << report.violations.size() << " rules broken\n";
   const auto& dependent = report.dependent_jobs;
   if (dependent.accepted > 0)
-    out << "  " << dependent.accepted << " jobs waited for others, " << dependent.mark_done << " of them done, " << dependent.mark_cancelled
-        << " told cancelled; the first was accepted " << report.first_dependent_after_s << " s after all were new\n";
-  out << "  pairs:";
-  for (const auto& [names, times] : report.pairs) out << " " << names << (times > 1 ? "*" + std::to_string(times) : "");
+    out << "  " << dependent.accepted << " dependent jobs, " << dependent.completed << " of them done, " << dependent.reported_cancelled
+        << " reported as cancelled; the first was accepted " << report.first_dependent_after_s
+        << " s after all controllers ran the newer build\n";
+  out << "  fault pairs:";
+  for (const auto& [names, count] : report.fault_pairs) out << " " << names << (count > 1 ? "*" + std::to_string(count) : "");
   out << '\n';
-  for (const auto& rule : report.broken) out << "  " << rule << '\n';
+  for (const auto& violation : report.violations) out << "  " << violation << '\n';
   out.flush();
 }
 
--- a/testbed/run_report.hpp
+++ b/testbed/run_report.hpp
@@ -12,18 +12,18 @@
 
 struct RunReport {
   unsigned seed = 0;
-  std::size_t events = 0, accepted = 0, tasks_done = 0;
-  double longest_without_acceptance_s = 0;         // while faults were played
-  double longest_without_acceptance_healed_s = 0;  // in the first seconds after
-  std::string scenario_figures;                    // the scenario's own, each followed by ", "
-  std::size_t unanswered = 0;                      // accepted jobs that nobody told anything of at the end
-  std::size_t unfenced = 0, too_large = 0;         // writes, as the store counted them
+  std::size_t events = 0, accepted = 0, completed_tasks = 0;
+  double longest_acceptance_gap_s = 0;                          // while faults were injected
+  double longest_acceptance_gap_after_faults_s = 0;             // in the first seconds after all faults ended
+  std::string scenario_figures;                                 // figures of the scenario, each followed by ", "
+  std::size_t unanswered = 0;                                   // accepted jobs whose last polls all failed
+  std::size_t unfenced_writes = 0, oversized_transactions = 0;  // transactions, as counted by the store
   Checker::DependentJobs dependent_jobs;
-  double first_dependent_after_s = 0;        // since all controllers had the newer build
-  std::map<std::string, std::size_t> pairs;  // of faults that met, by their names
-  std::vector<std::string> broken;           // rules
+  double first_dependent_after_s = 0;              // since all controllers run the newer build
+  std::map<std::string, std::size_t> fault_pairs;  // faults injected as pairs: names -> count
+  std::vector<std::string> violations;             // "rule: details"
 
-  [[nodiscard]] bool passed() const { return broken.empty() && unanswered == 0 && unfenced == 0 && too_large == 0; }
+  [[nodiscard]] bool passed() const { return violations.empty() && unanswered == 0 && unfenced_writes == 0 && oversized_transactions == 0; }
 };
 
 void print(std::ostream& out, const RunReport& report);
--- a/testbed/scenarios.hpp
+++ b/testbed/scenarios.hpp
@@ -4,15 +4,15 @@
 
 namespace thistlefront::testbed {
 
-// Builds are rolled forward and back in any order, with a fault every second or two; then all controllers get the newer build and faults
-// end: everything accepted must be known, and the format version must come on by itself.
+// Rolls builds forward and back in random order, with a fault every second or two. Then faults end and all controllers get the newer
+// build: all accepted jobs must be known, and the format version must be activated automatically.
 bool run_rollout(const ScenarioOptions& options);
 
-// Controllers end in each step of what they do with the store (the request executed or not) and at any moment, and are back within a
-// fraction of a second: one, some or all, often in a row.
+// Kills controllers at any of their requests to the store (executed or not) and at other moments, and restarts them within a fraction of a
+// second: one or all of them, often several times in a row.
 bool run_restarts(const ScenarioOptions& options);
 
-// Teams' limits are changed by settings files that are rolled out controller by controller under faults, over and over.
+// Repeatedly rolls out settings files with other team limits, controller by controller, while faults are injected.
 bool run_limit_changes(const ScenarioOptions& options);
 
 }  // namespace thistlefront::testbed
--- a/testbed/user.hpp
+++ b/testbed/user.hpp
@@ -1,5 +1,5 @@
-// One user of the fault test's cluster: submits, polls and withdraws jobs at random, tells the checker each answer, and now and then asks
-// all controllers at once.
+// A simulated user of the fault test's cluster. It submits, polls and cancels jobs at random, sometimes at all controllers at once, and
+// reports each reply to the checker.
 #pragma once
 #include <cstdint>
 #include <random>
@@ -14,24 +14,24 @@
 
 class User {
  public:
-  // `seed` also makes its jobs' identifiers unique.
+  // `seed` is also part of the job identifiers, so that they are unique.
   User(Cluster& cluster, unsigned seed) : cluster_(cluster), seed_(seed), random_(seed), address_random_(seed) {}
-  // Until it is asked to stop.
+  // Runs until stop is requested.
   void run(const std::stop_token& stop);
 
  private:
   SubmittedJob draw_job();
   void submit_job(const std::stop_token& stop);
-  // Stops following a job that ends by itself, or withdraws the job.
-  void drop_job();
-  void ask_for_unknown_job();
+  // Cancels a job; while the user tracks many jobs, it stops tracking the chosen one instead unless that is a service.
+  void cancel_job();
+  void poll_unknown_job();
   void poll_job();
 
   Cluster& cluster_;
   const unsigned seed_;
   std::mt19937 random_;
-  unsigned address_random_;        // chooses the controllers that are asked
-  std::vector<std::string> jobs_;  // that it follows
+  unsigned address_random_;        // selects the controllers to call
+  std::vector<std::string> jobs_;  // tracked jobs
   std::uint64_t submitted_ = 0;
 };
 
--- a/tests/cancellation_during_outage_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -10,8 +10,8 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.1};  // heartbeat, lease, cancel, pull
-constexpr double kOutageS = 13;                   // longer than cancel_s and the time until a reply
+constexpr testbed::ProtocolTimes kTimes{0.5, 4, 8, 0.1};  // heartbeat, lease, cancel, pull
+constexpr double kOutageS = 13;                           // longer than cancel_s and the time until a reply
 
 class CancellationDuringOutage : public test_support::ClusterFixture {
  protected:
@@ -19,19 +19,19 @@
   void start_cluster(std::size_t n, const std::string& site = "") {
     ClusterFixture::start_cluster(n, 2, site);
     for (const auto* uid : {"j-1", "j-2"}) {
-      checker.submitted({uid, "red", "batch", "", 2, 1, 1000}, steady_now());
+      checker.record_submission({uid, "red", "batch", "", 2, 1, 1000}, steady_now());
       ASSERT_TRUE(cluster->submit_until(uid, 20));
-      checker.told(uid, "queued", steady_now());
+      checker.record_reply(uid, "queued", steady_now());
       ASSERT_TRUE(cluster->eventually(20, [&] { return count_running_tasks(uid) == 2; })) << uid;
     }
     first = cluster->leader();
   }
   // Sends one cancellation through this controller and returns whether it was confirmed.
   bool withdraw(std::size_t controller, const std::string& uid) {
-    checker.wants_withdrawn(uid);
+    checker.record_withdrawal(uid);
     const auto r = cluster->ask(controller, "POST", "/v1/jobs/" + uid + "/withdraw");
     EXPECT_TRUE(r.is(200) || r.is(503)) << r.status << " " << r.body;
-    if (r.is(200)) checker.told(uid, "aborted", steady_now());
+    if (r.is(200)) checker.record_reply(uid, "aborted", steady_now());
     return r.is(200);
   }
 
@@ -50,18 +50,18 @@
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k)
       if (is_with_next(i) != is_with_next(k)) set_partition(i, k, true);
-  for (std::size_t i = 0; i < n; ++i) cluster->state.endpoint(i).refuses = i != next;
+  for (std::size_t i = 0; i < n; ++i) cluster->state.endpoint(i).rejects_requests = i != next;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() == next; }));
   bool confirmed = false;
   for (const double until = steady_now() + 2; steady_now() < until; wait(0.1)) confirmed = withdraw(next, "j-1") || confirmed;
-  cluster->state.outage(true);
+  cluster->state.set_outage(true);
   wait(kOutageS);
   EXPECT_FALSE(confirmed) << "the other controllers may go on renewing leases without knowing of it";
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k) set_partition(i, k, false);
-  cluster->state.outage(false);
+  cluster->state.set_outage(false);
   EXPECT_TRUE(cluster->eventually(20, [&] { return withdraw(cluster->leader(), "j-1"); }));
-  wait(kTimes.cancel + 0.5);
+  wait(kTimes.cancel_s + 0.5);
   EXPECT_EQ(count_running_tasks("j-2"), 2u);
 }
 INSTANTIATE_TEST_SUITE_P(Controllers, CancellationDuringOutageOf, testing::Values(3, 5));
@@ -70,15 +70,15 @@
 // uncertain. The replies to their heartbeats then carry the kills, and no lease expires. This happens twice in a row.
 TEST_F(CancellationDuringOutage, SendsKillsOfCancelledJobsWhileLeadershipIsUncertain) {
   start_cluster(3);
-  for (auto& worker : workers) worker->cut_commands(true);
+  for (auto& worker : workers) worker->drop_commands(true);
   for (const auto* uid : {"j-1", "j-2"}) {
     ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; }));
     wait(0.7);
     freeze_agents(2);
     ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(cluster->leader(), uid); }));
-    cluster->state.outage(true);
+    cluster->state.set_outage(true);
     wait(kOutageS);
-    cluster->state.outage(false);
+    cluster->state.set_outage(false);
     ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks(uid) == 0; }));
     if (uid == std::string("j-1")) {
       EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; }));
@@ -92,14 +92,14 @@
 class CancellationDuringOutageIn : public CancellationDuringOutage, public testing::WithParamInterface<const char*> {};
 TEST_P(CancellationDuringOutageIn, LetsLeasesExpireWhileTheLedgerIsNotRead) {
   start_cluster(3, GetParam());
-  for (auto& worker : workers) worker->cut_commands(true);
+  for (auto& worker : workers) worker->drop_commands(true);
   wait(0.7);
   freeze_agents(1.5);
   ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(first, "j-1"); }));
   cluster->state.outage_at_takeover = true;
   cluster->stop(first);
   wait(kOutageS);
-  cluster->state.outage(false);
+  cluster->state.set_outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; })) << "the tasks were not restarted";
 }
 INSTANTIATE_TEST_SUITE_P(Zones, CancellationDuringOutageIn, testing::Values("", "x"));
@@ -108,15 +108,15 @@
 // on renewing leases.
 TEST_F(CancellationDuringOutage, KeepsLeasesWhenItBeginsBeforeTheTakeover) {
   start_cluster(3);
-  for (auto& worker : workers) worker->cut_commands(true);
+  for (auto& worker : workers) worker->drop_commands(true);
   wait(0.7);
   freeze_agents(1.5);
   ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(first, "j-1"); }));
-  cluster->state.outage_at_reading = true;
-  cluster->state.endpoint(first).refuses = true;
+  cluster->state.outage_at_ledger_read = true;
+  cluster->state.endpoint(first).rejects_requests = true;
   wait(1.5 + kOutageS);
-  EXPECT_FALSE(cluster->state.outage_at_reading) << "the ledger was not read";
-  cluster->state.outage(false);
+  EXPECT_FALSE(cluster->state.outage_at_ledger_read) << "the ledger was not read";
+  cluster->state.set_outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; }));
   EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "a lease expired during the outage";
 }
@@ -125,19 +125,19 @@
 // controller that they reach.
 TEST_F(CancellationDuringOutage, HoldsWhenTheSuccessorRestarts) {
   start_cluster(3, "x");
-  for (auto& worker : workers) worker->cut_commands(true);
-  cluster->state.endpoint(first).refuses = true;
+  for (auto& worker : workers) worker->drop_commands(true);
+  cluster->state.endpoint(first).rejects_requests = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return !cluster->state.leader().empty() && cluster->leader() != first; }));
   const auto next = cluster->leader();
   freeze_agents(2);
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(next, "j-1"); }));
-  cluster->state.outage(true);
+  cluster->state.set_outage(true);
   wait(1.5);
   cluster->stop(next);
   wait(0.2);
   cluster->start(next, test_support::fixed_version_options());
   wait(kOutageS);
-  cluster->state.outage(false);
+  cluster->state.set_outage(false);
   EXPECT_TRUE(cluster->eventually(20, [&] { return count_running_tasks("j-2") == 2; }));
 }
 
--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -11,9 +11,9 @@
 using test_support::status_of;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
-constexpr std::size_t kEnoughQuestions = 10;       // that a deposed leader must be asked while a fault lasts: more than this
-constexpr double kLongestFault = 20;               // seconds
+constexpr testbed::ProtocolTimes kTimes{0.5, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr std::size_t kEnoughQuestions = 10;               // that a deposed leader must be asked while a fault lasts: more than this
+constexpr double kLongestFault = 20;                       // seconds
 
 // An answer that the leader gave is held up on its way through a follower until the next leader has told a user something newer. The
 // follower must not give the older answer to its user then.
@@ -42,8 +42,8 @@
     const auto leader = cluster->leader(), follower = (leader + 1) % 3, next = (leader + 2) % 3;
     ASSERT_TRUE(cluster->eventually(10, [&] { return cluster->ask(follower, "GET", "/v1/jobs/j-9").is(200); }));
     // The follower does not learn of the next leader.
-    network_relays.at({next, follower})->cut(true);
-    network_relays.at({follower, leader})->hold_answers(true);
+    network_relays.at({next, follower})->set_partitioned(true);
+    network_relays.at({follower, leader})->hold_replies(true);
     HttpResult answer;
     double answered = 0;
     std::jthread user([&] {
@@ -53,7 +53,7 @@
       answered = steady_now();
     });
     wait(0.1);
-    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = true;
+    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = true;
     std::string newer;
     cluster->eventually(1.4, [&] {
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
@@ -64,15 +64,15 @@
     });
     met = !newer.empty() && answered == 0;
     const double released_at = steady_now();
-    network_relays.at({follower, leader})->hold_answers(false);
+    network_relays.at({follower, leader})->hold_replies(false);
     user.join();
     // Only an answer that came when it was let through, and not at its time limit, shows anything.
     met = met && answered - released_at < 0.3;
     if (met) {
       EXPECT_TRUE(answer.is(503)) << held.name << ": " << answer.status << " " << answer.body << " after " << newer;
     }
-    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = false;
-    network_relays.at({next, follower})->cut(false);
+    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = false;
+    network_relays.at({next, follower})->set_partitioned(false);
   }
   EXPECT_TRUE(met) << "the answer was held while another one led";
 }
@@ -107,9 +107,9 @@
     std::mt19937 random(user);
     for (int n = 1; !over; ++n) {
       const std::string uid = "j-" + std::to_string(user * 1000 + n);
-      checker.submitted({uid, "red", "batch", "", 2, 1, 0.3 + 0.1 * (random() % 6)}, steady_now());
+      checker.record_submission({uid, "red", "batch", "", 2, 1, 0.3 + 0.1 * (random() % 6)}, steady_now());
       const bool cancels = random() % 3 == 0;
-      if (cancels) checker.wants_withdrawn(uid);
+      if (cancels) checker.record_withdrawal(uid);
       const auto accepted = [&] {
         const auto status = submit(random() % cluster->users.size(), uid);
         return !status.empty() && status != "refused";
@@ -159,19 +159,19 @@
     wait(1);
   };
   auto leader = cluster->leader();
-  depose(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).refuses = is; });
+  depose(leader, 1, 0, [&](bool is) { cluster->state.endpoint(leader).rejects_requests = is; });
   leader = cluster->leader();
   // It reaches nobody but its workers and users.
   depose(leader, 3, kEnoughQuestions + 1, [&](bool is) {
     set_partition(leader, is);
-    cluster->state.endpoint(leader).refuses = is;
+    cluster->state.endpoint(leader).rejects_requests = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while it is parted and another one leads";
   leader = cluster->leader();
   // What it sends to the store is executed, and no answer comes; and it reaches nobody but its workers and users.
   depose(leader, 2, kEnoughQuestions + 1, [&](bool is) {
     set_partition(leader, is);
-    cluster->state.endpoint(leader).frozen = is;
+    cluster->state.endpoint(leader).holds_replies = is;
   });
   EXPECT_GT(asked.back(), kEnoughQuestions) << "questions while nothing answers it and another one leads";
   for (const double pause : {0.05, 0.0}) {
@@ -197,15 +197,15 @@
       std::mt19937 random(u);
       for (int n = 0; n < 12; ++n) {
         const std::string uid = "j-" + std::to_string(u * 1000 + static_cast<unsigned>(n));
-        checker.submitted({uid, "red", "batch", "", 2, 1, 0.4}, steady_now());
-        checker.wants_withdrawn(uid);
+        checker.record_submission({uid, "red", "batch", "", 2, 1, 0.4}, steady_now());
+        checker.record_withdrawal(uid);
         ASSERT_TRUE(cluster->submit_until(uid, 20));
-        checker.told(uid, "queued", steady_now());
+        checker.record_reply(uid, "queued", steady_now());
         // Within milliseconds of the end, or some time before it.
         if (random() % 3 == 0) {
           wait(0.001 * (random() % 800));
         } else {
-          cluster->eventually(6, [&] { return checker.ended_tasks(uid) == 2; });
+          cluster->eventually(6, [&] { return checker.completed_tasks(uid) == 2; });
           wait(0.001 * (random() % 60));
         }
         std::jthread asks([&, replica = random() % GetParam()] { look(uid, replica, false), look(uid, replica, true); });
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -87,8 +87,8 @@
   void stop_all() {
     for (std::size_t i = 0; i < users.size(); ++i) {
       auto& endpoint = state.endpoint(i);
-      endpoint.refuses = endpoint.frozen = false;
-      endpoint.loses = endpoint.late = endpoint.repeats = 0;
+      endpoint.rejects_requests = endpoint.holds_replies = false;
+      endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
     }
     for (auto& controller : controllers_) controller.thread.request_stop();
     for (std::size_t i = 0; i < controllers_.size(); ++i) stop(i);
@@ -151,7 +151,7 @@
   // By job: the number of acceptance records in the ledger, which must be one.
   std::map<std::string, int> acceptances_in_ledger() {
     std::map<std::string, int> out;
-    for (const auto& [key, value] : state.entries())
+    for (const auto& [key, value] : state.ledger_entries())
       for (const auto& record : parse_entry(value).records)
         if (const auto* accepted = std::get_if<JobAcceptedRecord>(&record)) ++out[accepted->job.uid];
     return out;
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -15,7 +15,8 @@
 
 class ClusterFixture : public testing::Test {
  protected:
-  explicit ClusterFixture(const testbed::Times& protocol_times) : times(protocol_times), checker({{"red", 1000}}, protocol_times.cancel) {}
+  explicit ClusterFixture(const testbed::ProtocolTimes& protocol_times)
+      : times(protocol_times), checker({{"red", 1000}}, protocol_times.cancel_s) {}
   // Starts `n` controllers, all in zone `site`, and the workers of `node_count` nodes, in zone x.
   void start_cluster(std::size_t n, std::size_t node_count, const std::string& site = "",
                      const Options& options = fixed_version_options()) {
@@ -25,11 +26,11 @@
           for (std::size_t i = 0; i < n; ++i) {
             Settings& s = settings[i];
             s.site = site;
-            s.heartbeat_interval_s = times.heartbeat, s.lease_s = times.lease, s.cancel_s = times.cancel;
+            s.heartbeat_interval_s = times.heartbeat_interval_s, s.lease_s = times.lease_s, s.cancel_s = times.cancel_s;
             for (auto& peer : s.peers) {
               const std::size_t k = std::stoul(peer.label.substr(5));
               peer.site = site;
-              network_relays[{i, k}] = std::make_unique<testbed::Relay>(peer.address);
+              network_relays[{i, k}] = std::make_unique<testbed::NetworkRelay>(peer.address);
               peer.address = network_relays[{i, k}]->address();
             }
           }
@@ -39,25 +40,25 @@
       workers.push_back(
           std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, static_cast<unsigned>(7 + i)));
     checker_thread = std::jthread([this](const std::stop_token& stop) {
-      while (pause_for(stop, 0.02)) checker.tick(steady_now());
+      while (pause_for(stop, 0.02)) checker.check_deadlines(steady_now());
     });
   }
   void TearDown() override {
     checker_thread = {};
-    if (cluster) cluster->state.outage(false);
+    if (cluster) cluster->state.set_outage(false);
     // Stops the controllers first: while they run, they may call the cloud, whose handler accesses the workers.
     if (cluster) cluster->stop_all();
     workers.clear();
     cluster.reset();
     network_relays.clear();
-    EXPECT_TRUE(checker.broken().empty()) << checker.broken().size() << " broken, first " << checker.broken().front();
+    EXPECT_TRUE(checker.violations().empty()) << checker.violations().size() << " broken, first " << checker.violations().front();
   }
   // Makes a user's call about this job, reports the status in the reply to the checker, and returns it.
   template <class Call>
   std::string call_and_check(const std::string& uid, const Call& call) {
     const double sent_at = steady_now();
     const auto status = status_of(call());
-    if (!status.empty()) checker.told(uid, status, sent_at, steady_now());
+    if (!status.empty()) checker.record_reply(uid, status, sent_at, steady_now());
     return status;
   }
   std::string poll(std::size_t controller, const std::string& uid) {
@@ -76,8 +77,8 @@
   }
   // Starts or ends a partition between two controllers, in both directions.
   void set_partition(std::size_t a, std::size_t b, bool partitioned) {
-    network_relays.at({a, b})->cut(partitioned);
-    network_relays.at({b, a})->cut(partitioned);
+    network_relays.at({a, b})->set_partitioned(partitioned);
+    network_relays.at({b, a})->set_partitioned(partitioned);
   }
   // Starts or ends a partition between one controller and all others.
   void set_partition(std::size_t a, bool partitioned) {
@@ -85,13 +86,13 @@
       if (k != a) set_partition(a, k, partitioned);
   }
   void freeze_agents(double for_s) {
-    for (auto& worker : workers) worker->hang(steady_now() + for_s);
+    for (auto& worker : workers) worker->hang_until(steady_now() + for_s);
   }
 
   HttpServer::Handler cloud;  // replaces the cloud without capacity
-  const testbed::Times times;
+  const testbed::ProtocolTimes times;
   testbed::Checker checker;
-  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::Relay>> network_relays;  // by calling and called controller
+  std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::NetworkRelay>> network_relays;  // by calling and called controller
   std::unique_ptr<Cluster> cluster;
   std::vector<std::unique_ptr<testbed::Worker>> workers;
   std::jthread checker_thread;
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -15,7 +15,7 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr testbed::ProtocolTimes kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
 constexpr int kUsers = 6, kJobsPerUser = 40, kNodes = 3, kRelayedNodes = 10;
 constexpr double kCancelIntervalS = 0.2;  // between two cancellations of a user, before the hand-over
 
@@ -34,9 +34,9 @@
     for (int u = 0; u < kUsers; ++u) {
       for (int k = 0; k < kJobsPerUser; ++k) {
         const std::string uid = uid_of(u, k);
-        checker.submitted({uid, "red", "batch", "", 2, 1, 1000}, steady_now());
+        checker.record_submission({uid, "red", "batch", "", 2, 1, 1000}, steady_now());
         ASSERT_TRUE(cluster->submit_until(uid, 20));
-        checker.told(uid, "queued", steady_now());
+        checker.record_reply(uid, "queued", steady_now());
       }
     }
   }
@@ -54,7 +54,7 @@
       handed_over_at = steady_now();
       return true;
     });
-    cluster->state.endpoint(first).loses = 0;
+    cluster->state.endpoint(first).reply_loss_probability = 0;
   }
   // Cancels the user's jobs one after the other, and repeats each request until the cancellation is confirmed.
   void cancel_jobs(int user) {
@@ -65,7 +65,7 @@
       // Most requests wait for the hand-over to begin and are then sent as fast as possible.
       while (k > 8 && handed_over_at == 0 && cluster->metric(first, "handed_over_total").empty()) wait(0.01);
       const std::string uid = uid_of(user, k);
-      checker.wants_withdrawn(uid);
+      checker.record_withdrawal(uid);
       while (!cancel_once(uid, random() % 3)) {
       }
       wait(handed_over_at == 0 ? kCancelIntervalS : 0.02);
@@ -77,7 +77,7 @@
     request.answered_at = steady_now();
     request.confirmed = r.is(200);
     EXPECT_TRUE(r.is(200) || r.is(503) || !r.status) << r.status << " " << r.body;
-    if (request.confirmed) checker.told(uid, "aborted", request.sent_at, request.answered_at);
+    if (request.confirmed) checker.record_reply(uid, "aborted", request.sent_at, request.answered_at);
     std::lock_guard lock(mutex);
     requests.push_back(request);
     return request.confirmed;
@@ -105,7 +105,7 @@
         const double sent_at = steady_now();
         const auto r = cluster->ask(cluster->leader(), "GET", "/v1/jobs/" + uid);
         ASSERT_TRUE(r.is(200)) << uid << " " << r.status;
-        checker.told(uid, nlohmann::json::parse(r.body).at("status"), sent_at, steady_now());
+        checker.record_reply(uid, nlohmann::json::parse(r.body).at("status"), sent_at, steady_now());
       }
     }
   }
@@ -123,8 +123,8 @@
   first = cluster->leader();
   const auto other = (first + 1) % 3;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->metric(first, "placed_tasks") == "thistlefront_placed_tasks 24"; }));
-  for (auto& w : workers) w->cut_commands(true);  // the leader probes some agents, and none answers
-  cluster->state.endpoint(first).loses = GetParam();
+  for (auto& w : workers) w->drop_commands(true);  // the leader probes some agents, and none answers
+  cluster->state.endpoint(first).reply_loss_probability = GetParam();
   std::jthread heartbeats([&](const std::stop_token& stop) { send_heartbeats_through(other, stop); });
   std::jthread watch([&] { wait_for_hand_over(); });
   std::vector<std::jthread> users;
@@ -136,7 +136,7 @@
   EXPECT_EQ(cluster->metric(first, "handed_over_total"), "thistlefront_handed_over_total 1");
   expect_cancellations_around_hand_over();
   ASSERT_NO_FATAL_FAILURE(poll_all_jobs());
-  wait(kTimes.cancel + 0.5);  // the checker fails if a cancelled task still runs
+  wait(kTimes.cancel_s + 0.5);  // the checker fails if a cancelled task still runs
 }
 INSTANTIATE_TEST_SUITE_P(LostStoreResponses, HandOver, testing::Values(0.0, 0.3));
 
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -15,7 +15,7 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // heartbeat, lease, cancel, pull
+constexpr testbed::ProtocolTimes kTimes{0.5, 5, 20, 0.1};  // heartbeat, lease, cancel, pull
 constexpr std::size_t kMachinesPerController = 8, kTasks = 2;
 
 class HeartbeatRelayOf : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
@@ -38,9 +38,9 @@
     workers_made = true;
     for (int i = 0; i < 6; ++i) {
       jobs.push_back("j-" + std::to_string(i + 1));
-      checker.submitted({jobs.back(), "red", "batch", "", kTasks, 1, 1000}, steady_now());
+      checker.record_submission({jobs.back(), "red", "batch", "", kTasks, 1, 1000}, steady_now());
       ASSERT_TRUE(cluster->submit_until(jobs.back(), 20));
-      checker.told(jobs.back(), "queued", steady_now());
+      checker.record_reply(jobs.back(), "queued", steady_now());
     }
     ASSERT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
   }
@@ -87,15 +87,15 @@
 TEST_P(HeartbeatRelayOf, TasksAreStartedAndCancelledThroughIt) {
   begin_with_work();
   EXPECT_TRUE(relays_heartbeats());
-  checker.wants_withdrawn("j-1");
+  checker.record_withdrawal("j-1");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-1") == "aborted"; }));
   wait(1);
   // Through its answers alone, where no direct command reaches the workers.
-  for (auto& w : workers) w->cut_commands(true);
-  checker.wants_withdrawn("j-2");
+  for (auto& w : workers) w->drop_commands(true);
+  checker.record_withdrawal("j-2");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-2") == "aborted"; }));
   EXPECT_TRUE(cluster->eventually(10, [&] {
-    return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& w) { return sum + w->holds(); }) ==
+    return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& w) { return sum + w->unfinished_tasks(); }) ==
            4 * kTasks;
   }));
   expect_no_lease_expired("at the end");
@@ -108,7 +108,7 @@
     cluster->stop(first);
     ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
     cluster->start(first, options(true));
-    wait(2 * kTimes.lease);
+    wait(2 * kTimes.lease_s);
     expect_no_lease_expired("after a leader stopped");
     EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
   }
@@ -117,12 +117,12 @@
 // A relaying controller that stops must not look like the loss of its workers: their heartbeats come through another one.
 TEST_P(HeartbeatRelayOf, ARelayThatStopsCostsNoLeaseAndNoMachine) {
   begin_with_work();
-  for (double away : {0.05, 2 * kTimes.lease}) {
+  for (double away : {0.05, 2 * kTimes.lease_s}) {
     const auto relay = (cluster->leader() + 1) % GetParam();
     cluster->stop(relay);
     wait(away);
     cluster->start(relay, options(true));
-    wait(2 * kTimes.lease);
+    wait(2 * kTimes.lease_s);
     expect_no_lease_expired("after a relay stopped");
     EXPECT_TRUE(all_run());
   }
@@ -134,7 +134,7 @@
   const auto leader = cluster->leader();
   const auto relay = (leader + 1) % GetParam();
   set_partition(relay, leader, true);
-  wait(3 * kTimes.lease);
+  wait(3 * kTimes.lease_s);
   set_partition(relay, leader, false);
   expect_no_lease_expired("after the cut");
   EXPECT_TRUE(all_run());
@@ -153,13 +153,13 @@
   const auto relay = (cluster->leader() + 1) % GetParam();
   ASSERT_TRUE(cluster->eventually(20, [&] { return metric(relay, "reports_passed_on_total") > 3; }));
   set_partition(relay, true);
-  cluster->state.endpoint(relay).refuses = true;
+  cluster->state.endpoint(relay).rejects_requests = true;
   EXPECT_TRUE(cluster->eventually(6, [&] { return metric(relay, "kept_in_cuts_total") > 0; }));
-  wait(2 * kTimes.lease);
+  wait(2 * kTimes.lease_s);
   expect_no_lease_expired("in the cut");
   set_partition(relay, false);
-  cluster->state.endpoint(relay).refuses = false;
-  wait(kTimes.lease);
+  cluster->state.endpoint(relay).rejects_requests = false;
+  wait(kTimes.lease_s);
   expect_no_lease_expired("after the cut");
   EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
 }
@@ -169,15 +169,15 @@
   begin_with_work();
   const auto first = cluster->leader();
   set_partition(first, true);
-  cluster->state.endpoint(first).refuses = true;
+  cluster->state.endpoint(first).rejects_requests = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
-  checker.wants_withdrawn("j-1");
+  checker.record_withdrawal("j-1");
   const auto next = cluster->leader();
   wait(1);
   set_partition(first, false);
-  cluster->state.endpoint(first).refuses = false;
+  cluster->state.endpoint(first).rejects_requests = false;
   ASSERT_TRUE(cluster->eventually(20, [&] { return withdraw(next, "j-1") == "aborted"; }));
-  wait(kTimes.lease + 1);
+  wait(kTimes.lease_s + 1);
   EXPECT_TRUE(cluster->eventually(
       10, [&] { return std::all_of(jobs.begin() + 1, jobs.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasks; }); }));
   EXPECT_EQ(releases, 0);
@@ -219,7 +219,7 @@
   const auto refusal = unpack_heartbeat_batch_answer(*answer);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->takeover_token, 0u);
-  wait(kTimes.lease);
+  wait(kTimes.lease_s);
   expect_no_lease_expired("after malformed batches");
   EXPECT_TRUE(all_run());
 }
@@ -227,8 +227,8 @@
 // A worker's heartbeat is delayed and arrives at another controller after newer ones.
 TEST_P(HeartbeatRelayOf, AnOldHeartbeatThroughAnotherRelayRenewsNothing) {
   begin_with_work();
-  for (auto& w : workers) w->copy_heartbeats(true);
-  wait(3 * kTimes.lease);
+  for (auto& w : workers) w->duplicate_heartbeats(true);
+  wait(3 * kTimes.lease_s);
   expect_no_lease_expired("with old copies of heartbeats at any controller");
   EXPECT_TRUE(all_run());
 }
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -21,7 +21,7 @@
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).refuses = true;
+  c.state.endpoint(first).rejects_requests = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   // The earlier leader still accepts requests and forwards them.
@@ -29,7 +29,7 @@
   for (const auto* uid : {"j-1", "j-2", "j-3"})
     for (std::size_t i = 0; i < 3; ++i)
       EXPECT_TRUE(c.eventually(10, [&] { return c.ask(i, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 }
 
 // A leader is suspended between checking its lease and sending a transaction. When the transaction arrives, the session lease has
@@ -38,16 +38,16 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).late = 1;
+  c.state.endpoint(first).delay_probability = 1;
   std::jthread user([&] { c.submit(first, "j-2"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  c.state.endpoint(first).refuses = true;
+  c.state.endpoint(first).rejects_requests = true;
   c.state.expire_session_leases();
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   ASSERT_TRUE(c.submit_until("j-3", 20));
-  ASSERT_TRUE(c.eventually(10, [&] { return c.state.late_ones() > 0; })) << "the late transaction was not executed";
+  ASSERT_TRUE(c.eventually(10, [&] { return c.state.delayed_executions() > 0; })) << "the late transaction was not executed";
   user.join();
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
   EXPECT_FALSE(c.acceptances_in_ledger().contains("j-2"));
   EXPECT_TRUE(c.submit_until("j-2", 20)) << "the user submits again";
 }
@@ -56,11 +56,11 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).loses = 0.5;
-  c.state.endpoint(first).repeats = 0.5;
+  c.state.endpoint(first).reply_loss_probability = 0.5;
+  c.state.endpoint(first).duplicate_probability = 0.5;
   for (int i = 1; i <= 6; ++i) EXPECT_TRUE(c.submit_until("j-" + std::to_string(i), 30)) << i;
-  c.state.endpoint(first).loses = 0;
-  c.state.endpoint(first).repeats = 0;
+  c.state.endpoint(first).reply_loss_probability = 0;
+  c.state.endpoint(first).duplicate_probability = 0;
   ASSERT_TRUE(c.submit_until("j-7", 20));
   const auto accepted = c.acceptances_in_ledger();
   for (int i = 0; i <= 7; ++i) {
@@ -68,7 +68,7 @@
     ASSERT_NE(it, accepted.end()) << i;
     EXPECT_EQ(it->second, 1) << i;
   }
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 }
 
 // The store's responses, including those to lease renewals, are delayed for longer than the session lease. The leader's replies must not
@@ -77,7 +77,7 @@
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).frozen = true;
+  c.state.endpoint(first).holds_replies = true;
   ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
   const auto next = c.leader();
   ASSERT_TRUE(c.eventually(20, [&] { return c.ask(next, "POST", "/v1/jobs/j-1/withdraw").is(200); }));
@@ -88,12 +88,12 @@
     }
     EXPECT_FALSE(r.is(404));
   }
-  c.state.endpoint(first).frozen = false;
+  c.state.endpoint(first).holds_replies = false;
   EXPECT_TRUE(c.eventually(20, [&] {
     const auto r = c.ask(first, "GET", "/v1/jobs/j-1");
     return r.is(200) && r.body.find("aborted") != std::string::npos;
   }));
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 }
 
 // An agent that accepts commands without replying leaves task starts unacknowledged. The leader raises its fencing token while users'
@@ -123,7 +123,7 @@
   EXPECT_EQ(c.leader(), first) << "the same leader, with a higher fencing token";
   const auto in_ledger = c.acceptances_in_ledger();
   for (std::uint64_t i = 1; i <= serial; ++i) EXPECT_TRUE(in_ledger.contains("j-1" + std::to_string(i)));
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
   stopping = true;
 }
 
@@ -154,7 +154,7 @@
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto restart_with_leader_key_of = [&](const std::string& label) {
     for (std::size_t i = 0; i < 3; ++i) c.stop(i);
-    c.state.put(c.state.lead(), R"({"label":")" + label + R"(","incarnation":7})");
+    c.state.put(c.state.leader_key_name(), R"({"label":")" + label + R"(","incarnation":7})");
     const auto token_of_key = c.state.fencing_token();
     for (std::size_t i = 0; i < 3; ++i) c.start(i, {});
     return token_of_key;
@@ -162,12 +162,12 @@
   const auto own_token = restart_with_leader_key_of("host-1");
   EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > own_token && !c.state.leader().empty(); }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 
   const auto other_token = restart_with_leader_key_of("host-7");
   EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != other_token; }));
   EXPECT_TRUE(c.submit(0, "j-3").is(503));
-  c.state.remove(c.state.lead());
+  c.state.remove(c.state.leader_key_name());
   EXPECT_TRUE(c.submit_until("j-3", 20));
 }
 
@@ -178,9 +178,9 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader(), other = 1 - first;
-  c.state.endpoint(other).lead_overtaken = true;
+  c.state.endpoint(other).delays_takeover = true;
   c.stop(first);
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.endpoint(other).lead_overtaken; }));
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.endpoint(other).delays_takeover; }));
   for (const double until = steady_now() + 6; steady_now() < until;) {
     const bool held_before = c.state.leader() == "host-" + std::to_string(other);
     const auto r = c.ask(other, "GET", "/v1/jobs/j-999");
@@ -188,7 +188,7 @@
     EXPECT_FALSE(r.is(404) && !held_before && !held_after) << "a controller without the leader key decided";
   }
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 }
 
 // A process that crashes repeatedly must not use up the store's rate limit: in its first second it sends one read and one watch.
@@ -198,13 +198,13 @@
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
   auto& endpoint = c.state.endpoint(other);
-  endpoint.fuse = 1;  // the second request gets no response
+  endpoint.requests_before_crash = 1;  // the second request gets no response
   c.start(other, {});
-  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.fuse == 0; })) << "it reads the leader key";
+  EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.requests_before_crash == 0; })) << "it reads the leader key";
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  EXPECT_FALSE(endpoint.blown);
-  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.blown.load(); })) << "it writes its registry record later";
-  endpoint.blown = false;
+  EXPECT_FALSE(endpoint.crash_reached);
+  EXPECT_TRUE(c.eventually(5, [&] { return endpoint.crash_reached.load(); })) << "it writes its registry record later";
+  endpoint.crash_reached = false;
 }
 
 // What all users of a test observed: jobs that were accepted, confirmed as cancelled, or requested to be cancelled.
@@ -276,10 +276,10 @@
   while (!over) {
     auto& endpoint = c.state.endpoint(random() % 3);
     switch (random() % 5) {
-      case 0: endpoint.refuses = !endpoint.refuses; break;
-      case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.3; break;
-      case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.2; break;
-      case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.3; break;
+      case 0: endpoint.rejects_requests = !endpoint.rejects_requests; break;
+      case 1: endpoint.reply_loss_probability = endpoint.reply_loss_probability > 0 ? 0 : 0.3; break;
+      case 2: endpoint.delay_probability = endpoint.delay_probability > 0 ? 0 : 0.2; break;
+      case 3: endpoint.duplicate_probability = endpoint.duplicate_probability > 0 ? 0 : 0.3; break;
       default:
         if (random() % 3 == 0) c.state.expire_session_leases();
     }
@@ -293,7 +293,7 @@
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
   for (std::size_t i = 0; i < 3; ++i)
-    c.state.endpoint(i).late_most = 6;  // so late that newer transactions of the same controller come first
+    c.state.endpoint(i).max_delay_s = 6;  // so late that newer transactions of the same controller come first
   std::jthread faults([&] { inject_random_faults(c, over); });
   Observations observations;
   std::vector<std::jthread> users;
@@ -304,8 +304,8 @@
   faults.join();
   for (std::size_t i = 0; i < 3; ++i) {
     auto& endpoint = c.state.endpoint(i);
-    endpoint.refuses = false;
-    endpoint.loses = endpoint.late = endpoint.repeats = 0;
+    endpoint.rejects_requests = false;
+    endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
   }
   ASSERT_TRUE(c.submit_until("j-9", 30));
   EXPECT_TRUE(observations.violations.empty()) << observations.violations.size() << " violations, first "
@@ -323,7 +323,7 @@
     EXPECT_TRUE(aborted || !observations.cancelled.contains(uid)) << uid << ": " << body;
     EXPECT_TRUE(!aborted || observations.cancel_requested.contains(uid)) << uid << ": " << body;
   }
-  EXPECT_EQ(c.state.unfenced(), 0u);
+  EXPECT_EQ(c.state.unfenced_writes(), 0u);
 }
 
 // With more connections than the process may have threads for, idle connections are closed and nothing else is affected.
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_answers_test.cpp
@@ -13,7 +13,7 @@
 using test_support::Cluster;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr testbed::ProtocolTimes kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
 
 struct RecordCase {
   const char *name, *status_before, *status_after;  // the job's status without the record, and with it
@@ -35,7 +35,7 @@
   Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 2000;
   start_cluster(3, 2, "", options);
-  checker.submitted({"j-1", "red", "batch", "", 2, 1, name == "ended" ? 1.5 : 1000}, steady_now());
+  checker.record_submission({"j-1", "red", "batch", "", 2, 1, name == "ended" ? 1.5 : 1000}, steady_now());
   ASSERT_TRUE(cluster->submit_until("j-9", 20));
   const auto writer = cluster->leader();
   const auto fencing_token = cluster->state.fencing_token();
@@ -46,27 +46,27 @@
   }
   std::jthread user;
   if (name == "accepted") {
-    endpoint.loses_next = "ledger/";
+    endpoint.lose_next_reply_for = "ledger/";
     user = std::jthread([&] { submit(writer, "j-1"); });
   } else if (name == "cancelled") {
-    checker.wants_withdrawn("j-1");
-    endpoint.loses_next = "ledger/";
+    checker.record_withdrawal("j-1");
+    endpoint.lose_next_reply_for = "ledger/";
     user = std::jthread([&] { withdraw(writer, "j-1"); });
   } else {
     // The record of the completion of the second task; it may cover both tasks.
-    endpoint.loses_next = "ledger/";
-    ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost == 1; }));
-    if (checker.tasks_done() < 2) {
+    endpoint.lose_next_reply_for = "ledger/";
+    ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost_replies == 1; }));
+    if (checker.completed_tasks() < 2) {
       ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-1") == 1; }));
-      endpoint.loses_next = "ledger/";
+      endpoint.lose_next_reply_for = "ledger/";
     }
   }
-  ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost >= 1 && endpoint.loses_next == nullptr; }));
+  ASSERT_TRUE(cluster->eventually(10, [&] { return endpoint.lost_replies >= 1 && endpoint.lose_next_reply_for == nullptr; }));
   // The record is in the ledger, but its writer does not know.
   EXPECT_NE(std::string(record_case.status_before).find(poll(writer, "j-1")), std::string::npos)
       << "the writer replies according to its old state";
   if (record_case.new_leader) {
-    endpoint.refuses = true;
+    endpoint.rejects_requests = true;
     ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->leader() != writer; }));
   }
   EXPECT_TRUE(cluster->eventually(10, [&] { return poll(cluster->leader(), "j-1") == record_case.status_after; }));
@@ -75,10 +75,10 @@
   if (!record_case.new_leader) {
     EXPECT_EQ(cluster->state.fencing_token(), fencing_token) << "the writer recognizes its record and remains leader";
   }
-  endpoint.refuses = false;
+  endpoint.rejects_requests = false;
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(cluster->eventually(10, [&] { return poll(i, "j-1") == record_case.status_after; })) << i;
   EXPECT_EQ(cluster->acceptances_in_ledger()["j-1"], 1);
-  EXPECT_EQ(cluster->state.unfenced(), 0u);
+  EXPECT_EQ(cluster->state.unfenced_writes(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(
     Records, LostAnswer,
@@ -95,9 +95,11 @@
   Cluster cluster(3, 1, {options});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   const auto first = cluster.leader();
-  for (std::size_t i = 0; i < 3; ++i) cluster.state.endpoint(i).loses_next = i == first ? nullptr : "lead";
+  for (std::size_t i = 0; i < 3; ++i) cluster.state.endpoint(i).lose_next_reply_for = i == first ? nullptr : "lead";
   cluster.stop(first);
-  const auto lost = [&] { return cluster.state.endpoint((first + 1) % 3).lost + cluster.state.endpoint((first + 2) % 3).lost; };
+  const auto lost = [&] {
+    return cluster.state.endpoint((first + 1) % 3).lost_replies + cluster.state.endpoint((first + 2) % 3).lost_replies;
+  };
   ASSERT_TRUE(cluster.eventually(20, [&] { return lost() == 1; }));
   const auto next = cluster.leader();
   const auto fencing_token = cluster.state.fencing_token();
@@ -125,11 +127,11 @@
     for (int i = 0; i < 200 && !stopping; ++i) wait(0.01);
     return {503, "{}"};
   });
-  endpoint.loses_next = kLeaderKeyV1;
+  endpoint.lose_next_reply_for = kLeaderKeyV1;
   std::uint64_t serial = 0;
   EXPECT_TRUE(cluster.eventually(20, [&] {
     cluster.ask(first, "POST", "/v1/report", test_support::heartbeat_body("m-1", address, ++serial, 0));
-    return endpoint.lost == 1;
+    return endpoint.lost_replies == 1;
   }));
   const auto raised_token = cluster.state.fencing_token();
   EXPECT_GT(raised_token, old_token);
@@ -154,8 +156,8 @@
   ASSERT_TRUE(cluster.submit_until("j-0", 20));
   const auto first = cluster.leader();
   auto& endpoint = cluster.state.endpoint(first);
-  endpoint.loses_next = kActiveVersionKey;
-  ASSERT_TRUE(cluster.eventually(20, [&] { return endpoint.lost == 1; }));
+  endpoint.lose_next_reply_for = kActiveVersionKey;
+  ASSERT_TRUE(cluster.eventually(20, [&] { return endpoint.lost_replies == 1; }));
   const auto fencing_token = cluster.state.fencing_token();
   EXPECT_FALSE(cluster.format_version().empty());
   EXPECT_TRUE(cluster.submit_until("j-1", 20));
@@ -163,7 +165,7 @@
       cluster.eventually(10, [&] { return cluster.metric(first, "epoch") == "thistlefront_epoch " + std::to_string(fencing_token); }));
   EXPECT_EQ(cluster.leader(), first);
   EXPECT_EQ(cluster.state.fencing_token(), fencing_token) << "there was no takeover since";
-  EXPECT_EQ(cluster.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
 }
 
 // The controller reads its registry record, finds it unchanged and does not write it again.
@@ -177,9 +179,9 @@
   cluster.stop(1);
   cluster.state.remove(key);
   auto& endpoint = cluster.state.endpoint(1);
-  endpoint.loses_next = kRegistryPrefix;
+  endpoint.lose_next_reply_for = kRegistryPrefix;
   cluster.start(1, test_support::fixed_version_options());
-  ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost == 1; }));
+  ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost_replies == 1; }));
   const auto mod_revision = cluster.state.mod_revision(key);
   EXPECT_GT(mod_revision, 0u);
   wait(4);
@@ -192,11 +194,11 @@
   Cluster cluster(3);
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   for (std::size_t i = 0; i < 3; ++i) cluster.stop(i);
-  cluster.state.put(cluster.state.lead(), R"({"label":"host-1","incarnation":7})");
+  cluster.state.put(cluster.state.leader_key_name(), R"({"label":"host-1","incarnation":7})");
   auto& endpoint = cluster.state.endpoint(1);
-  endpoint.loses_next = "lead";
+  endpoint.lose_next_reply_for = "lead";
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, test_support::fixed_version_options());
-  ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost == 1; }));
+  ASSERT_TRUE(cluster.eventually(10, [&] { return endpoint.lost_replies == 1; }));
   ASSERT_TRUE(cluster.eventually(10, [&] { return !cluster.state.leader().empty() && cluster.state.leader() != "host-1"; }))
       << "another controller reads that there is no leader";
   const auto fencing_token = cluster.state.fencing_token();
--- a/tests/new_instances_test.cpp
+++ b/tests/new_instances_test.cpp
@@ -9,9 +9,9 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
-constexpr double kUnlistedS = 1.0;                 // a new instance is missing in the cloud's list for this long
-constexpr double kListedAsBootingS = 6.0;          // age until which the list shows an instance as booting
+constexpr testbed::ProtocolTimes kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr double kUnlistedS = 1.0;                         // a new instance is missing in the cloud's list for this long
+constexpr double kListedAsBootingS = 6.0;                  // age until which the list shows an instance as booting
 
 class NewInstances : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
@@ -43,8 +43,8 @@
       for (const auto& name : body.at("hosts"))
         for (auto& worker : workers) {
           if (worker->name() != name.get<std::string>() || !requested_at_by_name.contains(name.get<std::string>())) continue;
-          released_tasks += worker->holds();
-          worker->die();
+          released_tasks += worker->unfinished_tasks();
+          worker->terminate();
           requested_at_by_name.erase(name);
         }
       return {200, "{}"};
@@ -71,19 +71,19 @@
 TEST_P(NewInstances, KeepTheirTasksWhenTheLeaderChanges) {
   start_cluster(3, 0);
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->submit(0, "j-9").is(201); }));
-  checker.submitted({"j-9", "red", "batch", "", 2, 1, 0.3}, steady_now());
+  checker.record_submission({"j-9", "red", "batch", "", 2, 1, 0.3}, steady_now());
   for (int k = 0; k < 8; ++k) {
     const std::string uid = "j-" + std::to_string(k);
-    checker.submitted({uid, "red", "batch", "", 2, 1, 5}, steady_now());
+    checker.record_submission({uid, "red", "batch", "", 2, 1, 5}, steady_now());
     ASSERT_TRUE(cluster->submit_until(uid, 20));
-    checker.told(uid, "queued", steady_now());
+    checker.record_reply(uid, "queued", steady_now());
   }
   const auto first = cluster->leader();
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).slow = 0.3;
+  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).latency_s = 0.3;
   const auto count_placed_tasks = [&] {
     std::lock_guard lock(mutex);
     std::size_t n = 0;
-    for (auto& worker : workers) n += worker->holds();
+    for (auto& worker : workers) n += worker->unfinished_tasks();
     return n;
   };
   ASSERT_TRUE(cluster->eventually(20, [&] { return count_placed_tasks() >= 8; })) << "the new instances got fewer than 8 tasks";
@@ -93,7 +93,7 @@
   }
   {
     std::lock_guard lock(mutex);
-    for (auto& worker : workers) worker->hang(steady_now() + 3.5);
+    for (auto& worker : workers) worker->hang_until(steady_now() + 3.5);
   }
   const auto fencing_token = cluster->state.fencing_token();
   if (GetParam()) {
@@ -101,14 +101,14 @@
     cluster->start(first, test_support::fixed_version_options());
   } else {
     set_partition(first, true);
-    cluster->state.endpoint(first).refuses = true;
+    cluster->state.endpoint(first).rejects_requests = true;
   }
   // The new leader may be the next process of the controller that stopped.
   ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.fencing_token() != fencing_token; }));
   EXPECT_GT(count_placed_tasks(), 0u) << "no node has tasks when the next leader takes over";
   wait(4);
   set_partition(first, false);
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).refuses = false, cluster->state.endpoint(i).slow = 0;
+  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).rejects_requests = false, cluster->state.endpoint(i).latency_s = 0;
   for (int k = 0; k < 8; ++k) {
     const std::string uid = "j-" + std::to_string(k);
     ASSERT_TRUE(cluster->eventually(30, [&] { return poll(cluster->leader(), uid) == "done"; })) << uid;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -47,7 +47,7 @@
 
 // Whether all entries have format version 2, or, if `expected` is false, none has.
 bool is_version_two_in_all_entries(Cluster& cluster, bool expected) {
-  const auto entries = cluster.state.entries();
+  const auto entries = cluster.state.ledger_entries();
   return !entries.empty() && std::all_of(entries.begin(), entries.end(), [&](const auto& entry) {
     return (entry.second.find("\"level\":2") != std::string::npos) == expected;
   });
@@ -74,7 +74,7 @@
   cluster.state.expire_session_leases();
   ASSERT_TRUE(cluster.submit_until("j-3", 20));
   expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3"});
-  EXPECT_EQ(cluster.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
 }
 
 // A controller that is down during the whole rollout counts with its last registry record, one that was never seen as an old build.
@@ -126,7 +126,7 @@
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, build_of_version_one());
   ASSERT_TRUE(cluster.submit_until("j-4", 20));
   expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3", "j-4"});
-  EXPECT_EQ(cluster.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
 }
 
 // Faults during the activation of a version: session leases expire, transactions are late, lost and repeated, controllers restart.
@@ -141,10 +141,10 @@
       const auto controller = random() % 3;
       auto& endpoint = cluster.state.endpoint(controller);
       switch (random() % 6) {
-        case 0: endpoint.refuses = !endpoint.refuses; break;
-        case 1: endpoint.loses = endpoint.loses > 0 ? 0 : 0.4; break;
-        case 2: endpoint.late = endpoint.late > 0 ? 0 : 0.3; break;
-        case 3: endpoint.repeats = endpoint.repeats > 0 ? 0 : 0.4; break;
+        case 0: endpoint.rejects_requests = !endpoint.rejects_requests; break;
+        case 1: endpoint.reply_loss_probability = endpoint.reply_loss_probability > 0 ? 0 : 0.4; break;
+        case 2: endpoint.delay_probability = endpoint.delay_probability > 0 ? 0 : 0.3; break;
+        case 3: endpoint.duplicate_probability = endpoint.duplicate_probability > 0 ? 0 : 0.4; break;
         case 4: cluster.state.expire_session_leases(); break;
         default: cluster.start(controller, random() % 2 == 0 ? build_of_version_two(1) : build_of_version_one());
       }
@@ -154,22 +154,22 @@
     }
     for (std::size_t i = 0; i < 3; ++i) {
       auto& endpoint = cluster.state.endpoint(i);
-      endpoint.refuses = false;
-      endpoint.loses = endpoint.late = endpoint.repeats = 0;
+      endpoint.rejects_requests = false;
+      endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
       cluster.start(i, build_of_version_two(0));
     }
     ASSERT_TRUE(cluster.eventually(40, [&] { return cluster.format_version() == kVersionTwo; })) << "seed " << seed;
     ASSERT_TRUE(cluster.submit_until("j-9", 30)) << "seed " << seed;
     EXPECT_FALSE(accepted.empty());
     expect_known_to_all_controllers(cluster, accepted);
-    EXPECT_EQ(cluster.state.unfenced(), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.state.unfenced_writes(), 0u) << "seed " << seed;
   }
 }
 
 // The newest quota record of a team in the ledger; nothing if there is none.
 std::optional<TeamQuotaRecord> quota_record_in_ledger(Cluster& cluster, const std::string& name) {
   std::optional<TeamQuotaRecord> out;
-  for (const auto& [key, value] : cluster.state.entries())
+  for (const auto& [key, value] : cluster.state.ledger_entries())
     for (const auto& record : parse_entry(value).records)
       if (const auto* quota = std::get_if<TeamQuotaRecord>(&record); quota && quota->name == name) out = *quota;
   return out;
@@ -217,7 +217,7 @@
   green["owner"] = "blue";
   green["uid"] = "j-40";
   EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(0, "POST", "/v1/jobs", green.dump()).is(422); }));
-  EXPECT_EQ(cluster.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
 }
 
 std::string dependent_job_body(const std::string& uid, const nlohmann::json& depends_on, std::uint32_t tasks = 2) {
@@ -275,7 +275,7 @@
       return has_status_everywhere("j-4", "aborted") && has_status_everywhere("j-5", "aborted") && has_status_everywhere("j-1", "queued");
     }));
   }
-  EXPECT_EQ(cluster.state.unfenced(), 0u);
+  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
 }
 
 // The store's limits are reduced to a quarter. The ledger then has entries of both sizes, and a large job that still fits is accepted.
@@ -287,7 +287,7 @@
   for (std::size_t i = 0; i < 3; ++i) cluster.settings(i).value_kb = 2, cluster.settings(i).txn_ops = 4;
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, options);
   ASSERT_TRUE(cluster.submit_until("j-20", 20));
-  cluster.state.limit(2048, 4);
+  cluster.state.set_limits(2048, 4);
   nlohmann::json names = nlohmann::json::array();
   for (int i = 0; i < 40; ++i) names.push_back("j-1" + std::to_string(i));
   EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(0, "POST", "/v1/jobs", dependent_job_body("j-30", names)).is(201); }));
@@ -299,7 +299,7 @@
   ASSERT_TRUE(cluster.submit_until("j-50", 20));
   for (const auto* uid : {"j-10", "j-139", "j-30", "j-429"})
     EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(1, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
-  EXPECT_EQ(cluster.state.too_large(), 0u);
+  EXPECT_EQ(cluster.state.oversized_transactions(), 0u);
 }
 
 // The store accepts less than the settings state. Leaders must detect this and send smaller transactions instead of stepping down one
@@ -309,10 +309,10 @@
   Cluster cluster(2, 1, {options});
   ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  cluster.state.limit(2048, 4);
+  cluster.state.set_limits(2048, 4);
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-2" + std::to_string(i), 20)) << i;
-  EXPECT_GT(cluster.state.too_large(), 0u);
-  EXPECT_LT(cluster.state.too_large(), 12u);
+  EXPECT_GT(cluster.state.oversized_transactions(), 0u);
+  EXPECT_LT(cluster.state.oversized_transactions(), 12u);
 }
 
 // The entry with an additional record that no build can read.
@@ -327,7 +327,7 @@
 TEST(Rollout, ControllerThatCannotReadTheLedgerYieldsLeadershipToOneThatCan) {
   Cluster cluster(2, 1, {build_of_version_one(), build_of_version_two_allowing(1)});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  const auto entries = cluster.state.entries();
+  const auto entries = cluster.state.ledger_entries();
   auto value = nlohmann::json::parse(entries.begin()->second);
   // An entry of version 2 while version 1 is active: only the newer build can read it.
   const auto entry = parse_entry(entries.begin()->second);
@@ -351,7 +351,7 @@
 TEST(Rollout, LeasesAreRenewedWhileNoControllerCanReadTheLedger) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  const auto entry = *cluster.state.entries().begin();
+  const auto entry = *cluster.state.ledger_entries().begin();
   for (std::size_t i = 0; i < 3; ++i) cluster.stop(i);
   cluster.state.put(entry.first, with_unknown_record(entry.second));
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, Options{});
