--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -11,7 +11,7 @@
 using test_support::status_of;
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 4, 8, 0.05};  // seconds: heartbeat interval, lease, cancellation limit, image pull
+constexpr testbed::ProtocolTimes kTimes{0.5, 4, 8, 0.05};  // seconds: heartbeat interval, lease, cancellation limit, image pull
 constexpr std::size_t kSufficientCalls = 10;       // a deposed leader must receive more calls than this during a fault
 constexpr double kMaxFaultS = 20;
 
@@ -43,8 +43,8 @@
     const auto leader = cluster->leader(), follower = (leader + 1) % 3, next = (leader + 2) % 3;
     ASSERT_TRUE(cluster->eventually(10, [&] { return cluster->ask(follower, "GET", "/v1/jobs/j-9").is(200); }));
     // Keeps the follower from learning of the next leader.
-    network_relays.at({next, follower})->cut(true);
-    network_relays.at({follower, leader})->hold_answers(true);
+    network_relays.at({next, follower})->set_partitioned(true);
+    network_relays.at({follower, leader})->hold_replies(true);
     HttpResult answer;
     double answered_at = 0;
     std::jthread user([&] {
@@ -54,7 +54,7 @@
       answered_at = steady_now();
     });
     wait(0.1);
-    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = true;
+    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = true;
     std::string newer_status;
     cluster->eventually(1.4, [&] {
       if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
@@ -65,15 +65,15 @@
     });
     delayed_past_takeover = !newer_status.empty() && answered_at == 0;
     const double released_at = steady_now();
-    network_relays.at({follower, leader})->hold_answers(false);
+    network_relays.at({follower, leader})->hold_replies(false);
     user.join();
     // The round counts only if the answer arrived on its release and not at the follower's time-out.
     delayed_past_takeover = delayed_past_takeover && answered_at - released_at < 0.3;
     if (delayed_past_takeover) {
       EXPECT_TRUE(answer.is(503)) << request.name << ": " << answer.status << " " << answer.body << " after " << newer_status;
     }
-    cluster->state.endpoint(leader).refuses = cluster->state.endpoint(follower).refuses = false;
-    network_relays.at({next, follower})->cut(false);
+    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = false;
+    network_relays.at({next, follower})->set_partitioned(false);
   }
   EXPECT_TRUE(delayed_past_takeover) << "in no round was the answer delayed until another controller led";
 }
@@ -109,9 +109,9 @@
     std::mt19937 random(user);
     for (int n = 1; !stop_users; ++n) {
       const std::string uid = "j-" + std::to_string(user * 1000 + n);
-      checker.submitted({uid, "red", "batch", "", 2, 1, 0.3 + 0.1 * (random() % 6)}, steady_now());
+      checker.record_submission({uid, "red", "batch", "", 2, 1, 0.3 + 0.1 * (random() % 6)}, steady_now());
       const bool cancels = random() % 3 == 0;
-      if (cancels) checker.wants_withdrawn(uid);
+      if (cancels) checker.record_withdrawal(uid);
       const auto accepted = [&] {
         const auto status = submit(random() % cluster->users.size(), uid);
         return !status.empty() && status != "refused";
@@ -162,19 +162,19 @@
     wait(1);
   };
   auto leader = cluster->leader();
-  depose(leader, 1, 0, [&](bool faulty) { cluster->state.endpoint(leader).refuses = faulty; });
+  depose(leader, 1, 0, [&](bool faulty) { cluster->state.endpoint(leader).rejects_requests = faulty; });
   leader = cluster->leader();
   // The leader reaches only its agents and users.
   depose(leader, 3, kSufficientCalls + 1, [&](bool faulty) {
     set_partition(leader, faulty);
-    cluster->state.endpoint(leader).refuses = faulty;
+    cluster->state.endpoint(leader).rejects_requests = faulty;
   });
   EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that is partitioned";
   leader = cluster->leader();
   // The leader reaches only its agents and users; the store executes its requests but does not answer.
   depose(leader, 2, kSufficientCalls + 1, [&](bool faulty) {
     set_partition(leader, faulty);
-    cluster->state.endpoint(leader).frozen = faulty;
+    cluster->state.endpoint(leader).holds_replies = faulty;
   });
   EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that gets no answers from the store";
   for (const double pause : {0.05, 0.0}) {
@@ -200,15 +200,15 @@
       std::mt19937 random(u);
       for (int n = 0; n < 12; ++n) {
         const std::string uid = "j-" + std::to_string(u * 1000 + static_cast<unsigned>(n));
-        checker.submitted({uid, "red", "batch", "", 2, 1, 0.4}, steady_now());
-        checker.wants_withdrawn(uid);
+        checker.record_submission({uid, "red", "batch", "", 2, 1, 0.4}, steady_now());
+        checker.record_withdrawal(uid);
         ASSERT_TRUE(cluster->submit_until(uid, 20));
-        checker.told(uid, "queued", steady_now());
+        checker.record_reply(uid, "queued", steady_now());
         // Cancels within milliseconds of the last completion, or some time before.
         if (random() % 3 == 0) {
           wait(0.001 * (random() % 800));
         } else {
-          cluster->eventually(6, [&] { return checker.ended_tasks(uid) == 2; });
+          cluster->eventually(6, [&] { return checker.completed_tasks(uid) == 2; });
           wait(0.001 * (random() % 60));
         }
         std::jthread other_user(
