--- a/tests/safety_agents.cpp
+++ b/tests/safety_agents.cpp
@@ -1,4 +1,4 @@
-// The agents of the simulated world, the network between them and the leaders, and the checks of what they run.
+// The simulated agents, the network between them and the leaders, and the checks of the tasks that they run.
 #include <algorithm>
 
 #include "heartbeat_builders.hpp"
@@ -16,11 +16,11 @@
 
 void Simulation::end_tasks(Agent& agent) {
   for (auto& [key, p] : agent.tasks) {
-    if (p.phase == TaskPhase::checkpointing && now_ >= p.ends) p = {TaskPhase::exited, ExitReason::stopped, 0};
-    if (p.phase != TaskPhase::running || now_ < p.ends) continue;
+    if (p.phase == TaskPhase::checkpointing && now_ >= p.ends_at) p = {TaskPhase::exited, ExitReason::stopped, 0};
+    if (p.phase != TaskPhase::running || now_ < p.ends_at) continue;
     p.phase = TaskPhase::exited;
-    p.exit_reason = at_fault(std::get<0>(key)) || uniform(0, 1) < 0.1 ? ExitReason::failed : ExitReason::completed;
-    if (p.exit_reason == ExitReason::completed) finished_.insert({std::get<0>(key), std::get<1>(key)});
+    p.exit_reason = is_faulty_job(std::get<0>(key)) || uniform(0, 1) < 0.1 ? ExitReason::failed : ExitReason::completed;
+    if (p.exit_reason == ExitReason::completed) completed_tasks_.insert({std::get<0>(key), std::get<1>(key)});
   }
 }
 
@@ -29,100 +29,103 @@
   if (!has_valid_lease(agent)) {
     agent.tasks.clear();
     ++agent.agent_incarnation;
-    agent.answered_sent = now_;
-    agent.awaited = 0;
-    agent.next_heartbeat = now_;
+    agent.last_answered_sent_at = now_;
+    agent.awaited_serial = 0;
+    agent.next_heartbeat_at = now_;
   }
-  while (!agent.held.empty()) {
-    auto run = agent.held.front();
-    agent.held.pop_front();
+  while (!agent.delayed_messages.empty()) {
+    auto run = agent.delayed_messages.front();
+    agent.delayed_messages.pop_front();
     run();
   }
   end_tasks(agent);
-  if (agent.awaited != 0 && now_ > agent.give_up) agent.awaited = 0;
-  if (agent.awaited == 0 && now_ >= agent.next_heartbeat) send_heartbeat(agent);
-  check(agent);
+  if (agent.awaited_serial != 0 && now_ > agent.reply_deadline) agent.awaited_serial = 0;
+  if (agent.awaited_serial == 0 && now_ >= agent.next_heartbeat_at) send_heartbeat(agent);
+  check_rules(agent);
 }
 
 void Simulation::receive(const Heartbeat& heartbeat, bool is_heartbeat) {
   ClusterState& cluster_state = leader_->cluster_state;
   Node& node = cluster_state.node(cluster_state.find_or_add_node(heartbeat.node));
   const bool was_unresponsive = node.agent.unresponsive_since > 0;
-  track_responsiveness(node, heartbeat, is_heartbeat, now_, kLease);
-  found_unresponsive += !was_unresponsive && node.agent.unresponsive_since > 0;
+  track_responsiveness(node, heartbeat, is_heartbeat, now_, kLeaseS);
+  unresponsive_nodes_found += !was_unresponsive && node.agent.unresponsive_since > 0;
   auto outcome = apply_heartbeat(cluster_state, heartbeat, {now_, now_}, is_heartbeat, leader_->takeover_token);
   if (is_heartbeat) record_lease_renewal(node, outcome.stale, now_);
-  leader_->record(std::move(outcome.records));
+  leader_->append_records(std::move(outcome.records));
 }
 
-std::optional<Simulation::Answer> Simulation::answer(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed) {
-  if (is_partitioned(agent) || (partitions_ && agent.zone == "y" && uniform(0, 1) < 0.1)) {
+std::optional<Simulation::Reply> Simulation::reply_to(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed_leader) {
+  if (is_partitioned(agent) || (has_partitions_ && agent.zone == "y" && uniform(0, 1) < 0.1)) {
     if (!partition_lease_.is_active(now_) || heartbeat.fencing_token > partition_lease_.fencing_token()) return std::nullopt;
     partition_lease_.record_renewal(now_);
-    ++renewed_by_follower;
-    return Answer{partition_lease_.fencing_token(), {}};
+    ++follower_renewals;
+    return Reply{partition_lease_.fencing_token(), {}};
   }
-  if (to_deposed) {
-    if (now_ >= deposed_until_ || heartbeat.fencing_token > deposed_->fencing_token) return std::nullopt;
-    apply_heartbeat(deposed_->cluster_state, heartbeat, {now_, now_}, true, deposed_->takeover_token);
-    auto kills = kills_for_cancelled_jobs(deposed_->cluster_state, deposed_->cluster_state.find_or_add_node(heartbeat.node));
-    killed_while_uncertain += kills.size();
-    return Answer{deposed_->fencing_token, std::move(kills)};
+  if (to_deposed_leader) {
+    if (now_ >= deposed_replies_until_ || heartbeat.fencing_token > deposed_leader_->fencing_token) return std::nullopt;
+    apply_heartbeat(deposed_leader_->cluster_state, heartbeat, {now_, now_}, true, deposed_leader_->takeover_token);
+    auto kills = kills_for_cancelled_jobs(deposed_leader_->cluster_state, deposed_leader_->cluster_state.find_or_add_node(heartbeat.node));
+    kills_by_deposed_leaders += kills.size();
+    return Reply{deposed_leader_->fencing_token, std::move(kills)};
   }
   receive(heartbeat, true);
   const NodeIndex node_index = leader_->cluster_state.find_node(heartbeat.node);
   Node& node = leader_->cluster_state.node(node_index);
-  if (may_still_start_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancel, kLease))) return std::nullopt;
+  if (may_still_start_cancelled_job(leader_->cluster_state, node, now_, max_partition_lease_s(kCancellationDeadlineS, kLeaseS)))
+    return std::nullopt;
   std::vector<Command> commands;
   if (node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial)
     commands = pending_commands(leader_->cluster_state, node_index, leader_->takeover_token);
   record_commands_sent(node, heartbeat.serial, commands);
-  return Answer{leader_->fencing_token, std::move(commands)};
+  return Reply{leader_->fencing_token, std::move(commands)};
 }
 
 void Simulation::send_heartbeat(Agent& agent) {
   const Heartbeat heartbeat = heartbeat_of(agent);
-  // Copies of it reach whoever leads then; nobody takes their answers.
+  // Late duplicates reach whichever controller leads then; the agent ignores the replies to them.
   for (int copies = uniform(0, 1) < 0.1 ? 1 + static_cast<int>(random_() % 3) : 0; copies > 0; --copies)
-    schedule(now_ + uniform(1, 4 * kLease), [this, heartbeat] { receive(heartbeat, true); });
+    schedule(now_ + uniform(1, 4 * kLeaseS), [this, heartbeat] { receive(heartbeat, true); });
   const double sent = now_;
-  agent.awaited = heartbeat.serial;
-  agent.give_up = now_ + kAnswerLife;
-  agent.next_heartbeat = now_ + uniform(0.75, 1.25) * kHeartbeat;
-  const bool to_deposed = now_ < deposed_until_ && uniform(0, 1) < 0.8;
+  agent.awaited_serial = heartbeat.serial;
+  agent.reply_deadline = now_ + kReplyTimeoutS;
+  agent.next_heartbeat_at = now_ + uniform(0.75, 1.25) * kHeartbeatIntervalS;
+  const bool to_deposed_leader = now_ < deposed_replies_until_ && uniform(0, 1) < 0.8;
   for (int copy = uniform(0, 1) < 0.05 ? 0 : 1; copy < 2; ++copy) {
-    if (dropped() || now_ < agent.sends_nothing_until) continue;
-    schedule(now_ + delay(), [this, &agent, heartbeat, sent, to_deposed] { deliver_heartbeat(agent, heartbeat, sent, to_deposed); });
+    if (is_message_dropped() || now_ < agent.sends_nothing_until) continue;
+    schedule(now_ + message_delay_s(),
+             [this, &agent, heartbeat, sent, to_deposed_leader] { deliver_heartbeat(agent, heartbeat, sent, to_deposed_leader); });
   }
 }
 
-void Simulation::deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed) {
-  const std::optional<Answer> given = answer(agent, heartbeat, to_deposed);
-  if (!given) return;
-  if (dropped() || now_ < agent.receives_nothing_until || (!given->commands.empty() && is_partitioned(agent))) return;
-  schedule(now_ + delay(),
-           [this, &agent, agent_incarnation = heartbeat.agent_incarnation, serial = heartbeat.serial, sent, given = *given] {
-             if (now_ < agent.hangs_until || agent.agent_incarnation != agent_incarnation || agent.awaited != serial ||
-                 given.fencing_token < agent.fencing_token || now_ - sent > kAnswerLife)
+void Simulation::deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed_leader) {
+  const std::optional<Reply> reply = reply_to(agent, heartbeat, to_deposed_leader);
+  if (!reply) return;
+  if (is_message_dropped() || now_ < agent.receives_nothing_until || (!reply->commands.empty() && is_partitioned(agent))) return;
+  schedule(now_ + message_delay_s(),
+           [this, &agent, agent_incarnation = heartbeat.agent_incarnation, serial = heartbeat.serial, sent, reply = *reply] {
+             if (now_ < agent.hangs_until || agent.agent_incarnation != agent_incarnation || agent.awaited_serial != serial ||
+                 reply.fencing_token < agent.fencing_token || now_ - sent > kReplyTimeoutS)
                return;
-             agent.awaited = 0;
-             agent.fencing_token = given.fencing_token;
-             agent.answered_sent = std::max(agent.answered_sent, sent);
-             execute(agent, given.commands);
+             agent.awaited_serial = 0;
+             agent.fencing_token = reply.fencing_token;
+             agent.last_answered_sent_at = std::max(agent.last_answered_sent_at, sent);
+             execute(agent, reply.commands);
            });
 }
 
 void Simulation::execute(Agent& agent, const std::vector<Command>& commands) {
   for (const auto& command : commands) execute(agent, command);
   for (const auto& [team, cores] : used_cores_by_team())
-    if (cores > quota_of(team)) violations.push_back("quota: " + team + " uses " + std::to_string(cores) + " at " + std::to_string(now_));
+    if (cores > highest_recent_quota(team))
+      violations.push_back("quota: " + team + " uses " + std::to_string(cores) + " at " + std::to_string(now_));
 }
 
 void Simulation::execute(Agent& agent, const Command& command) {
   const auto key = std::tuple(command.id.uid, command.id.task, command.attempt);
   auto it = agent.tasks.find(key);
   if (command.type == CommandType::run && it == agent.tasks.end()) {
-    ++runs;
+    ++task_starts;
     check_start(agent, command);
     agent.tasks[key] = {TaskPhase::running, ExitReason::none, now_ + uniform(0.5, 12)};
   } else if (command.type == CommandType::kill && it != agent.tasks.end() && it->second.phase != TaskPhase::exited) {
@@ -138,7 +141,7 @@
 
 void Simulation::check_start(const Agent& agent, const Command& command) {
   const std::string task = command.id.uid + "/" + std::to_string(command.id.task);
-  if (!started_.insert({command.id.uid, command.id.task, command.attempt}).second)
+  if (!started_attempts_.insert({command.id.uid, command.id.task, command.attempt}).second)
     violations.push_back("ran_again: " + task + " attempt " + std::to_string(command.attempt) + " on " + agent.name + " at " +
                          std::to_string(now_));
   for (const auto& other : agents_)
@@ -148,58 +151,58 @@
         violations.push_back("ran_twice: " + task + " on " + other.name + " and " + agent.name + " at " + std::to_string(now_));
 }
 
-void Simulation::check(Agent& agent) {
+void Simulation::check_rules(Agent& agent) {
   for (const auto& [key, p] : agent.tasks) {
-    auto it = cancelled_.find(std::get<0>(key));
-    if (it != cancelled_.end() && p.phase != TaskPhase::exited && now_ > it->second + kCancel)
+    auto it = cancellation_confirmed_at_.find(std::get<0>(key));
+    if (it != cancellation_confirmed_at_.end() && p.phase != TaskPhase::exited && now_ > it->second + kCancellationDeadlineS)
       violations.push_back("ran_cancelled: " + std::get<0>(key) + " at " + std::to_string(now_));
   }
-  for (const auto& [uid, tasks] : submitted_) {
+  for (const auto& [uid, tasks] : accepted_task_counts_) {
     const JobIndex j = leader_->cluster_state.find(uid);
     if (!j.valid()) {
       violations.push_back("forgotten: " + uid);
       continue;
     }
     const auto status = leader_->cluster_state.job(j).status;
-    if (cancelled_.contains(uid) && status != JobStatus::cancelled) violations.push_back("went_back: " + uid);
+    if (cancellation_confirmed_at_.contains(uid) && status != JobStatus::cancelled) violations.push_back("went_back: " + uid);
     if (status != JobStatus::done) continue;
     for (std::uint32_t t = 0; t < tasks; ++t)
-      if (!finished_.contains({uid, t})) violations.push_back("not_done: " + uid + "/" + std::to_string(t));
+      if (!completed_tasks_.contains({uid, t})) violations.push_back("not_done: " + uid + "/" + std::to_string(t));
   }
 }
 
 void Simulation::send_commands(const std::string& name, std::uint64_t fencing_token, std::uint64_t agent_incarnation,
-                               const std::vector<Command>& commands, bool starts) {
+                               const std::vector<Command>& commands, bool includes_start) {
   Agent& agent = *std::find_if(agents_.begin(), agents_.end(), [&](Agent& x) { return x.name == name; });
-  const auto term = leader_->takeover_token;
-  auto answered = std::make_shared<bool>(false);
-  const auto deliver = [this, &agent, fencing_token, agent_incarnation, commands, term, answered] {
-    const bool taken = fencing_token >= agent.fencing_token && agent_incarnation == agent.agent_incarnation;
-    if (taken) {
+  const auto takeover_token = leader_->takeover_token;
+  auto is_resolved = std::make_shared<bool>(false);
+  const auto deliver = [this, &agent, fencing_token, agent_incarnation, commands, takeover_token, is_resolved] {
+    const bool is_accepted = fencing_token >= agent.fencing_token && agent_incarnation == agent.agent_incarnation;
+    if (is_accepted) {
       agent.fencing_token = fencing_token;
       execute(agent, commands);
     }
     const Heartbeat heartbeat = heartbeat_of(agent);
-    if (dropped() || now_ < agent.sends_nothing_until || is_partitioned(agent)) return;
-    schedule(now_ + delay(), [this, heartbeat, term, answered] {
-      if (leader_->takeover_token != term || *answered) return;
-      *answered = true;
+    if (is_message_dropped() || now_ < agent.sends_nothing_until || is_partitioned(agent)) return;
+    schedule(now_ + message_delay_s(), [this, heartbeat, takeover_token, is_resolved] {
+      if (leader_->takeover_token != takeover_token || *is_resolved) return;
+      *is_resolved = true;
       leader_->cluster_state.node(leader_->cluster_state.find_or_add_node(heartbeat.node)).commands.in_flight_token = 0;
       receive(heartbeat, false);
     });
   };
-  schedule(now_ + 1.5, [this, name, term, answered, starts, fencing_token] {
-    if (leader_->takeover_token != term || *answered) return;
-    *answered = true;
+  schedule(now_ + 1.5, [this, name, takeover_token, is_resolved, includes_start, fencing_token] {
+    if (leader_->takeover_token != takeover_token || *is_resolved) return;
+    *is_resolved = true;
     Node& node = leader_->cluster_state.node(leader_->cluster_state.find_node(name));
     node.commands.in_flight_token = 0;
-    if (starts) node.commands.indeterminate_token = std::max(node.commands.indeterminate_token, fencing_token);
+    if (includes_start) node.commands.indeterminate_token = std::max(node.commands.indeterminate_token, fencing_token);
   });
   const double receives_nothing_until = std::max(agent.receives_nothing_until, agent.zone == "y" ? partitioned_until_ : 0);
-  if (now_ < receives_nothing_until && uniform(0, 1) < 0.5) return;  // or held, and delivered late
-  schedule(std::max(now_, receives_nothing_until) + delay(), [this, &agent, deliver] {
+  if (now_ < receives_nothing_until && uniform(0, 1) < 0.5) return;  // lost; otherwise delayed
+  schedule(std::max(now_, receives_nothing_until) + message_delay_s(), [this, &agent, deliver] {
     if (now_ < agent.hangs_until) {
-      agent.held.push_back(deliver);
+      agent.delayed_messages.push_back(deliver);
     } else {
       deliver();
     }
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,8 +1,8 @@
-// Randomised safety: cluster state and reconciliation against simulated agents and a network that delays, drops, duplicates and
-// reorders, with a ledger that takes its time, leaders that stop, are suspended and then send what they had decided before, or go on
-// answering after they are deposed, nodes that hang or are partitioned in one direction, and jobs at fault. In one scenario a zone of
-// two nodes and a follower is partitioned from the leader now and then, and the follower renews their leases. Seeds are fixed and
-// printed.
+// Randomised safety tests: the real cluster state and reconciliation run against simulated agents. The network delays, drops, duplicates
+// and reorders messages, and ledger writes are slow. Leaders stop, are suspended and then send commands that they decided on earlier, or
+// continue to reply after they are deposed. Nodes hang or are partitioned in one direction, and some jobs always fail. In one scenario, a
+// zone of two nodes and a follower is repeatedly partitioned from the leader, and the follower renews the leases in it. Seeds are fixed;
+// a failure prints its seed.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -15,85 +15,85 @@
 using namespace safety;
 
 TEST(Safety, NoRuleIsBrokenUnderRandomFaults) {
-  std::size_t suspected = 0, found_unresponsive = 0, killed_while_uncertain = 0;
-  FaultPairs fault_pairs{};
+  std::size_t suspected_jobs = 0, unresponsive_nodes_found = 0, kills_by_deposed_leaders = 0;
+  FaultPairCounts fault_pair_counts{};
   for (std::uint64_t seed = 1; seed <= 240; ++seed) {
     Simulation simulation(seed);
-    simulation.play(260);
+    simulation.run_until(260);
     EXPECT_TRUE(simulation.violations.empty()) << "seed " << seed << ": " << simulation.violations.size() << " violations, first "
                                                << (simulation.violations.empty() ? "" : simulation.violations.front());
-    EXPECT_GT(simulation.runs, 20u) << "seed " << seed;
-    EXPECT_GT(simulation.leaders, 3u) << "seed " << seed;
-    suspected += simulation.suspected;
-    found_unresponsive += simulation.found_unresponsive;
-    killed_while_uncertain += simulation.killed_while_uncertain;
-    for (std::size_t a = 0; a < kFaultKinds; ++a)
-      for (std::size_t b = 0; b < kFaultKinds; ++b) fault_pairs[a][b] += simulation.fault_pairs[a][b];
-    EXPECT_TRUE(simulation.all_ended()) << "seed " << seed;
+    EXPECT_GT(simulation.task_starts, 20u) << "seed " << seed;
+    EXPECT_GT(simulation.leader_count, 3u) << "seed " << seed;
+    suspected_jobs += simulation.suspected_jobs;
+    unresponsive_nodes_found += simulation.unresponsive_nodes_found;
+    kills_by_deposed_leaders += simulation.kills_by_deposed_leaders;
+    for (std::size_t a = 0; a < kFaultCount; ++a)
+      for (std::size_t b = 0; b < kFaultCount; ++b) fault_pair_counts[a][b] += simulation.fault_pair_counts[a][b];
+    EXPECT_TRUE(simulation.all_jobs_ended()) << "seed " << seed;
   }
-  EXPECT_GT(killed_while_uncertain, 10u);
-  for (std::size_t a = 0; a < kFaultKinds; ++a) {
+  EXPECT_GT(kills_by_deposed_leaders, 10u);
+  for (std::size_t a = 0; a < kFaultCount; ++a) {
     std::cout << kFaultNames[a] << ", then";
-    for (std::size_t b = 0; b < kFaultKinds; ++b) {
-      EXPECT_GT(fault_pairs[a][b], 20u) << kFaultNames[a] << ", then " << kFaultNames[b];
-      std::cout << (b ? ", " : " ") << kFaultNames[b] << " " << fault_pairs[a][b];
+    for (std::size_t b = 0; b < kFaultCount; ++b) {
+      EXPECT_GT(fault_pair_counts[a][b], 20u) << kFaultNames[a] << ", then " << kFaultNames[b];
+      std::cout << (b ? ", " : " ") << kFaultNames[b] << " " << fault_pair_counts[a][b];
     }
     std::cout << "\n";
   }
-  EXPECT_GT(suspected, 240u) << "two jobs of each simulation are at fault";
-  EXPECT_GT(found_unresponsive, 100u) << "told from their reports";
+  EXPECT_GT(suspected_jobs, 240u) << "two jobs of each simulation always fail";
+  EXPECT_GT(unresponsive_nodes_found, 100u) << "detected from their heartbeats";
 }
 
-// Four teams use up quotas that change, one of them from a later time on: what the nodes really run never exceeds the quotas in force,
-// and all jobs that were accepted end.
+// Four teams use up their quotas while these change; one team gets its first quota later. The tasks that really run on the nodes never
+// exceed the quotas in force, and all accepted jobs end.
 TEST(Safety, NoTeamExceedsItsQuotaWhileQuotasChange) {
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     Simulation simulation(seed, Scenario::changing_quotas);
-    simulation.play(320);
+    simulation.run_until(320);
     EXPECT_TRUE(simulation.violations.empty()) << "seed " << seed << ": " << simulation.violations.size() << " violations, first "
                                                << (simulation.violations.empty() ? "" : simulation.violations.front());
-    EXPECT_GT(simulation.leaders, 3u) << "seed " << seed;
-    EXPECT_TRUE(simulation.all_ended()) << "seed " << seed;
+    EXPECT_GT(simulation.leader_count, 3u) << "seed " << seed;
+    EXPECT_TRUE(simulation.all_jobs_ended()) << "seed " << seed;
   }
 }
 
-// Every team has used up its quota, jobs are cancelled while one of their nodes hangs or cannot be reached, and leaders change, also
-// twice within a lease; gangs are stopped with a checkpoint in between. Resources count as free only by proof, and are used again soon
-// after that.
-TEST(Safety, NoTeamExceedsItsQuotaWhereAllAreUsedUpAndJobsAreCancelled) {
-  std::size_t cancelled_at_quota = 0, cancelled_with_two_failovers = 0, gangs_checkpointed = 0, idle_checks = 0;
+// Every team has used up its quota. Jobs are cancelled while one of their nodes hangs or is unreachable, leaders change, sometimes twice
+// within a lease, and gangs are checkpointed and stopped. Resources must not count as free before their task is known to have ended, and
+// must be reused soon after that.
+TEST(Safety, NoTeamExceedsItsQuotaWhenJobsAreCancelledAtExhaustedQuotas) {
+  std::size_t cancellations_at_quota = 0, cancellations_with_two_failovers = 0, gangs_checkpointed = 0, idle_checks = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Simulation simulation(seed, Scenario::exhausted_quotas);
-    simulation.play(440);
+    simulation.run_until(440);
     EXPECT_TRUE(simulation.violations.empty()) << "seed " << seed << ": " << simulation.violations.size() << " violations, first "
                                                << (simulation.violations.empty() ? "" : simulation.violations.front());
-    EXPECT_TRUE(simulation.all_ended()) << "seed " << seed << ":" << simulation.not_ended();
-    cancelled_at_quota += simulation.cancelled_at_quota;
-    cancelled_with_two_failovers += simulation.cancelled_with_two_failovers;
+    EXPECT_TRUE(simulation.all_jobs_ended()) << "seed " << seed << ":" << simulation.unfinished_jobs();
+    cancellations_at_quota += simulation.cancellations_at_quota;
+    cancellations_with_two_failovers += simulation.cancellations_with_two_failovers;
     gangs_checkpointed += simulation.gangs_checkpointed;
     idle_checks += simulation.idle_checks;
   }
-  std::cout << cancelled_at_quota << " jobs cancelled at the quota, " << cancelled_with_two_failovers << " with two failovers, "
+  std::cout << cancellations_at_quota << " jobs cancelled at the quota, " << cancellations_with_two_failovers << " with two failovers, "
             << gangs_checkpointed << " gangs checkpointed, " << idle_checks << " checks for idle resources\n";
-  EXPECT_GT(cancelled_at_quota, 200u);
-  EXPECT_GT(cancelled_with_two_failovers, 80u);
+  EXPECT_GT(cancellations_at_quota, 200u);
+  EXPECT_GT(cancellations_with_two_failovers, 80u);
   EXPECT_GT(gangs_checkpointed, 100u);
   EXPECT_GT(idle_checks, 10000u);
 }
 
-// A zone is partitioned from the leader again and again, and its follower renews its leases: no task is given up while it runs, and none
-// runs for longer after its cancellation than it may.
-TEST(Safety, NoRuleIsBrokenWhereAFollowerRenewsLeasesInAPartition) {
-  std::size_t renewed_by_follower = 0;
+// A zone is repeatedly partitioned from the leader, and the follower in it renews the agents' leases. No task may be requeued while it
+// still runs, and no task may run past its cancellation deadline.
+TEST(Safety, NoRuleIsBrokenWhenAFollowerRenewsLeasesDuringPartitions) {
+  std::size_t follower_renewals = 0;
   for (std::uint64_t seed = 1; seed <= 160; ++seed) {
     Simulation simulation(seed, Scenario::partitions);
-    simulation.play(260);
+    simulation.run_until(260);
     EXPECT_TRUE(simulation.violations.empty()) << "seed " << seed << ": " << simulation.violations.size() << " violations, first "
                                                << (simulation.violations.empty() ? "" : simulation.violations.front());
-    EXPECT_TRUE(simulation.all_ended()) << "seed " << seed;
-    renewed_by_follower += simulation.renewed_by_follower;
+    EXPECT_TRUE(simulation.all_jobs_ended()) << "seed " << seed;
+    follower_renewals += simulation.follower_renewals;
   }
-  EXPECT_GT(renewed_by_follower, 160u);
+  EXPECT_GT(follower_renewals, 160u);
 }
 
 }  // namespace
--- a/tests/safety_users.cpp
+++ b/tests/safety_users.cpp
@@ -1,4 +1,4 @@
-// Users and teams of the simulated world: submissions, cancellations, and quotas that change.
+// Simulated users and teams: submissions, cancellations and changes of quotas.
 #include <algorithm>
 
 #include "safety_world.hpp"
@@ -7,49 +7,49 @@
 
 namespace {
 
-// After a quota is lowered, what was decided or ran before may run on for this long.
-constexpr double kQuotaSettles = 25;
+// After a quota is lowered, tasks that ran or were planned before may run for this many more seconds.
+constexpr double kQuotaSettleTimeS = 25;
 
 }  // namespace
 
 std::map<std::string, double> Simulation::used_cores_by_team() const {
   std::map<std::string, double> out;
-  for (const auto& w : agents_)
-    for (const auto& [k, p] : w.tasks) out[team_of_.at(std::get<0>(k))] += has_valid_lease(w) && p.phase != TaskPhase::exited;
+  for (const auto& agent : agents_)
+    for (const auto& [key, p] : agent.tasks) out[team_of_.at(std::get<0>(key))] += has_valid_lease(agent) && p.phase != TaskPhase::exited;
   return out;
 }
 
 std::vector<Team> Simulation::teams() const {
-  if (!several_teams_) return {{"red", {}, {kTeamLimit, 0, 0}}};
+  if (!has_several_teams_) return {{"red", {}, {kSingleTeamQuotaCores, 0, 0}}};
   std::vector<Team> out;
-  for (const auto& [team, limit] : kTeams)
+  for (const auto& [team, limit] : kInitialQuotaCores)
     if (limit > 0) out.push_back({team, {}, {limit, 0, 0}});
   return out;
 }
 
-double Simulation::quota_of(const std::string& team) const {
-  if (!several_teams_) return kTeamLimit;
-  double most = 0;
-  const auto& changes = quotas_.at(team);
+double Simulation::highest_recent_quota(const std::string& team) const {
+  if (!has_several_teams_) return kSingleTeamQuotaCores;
+  double highest = 0;
+  const auto& changes = quota_history_.at(team);
   for (auto it = changes.begin(); it != changes.end(); ++it)
-    if (std::next(it) == changes.end() || std::next(it)->first > now_ - kQuotaSettles) most = std::max(most, it->second);
-  return most;
+    if (std::next(it) == changes.end() || std::next(it)->first > now_ - kQuotaSettleTimeS) highest = std::max(highest, it->second);
+  return highest;
 }
 
 void Simulation::change_quotas() {
   std::vector<Record> records;
   std::map<std::string, double> next;
-  for (const auto& [team, limit] : kTeams) {
+  for (const auto& [team, limit] : kInitialQuotaCores) {
     next[team] = 2 + static_cast<double>(random_() % 6);
     records.emplace_back(TeamQuotaRecord{team, TeamQuota{{}, {next[team], 0, 0}}, std::nullopt, false});
   }
-  // One that ended meanwhile may have written them all the same, and nobody was told: the higher holds.
-  for (const auto& [team, limit] : next) quotas_[team].emplace(now_, std::max(limit, quotas_[team].rbegin()->second));
-  leader_->record(std::move(records), [this, next] {
-    for (const auto& [team, limit] : next) quotas_[team][now_] = limit;
+  // If this leader stops before the records are confirmed, they may be in the ledger or not: until then the higher quota applies.
+  for (const auto& [team, limit] : next) quota_history_[team].emplace(now_, std::max(limit, quota_history_[team].rbegin()->second));
+  leader_->append_records(std::move(records), [this, next] {
+    for (const auto& [team, limit] : next) quota_history_[team][now_] = limit;
   });
   schedule(now_ + 6, [this] {
-    for (const auto& [team, changes] : quotas_)
+    for (const auto& [team, changes] : quota_history_)
       if (!leader_->cluster_state.quota_accounts().find(team).valid() ||
           !leader_->cluster_state.quota_accounts().accepts_jobs(leader_->cluster_state.quota_accounts().find(team)))
         return change_quotas();
@@ -59,39 +59,41 @@
 void Simulation::submit(int i) {
   JobAcceptedRecord record;
   record.job.uid = "j-" + std::to_string(i);
-  record.job.owner = exhausted_       ? std::vector<std::string>{"red", "blue", "green"}[static_cast<std::size_t>(i / 4 % 3)]
-                     : several_teams_ ? std::next(kTeams.begin(), i % 4)->first
-                                      : "red";
+  record.job.owner = has_exhausted_quotas_ ? std::vector<std::string>{"red", "blue", "green"}[static_cast<std::size_t>(i / 4 % 3)]
+                     : has_several_teams_  ? std::next(kInitialQuotaCores.begin(), i % 4)->first
+                                           : "red";
   record.job.job_class = "c";
   record.job.image = "i";
   record.job.job_type = i % 4 == 3 ? JobType::gang : JobType::array;
   record.job.task_count = record.job.job_type == JobType::gang ? 2 : 4;
   record.job.demand = {1, 0, 1};
-  if (exhausted_ && record.job.job_type == JobType::gang) record.job.checkpoint_interval_s = 1, record.job.checkpoint_duration_s = 1;
+  if (has_exhausted_quotas_ && record.job.job_type == JobType::gang)
+    record.job.checkpoint_interval_s = 1, record.job.checkpoint_duration_s = 1;
   const std::string uid = record.job.uid;
   team_of_[uid] = record.job.owner;
   const auto known = leader_->cluster_state.find(uid);
   if (known.valid()) {
-    accepted(i, record);
+    on_job_accepted(i, record);
     return;
   }
-  leader_->record({record}, [this, i, record] { accepted(i, record); });
-  // Not answered by then: its user asks again.
+  leader_->append_records({record}, [this, i, record] { on_job_accepted(i, record); });
+  // The user submits the job again if it was not accepted by then.
   schedule(now_ + 3, [this, i, uid] {
-    if (!submitted_.contains(uid)) submit(i);
+    if (!accepted_task_counts_.contains(uid)) submit(i);
   });
 }
 
-void Simulation::accepted(int i, const JobAcceptedRecord& record) {
+void Simulation::on_job_accepted(int i, const JobAcceptedRecord& record) {
   const std::string uid = record.job.uid;
-  if (!submitted_.emplace(uid, record.job.task_count).second) return;
-  if (i % 3 == 2 && !exhausted_) schedule(now_ + uniform(1, 30), [this, uid] { cancel(uid); });
-  if (at_fault(uid)) schedule(now_ + uniform(20, 60), [this, uid] { cancel(uid); });
+  if (!accepted_task_counts_.emplace(uid, record.job.task_count).second) return;
+  if (i % 3 == 2 && !has_exhausted_quotas_) schedule(now_ + uniform(1, 30), [this, uid] { cancel(uid); });
+  if (is_faulty_job(uid)) schedule(now_ + uniform(20, 60), [this, uid] { cancel(uid); });
 }
 
 void Simulation::cancel(const std::string& uid) {
-  if (cancelled_.contains(uid) || leader_->cluster_state.job(leader_->cluster_state.find(uid)).status == JobStatus::done) return;
-  leader_->record({JobCancelledRecord{uid}}, [this, uid] {
+  if (cancellation_confirmed_at_.contains(uid) || leader_->cluster_state.job(leader_->cluster_state.find(uid)).status == JobStatus::done)
+    return;
+  leader_->append_records({JobCancelledRecord{uid}}, [this, uid] {
     Job& job = leader_->cluster_state.job(leader_->cluster_state.find(uid));
     if (job.status == JobStatus::cancelled && job.cancelled_at == 0) job.cancelled_at = now_;
     confirm_cancellation(uid);
@@ -101,7 +103,8 @@
 
 void Simulation::confirm_cancellation(const std::string& uid) {
   const Job& job = leader_->cluster_state.job(leader_->cluster_state.find(uid));
-  if (job.status == JobStatus::cancelled && (job.placed.empty() || leader_->acked_at >= 0)) cancelled_.try_emplace(uid, now_);
+  if (job.status == JobStatus::cancelled && (job.placed.empty() || leader_->sole_leader_since >= 0))
+    cancellation_confirmed_at_.try_emplace(uid, now_);
 }
 
 }  // namespace thistlefront::safety
--- a/tests/safety_world.hpp
+++ b/tests/safety_world.hpp
@@ -1,6 +1,6 @@
-// The simulated world of safety_test: agents, a network that delays, drops, duplicates and reorders, a ledger that takes its time,
-// and leaders that use the real cluster state and reconciliation. What the agents really run is checked here, independently of the
-// code under test. All randomness comes from the seed, so a world is reproducible.
+// The discrete-time simulation behind safety_test: agents, a network that delays, drops, duplicates and reorders messages, a ledger with
+// slow writes, and leaders that use the real cluster state and reconciliation. The simulation checks the tasks that the agents really
+// run, independently of the code under test. All random choices derive from the seed, so each run is reproducible.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -33,192 +33,203 @@
 
 namespace thistlefront::safety {
 
-// Seconds of simulated time.
-constexpr double kLease = 8, kHeartbeat = 1, kAnswerLife = 4, kCancel = 15, kStep = 0.05;
+constexpr double kLeaseS = 8, kHeartbeatIntervalS = 1, kTimeStepS = 0.05;
+// An agent drops a reply that arrives later than this after the heartbeat was sent.
+constexpr double kReplyTimeoutS = 4;
+// No task of a job may run for longer than this after the job's cancellation was confirmed.
+constexpr double kCancellationDeadlineS = 15;
 constexpr double kNodeCores = 4;
-// Of the only team, in scenarios with one team.
-constexpr double kTeamLimit = 10;
-// Of the teams, in scenarios with several; the last one comes only when a record tells its quota.
-inline const std::map<std::string, double> kTeams{{"red", 7}, {"blue", 4}, {"green", 3}, {"late", 0}};
+// In scenarios with one team.
+constexpr double kSingleTeamQuotaCores = 10;
+// In scenarios with several teams. A team with quota 0 is unknown until a ledger record sets its quota.
+inline const std::map<std::string, double> kInitialQuotaCores{{"red", 7}, {"blue", 4}, {"green", 3}, {"late", 0}};
 
-// Half of the faults are followed by a second one within seconds; the fault_pairs are counted.
+// Half of the faults are followed by a second one within seconds; such pairs are counted.
 enum class Fault : std::uint8_t {
   leader_stops,
   leader_suspended,
-  deposed_leader_answers,
+  deposed_leader_replies,
   node_hangs,
   node_receives_nothing,
   node_sends_nothing,
   count
 };
-constexpr std::size_t kFaultKinds = static_cast<std::size_t>(Fault::count);
-constexpr const char* kFaultNames[] = {"leader stops", "leader is suspended",   "deposed leader answers",
+constexpr std::size_t kFaultCount = static_cast<std::size_t>(Fault::count);
+constexpr const char* kFaultNames[] = {"leader stops", "leader is suspended",   "deposed leader replies",
                                        "node hangs",   "node receives nothing", "node sends nothing"};
-using FaultPairs = std::array<std::array<std::size_t, kFaultKinds>, kFaultKinds>;
+using FaultPairCounts = std::array<std::array<std::size_t, kFaultCount>, kFaultCount>;
 
 struct Event {
-  double at;
-  std::uint64_t sequence;  // among events of the same time
+  double due_at;
+  std::uint64_t sequence;  // orders events with equal `due_at`
   std::function<void()> run;
-  bool operator<(const Event& other) const { return at != other.at ? at > other.at : sequence > other.sequence; }
+  bool operator<(const Event& other) const { return due_at != other.due_at ? due_at > other.due_at : sequence > other.sequence; }
 };
 
-// One team; one team and network partitions of a zone; teams whose quotas change; or teams whose quotas are all used up.
+// One team; one team and network partitions of a zone; several teams whose quotas change; several teams whose quotas are used up.
 enum class Scenario : std::uint8_t { plain, partitions, changing_quotas, exhausted_quotas };
 
 class Simulation {
  public:
   explicit Simulation(std::uint64_t seed, Scenario scenario = Scenario::plain);
-  void play(double until);
-  [[nodiscard]] bool all_ended() const;
-  // Jobs that have not ended, and how many of their tasks are pending.
-  [[nodiscard]] std::string not_ended() const;
+  void run_until(double end_time);
+  [[nodiscard]] bool all_jobs_ended() const;
+  // Lists the jobs that have not ended, each with its number of pending tasks.
+  [[nodiscard]] std::string unfinished_jobs() const;
 
   std::vector<std::string> violations;
-  std::size_t runs = 0, leaders = 1, suspected = 0, renewed_by_follower = 0, found_unresponsive = 0, killed_while_uncertain = 0;
-  FaultPairs fault_pairs{};
-  // Jobs cancelled while every team was at its quota and a node that holds some of it could not be reached or hung, and a leader ended
-  // before that was over; of these, with two failovers within a lease; and gangs stopped with a checkpoint.
-  std::size_t cancelled_at_quota = 0, cancelled_with_two_failovers = 0, gangs_checkpointed = 0;
-  std::size_t idle_checks = 0;  // at a team with pending tasks and no room, once there were no more faults
+  std::size_t task_starts = 0, leader_count = 1, suspected_jobs = 0, follower_renewals = 0, unresponsive_nodes_found = 0,
+              kills_by_deposed_leaders = 0;
+  FaultPairCounts fault_pair_counts{};
+  // Jobs cancelled while every team was at its quota, a node that ran one of the job's tasks hung or was unreachable, and the leader
+  // failed; those of them with two leader failures within a lease; gangs checkpointed and stopped.
+  std::size_t cancellations_at_quota = 0, cancellations_with_two_failovers = 0, gangs_checkpointed = 0;
+  // Checks, after the last fault, of a team with pending tasks and no resources to run them.
+  std::size_t idle_checks = 0;
 
  private:
-  struct HeldTask {
+  struct AgentTask {
     TaskPhase phase = TaskPhase::running;
     ExitReason exit_reason = ExitReason::none;
-    double ends = 0;
+    double ends_at = 0;
   };
   struct Agent {
     std::string name, zone;
-    std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = 0, awaited = 0;
-    double answered_sent = 0, next_heartbeat = 0, give_up = -1, hangs_until = 0;
-    double sends_nothing_until = 0, receives_nothing_until = 0;  // partitioned in one direction
-    std::map<std::tuple<std::string, std::uint32_t, std::uint64_t>, HeldTask> tasks;
-    std::deque<std::function<void()>> held;  // what arrived while it hung
+    std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = 0, awaited_serial = 0;
+    // `last_answered_sent_at`: when the latest heartbeat that got a reply was sent.
+    double last_answered_sent_at = 0, next_heartbeat_at = 0, reply_deadline = -1, hangs_until = 0;
+    double sends_nothing_until = 0, receives_nothing_until = 0;  // one-way partitions
+    std::map<std::tuple<std::string, std::uint32_t, std::uint64_t>, AgentTask> tasks;
+    std::deque<std::function<void()>> delayed_messages;  // arrived while the node hung
   };
 
-  // A controller that leads, or believes so.
+  // A controller that leads or believes that it leads.
   struct Leader {
-    Leader(Simulation& in, std::uint64_t token, bool earlier_answers);
-    // Writes records to the ledger; the cluster state changes when they are there, and then `durable` is called.
-    void record(std::vector<Record> records, std::function<void()> durable = {});
-    void commit();
-    // Of what was on its way into the ledger, some is applied all the same, and nobody is told.
-    void end();
-    // Suspended instead of stopped: when it resumes, it sends what it had decided just before.
-    void suspend(double for_s);
+    Leader(Simulation& world, std::uint64_t token, bool predecessor_still_replies);
+    // Queues records for the ledger. Once they are durable, applies them to the cluster state and calls `on_durable`.
+    void append_records(std::vector<Record> records, std::function<void()> on_durable = {});
+    void apply_due_records();
+    // Stops the leader. Some of the queued records still reach the ledger, but no callback runs for them.
+    void stop();
+    // Schedules the commands that this leader, suspended now, sends when it resumes.
+    void suspend(double duration_s);
     void step();
-    // As to make room: a whole gang is stopped with a checkpoint.
-    void checkpoint_a_gang();
-    // First fit, within the team's quota; the planner has tests of its own.
-    void start();
-    // Places pending tasks of the job; nothing where that is not possible.
-    TasksStartedRecord place(const Job& job, bool suspect, double& room, std::map<std::uint32_t, double>& taken);
-    // Places the task on the first node with room.
-    bool place_task(std::uint32_t task, double& room, std::map<std::uint32_t, double>& taken, TasksStartedRecord& started);
-    void command(NodeIndex h);
+    // Checkpoints and stops a whole gang, as a preemption does.
+    void checkpoint_one_gang();
+    // Places pending tasks on the first node that fits, within the team's quota. The real planner has tests of its own.
+    void start_tasks();
+    // Places as many pending tasks of the job as fit: all or none of a gang, at most one of a suspected job.
+    TasksStartedRecord place_pending_tasks(const Job& job, bool suspect, double& headroom_cores,
+                                           std::map<std::uint32_t, double>& planned_cores);
+    // Returns whether a node had room for the task.
+    bool place_task(std::uint32_t task, double& headroom_cores, std::map<std::uint32_t, double>& planned_cores,
+                    TasksStartedRecord& started);
+    void send_pending_commands(NodeIndex node_index);
 
     Simulation& simulation;
     ClusterState cluster_state;
     std::uint64_t fencing_token, takeover_token;
-    double taken_at, acked_at = -1, next_pass = 0;
+    double taken_over_at, sole_leader_since = -1, next_pass_at = 0;
     PartitionLeaseGrant follower_lease;
-    double mark = 0, marked_sent_at = 0;  // the follower's latest answer, in its own time
-    int starting = 0;
-    std::map<std::uint32_t, double> not_before;
-    struct QueuedRecord {
-      double at;
+    // The follower's latest ack: when the follower received the heartbeat (its own clock) and when this leader had sent it.
+    double requested_at = 0, acked_heartbeat_sent_at = 0;
+    int unwritten_start_records = 0;
+    std::map<std::uint32_t, double> next_commands_at;
+    struct QueuedAppend {
+      double due_at;  // when the records are in the ledger
       std::vector<Record> records;
-      std::function<void()> durable;
+      std::function<void()> on_durable;
     };
-    std::deque<QueuedRecord> pending;
+    std::deque<QueuedAppend> queued_appends;
   };
 
   // Faults, in safety_world.cpp.
-  // One fault, and by chance a second one that overlaps it or follows within seconds, possibly the same.
+  // Injects the fault and, in half of the calls, schedules a random second fault that overlaps it or follows within seconds.
   void inject_fault(Fault fault, bool may_be_followed = true);
   void replace_leader(Fault fault);
   void inject_random_faults();
-  // When all teams are at their quota: a job is cancelled as one of its nodes fails, and leaders change meanwhile.
-  void cancel_at_quota(double until);
-  // Without faults, resources that are known to be free must be used again by a team that has work for them, and what is on no node any
-  // more must be known to have ended: neither may take as long as a lease.
+  // Once all teams are at their quota: cancels a job, makes one of its nodes fail and replaces the leader meanwhile. Tries again in each
+  // step until `retry_until`.
+  void cancel_job_at_quota(double retry_until);
+  // Called when no faults occur any more. Resources that are known to be free must be reused by a team with pending tasks, and a task that
+  // no node runs any more must be known to have ended. Both must happen in less than a lease.
   void check_for_idle_resources();
   void check_for_stale_placements(const Job& job);
   [[nodiscard]] bool has_free_node() const;
-  // A violation where the condition holds for too long.
-  void must_not_last(bool is, const std::string& what);
+  // Records a violation if the condition holds for longer than `kMaxPersistenceS`.
+  void must_not_persist(bool holds, const std::string& condition);
 
   // Users, in safety_users.cpp.
   void submit(int i);
-  void accepted(int i, const JobAcceptedRecord& r);
+  void on_job_accepted(int i, const JobAcceptedRecord& record);
   void cancel(const std::string& uid);
-  // Users ask again and again, and are told when nothing of the job is placed or no earlier leader goes on.
+  // Users poll. Their cancellation is confirmed once no task of the job is placed or no earlier leader still replies to agents.
   void confirm_cancellation(const std::string& uid);
-  static bool at_fault(const std::string& uid) { return uid == "j-4" || uid == "j-7"; }
-  // What really runs, by team.
+  static bool is_faulty_job(const std::string& uid) { return uid == "j-4" || uid == "j-7"; }
+  // Cores of the tasks that really run on the nodes.
   [[nodiscard]] std::map<std::string, double> used_cores_by_team() const;
   [[nodiscard]] std::vector<Team> teams() const;
-  // The highest quota that was in force recently.
-  [[nodiscard]] double quota_of(const std::string& team) const;
-  // A leader brings other quotas into the ledger; they are in force when they are there.
+  // The highest quota that was in force within the settling time.
+  [[nodiscard]] double highest_recent_quota(const std::string& team) const;
+  // The leader writes new random quotas to the ledger; they are in force once the records are durable.
   void change_quotas();
 
   // Peers, in safety_leader.cpp.
-  // The age of the oldest cancellation that is not carried out yet, as the controller counts it.
-  [[nodiscard]] double oldest_cancellation_s() const;
-  // From the leader to the follower in the other zone, and its answer. What a partition stops is lost, or delayed until it ends.
-  void peer_heartbeat();
+  // The age of the oldest confirmed cancellation that is not carried out yet according to the leader.
+  [[nodiscard]] double oldest_cancellation_age_s() const;
+  // Sends a heartbeat from the leader to the follower in the other zone, which acknowledges it. During a partition, the heartbeat is
+  // lost or delayed until the partition ends.
+  void send_peer_heartbeat();
 
   // Agents, in safety_agents.cpp.
   Heartbeat heartbeat_of(Agent& agent);
   void step(Agent& agent);
   void end_tasks(Agent& agent);
   void receive(const Heartbeat& heartbeat, bool is_heartbeat);
-  struct Answer {
+  struct Reply {
     std::uint64_t fencing_token = 0;
     std::vector<Command> commands;
   };
   void send_heartbeat(Agent& agent);
-  void deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed);
-  // The answer of the controller that the heartbeat reaches, if any.
-  std::optional<Answer> answer(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed);
+  void deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed_leader);
+  // The reply of the controller that the heartbeat reaches, if it sends one.
+  std::optional<Reply> reply_to(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed_leader);
   void send_commands(const std::string& name, std::uint64_t fencing_token, std::uint64_t agent_incarnation,
-                     const std::vector<Command>& commands, bool starts);
+                     const std::vector<Command>& commands, bool includes_start);
   void execute(Agent& agent, const std::vector<Command>& commands);
   void execute(Agent& agent, const Command& command);
-  // That the attempt never ran before, and the task runs nowhere else.
+  // Checks that the attempt never ran before and that the task runs on no other node.
   void check_start(const Agent& agent, const Command& command);
-  void check(Agent& agent);
-  // The tasks of a node that hangs end with its lease, though it can tell so only later.
-  [[nodiscard]] bool has_valid_lease(const Agent& agent) const { return now_ - agent.answered_sent <= kLease; }
+  void check_rules(Agent& agent);
+  // The tasks of a hanging node end when its lease expires, although it can report that only later.
+  [[nodiscard]] bool has_valid_lease(const Agent& agent) const { return now_ - agent.last_answered_sent_at <= kLeaseS; }
   [[nodiscard]] bool is_partitioned(const Agent& agent) const { return agent.zone == "y" && now_ < partitioned_until_; }
 
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
-  void schedule(double t, std::function<void()> run) { events_.push({t, ++order_, std::move(run)}); }
-  double delay() { return uniform(0, 1) < 0.06 && now_ < fault_free_from_ ? uniform(1, 25) : uniform(0.01, 0.1); }
-  bool dropped() { return uniform(0, 1) < 0.05 && now_ < fault_free_from_; }
+  void schedule(double due_at, std::function<void()> run) { events_.push({due_at, ++last_event_sequence_, std::move(run)}); }
+  double message_delay_s() { return uniform(0, 1) < 0.06 && now_ < fault_free_from_ ? uniform(1, 25) : uniform(0.01, 0.1); }
+  bool is_message_dropped() { return uniform(0, 1) < 0.05 && now_ < fault_free_from_; }
 
   std::mt19937_64 random_;
-  bool partitions_, several_teams_, exhausted_;
-  double fault_free_from_ = 1e9;                            // from then on no message is lost or late
-  std::map<std::string, double> lasts_since_;               // what must not last
-  std::map<std::string, std::map<double, double>> quotas_;  // of each team, by when they came into force
+  bool has_partitions_, has_several_teams_, has_exhausted_quotas_;
+  double fault_free_from_ = 1e9;                                   // no message is lost or late from then on
+  std::map<std::string, double> condition_since_;                  // conditions that must not persist
+  std::map<std::string, std::map<double, double>> quota_history_;  // by team, then by the time at which the quota came into force
   std::map<std::string, std::string> team_of_;
   double partitioned_until_ = 0;
-  PartitionLease partition_lease_{max_partition_lease_s(kCancel, kLease), 0};
+  PartitionLease partition_lease_{max_partition_lease_s(kCancellationDeadlineS, kLeaseS), 0};
   std::uint64_t follower_token_ = 0;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0, fencing_token_ = 0;
-  double next_peer_heartbeat_ = 0, next_partition_ = 0, next_failover_ = 0, next_hang_ = 0, next_one_way_partition_ = 0;
-  double now_ = 0, deposed_until_ = 0;
+  std::uint64_t last_event_sequence_ = 0, fencing_token_ = 0;
+  double next_peer_heartbeat_at_ = 0, next_partition_at_ = 0, next_failover_at_ = 0, next_hang_at_ = 0, next_one_way_partition_at_ = 0;
+  double now_ = 0, deposed_replies_until_ = 0;
   std::vector<Agent> agents_;
   std::vector<Record> ledger_;
-  std::unique_ptr<Leader> leader_, deposed_;  // deposed_: answers reports until deposed_until_
-  std::map<std::string, std::uint32_t> submitted_;
-  std::map<std::string, double> cancelled_;
-  std::set<std::pair<std::string, std::uint32_t>> finished_;
-  std::set<std::tuple<std::string, std::uint32_t, std::uint64_t>> started_;
+  std::unique_ptr<Leader> leader_, deposed_leader_;            // the deposed one replies to heartbeats until deposed_replies_until_
+  std::map<std::string, std::uint32_t> accepted_task_counts_;  // by uid
+  std::map<std::string, double> cancellation_confirmed_at_;
+  std::set<std::pair<std::string, std::uint32_t>> completed_tasks_;
+  std::set<std::tuple<std::string, std::uint32_t, std::uint64_t>> started_attempts_;
 };
 
 }  // namespace thistlefront::safety
