--- a/testbed/load_test/load_cluster.hpp
+++ b/testbed/load_test/load_cluster.hpp
@@ -1,4 +1,4 @@
-// Everything that runs for one point of the load test: controllers, hollow workers, the stand-in store and cloud, and the users that
+// The cluster for one point of the load test: controllers, simulated workers, the fake key-value store and cloud, and the users that
 // submit the load.
 #pragma once
 #include <atomic>
@@ -14,62 +14,62 @@
 #include "testbed/checker.hpp"
 #include "testbed/controller_process.hpp"
 #include "testbed/fake_state_store.hpp"
-#include "testbed/load_test/hollow_fleet.hpp"
 #include "testbed/load_test/load_test_run.hpp"
 #include "testbed/load_test/process_usage.hpp"
+#include "testbed/load_test/simulated_fleet.hpp"
 #include "transport/http.hpp"
 
 namespace thistlefront::testbed {
 
 class LoadCluster {
  public:
-  // All controllers and workers run when it returns; `options` must outlive it.
+  // Starts all controllers and workers. `options` must outlive the cluster.
   explicit LoadCluster(const LoadTestOptions& options);
   ~LoadCluster();
   LoadCluster(const LoadCluster&) = delete;
   LoadCluster& operator=(const LoadCluster&) = delete;
 
-  void start(std::size_t i);
-  void end(std::size_t i) { processes_[i].end(); }
-  // The number of controllers: nobody leads.
-  [[nodiscard]] std::size_t leader();
+  void start_controller(std::size_t i);
+  void kill_controller(std::size_t i) { processes_[i].end(); }
+  // Returns the index of the leader, or the number of controllers if none leads.
+  [[nodiscard]] std::size_t leader_index();
 
-  // Submits the tasks that are to run at once, then as many a second as end.
-  void begin_load();
-  [[nodiscard]] std::size_t tasks_wanted() const;
-  [[nodiscard]] double starts_wanted() const;  // a second
+  // Submits the tasks that are to run at the same time, then new tasks at the rate at which tasks end.
+  void start_load();
+  [[nodiscard]] std::size_t target_running_tasks() const;
+  [[nodiscard]] double target_starts_per_s() const;
 
-  HollowFleet& fleet() { return *fleet_; }
+  SimulatedFleet& fleet() { return *fleet_; }
   Checker& checker() { return checker_; }
-  // Seconds from a submission to its acceptance, since the last call.
-  std::vector<double> take_acceptances();
-  // Submissions that were answered otherwise than with an acceptance.
-  [[nodiscard]] std::uint64_t refused() const { return refused_; }
-  [[nodiscard]] ProcessUsage usage(std::size_t i) const { return usage_of(processes_[i].pid()); }
-  // A controller's unlabelled metrics; empty where it does not answer.
+  // Returns, for each submission that was accepted since the last call, the seconds until its acceptance.
+  std::vector<double> take_acceptance_times();
+  // Submission attempts that were not accepted.
+  [[nodiscard]] std::uint64_t refused_submissions() const { return refused_submissions_; }
+  [[nodiscard]] ProcessUsage process_usage(std::size_t i) const { return usage_of(processes_[i].pid()); }
+  // Returns a controller's unlabelled metrics; empty if it does not reply.
   [[nodiscard]] std::map<std::string, double> metrics(std::size_t i) const;
 
  private:
-  std::string settings(std::size_t i);
-  [[nodiscard]] HttpReply answer_as_cloud(const HttpCall& call) const;
-  void run_submitter(const std::stop_token& stop, std::size_t submitter, std::size_t first_jobs, double period_s);
-  // `ramp`: of the load that is there at the start; its tasks have run for some of their time already.
-  void submit(HttpClient& client, const std::stop_token& stop, std::size_t number, bool ramp);
+  std::string settings_text(std::size_t i);
+  [[nodiscard]] HttpReply handle_cloud_request(const HttpCall& call) const;
+  void run_submitter(const std::stop_token& stop, std::size_t submitter, std::size_t initial_jobs, double period_s);
+  // `is_initial_load`: gives the tasks only a part of their run time, so that those submitted together end at different times.
+  void submit(HttpClient& client, const std::stop_token& stop, std::size_t number, bool is_initial_load);
   SubmittedJob make_job(std::size_t number, double run_s) const;
 
   const LoadTestOptions& options_;
   Checker checker_;
-  HollowJobs jobs_;
-  test_support::FakeStateStore state_;
+  SimulatedJobRegistry jobs_;
+  test_support::FakeStateStore state_store_;
   std::string directory_, cloud_address_;
-  std::vector<std::string> addresses_, peers_;
-  std::unique_ptr<HollowFleet> fleet_;
+  std::vector<std::string> client_addresses_, peer_addresses_;
+  std::unique_ptr<SimulatedFleet> fleet_;
   std::unique_ptr<HttpServer> cloud_;
   std::vector<ControllerProcess> processes_;
-  std::jthread ticker_;
-  std::mutex acceptances_mutex_;
-  std::vector<double> acceptances_;
-  std::atomic<std::uint64_t> refused_{0};
+  std::jthread checker_ticker_;
+  std::mutex acceptance_times_mutex_;
+  std::vector<double> acceptance_times_s_;
+  std::atomic<std::uint64_t> refused_submissions_{0};
   std::vector<std::jthread> submitters_;
 };
 
--- a/testbed/load_test/load_test_run.hpp
+++ b/testbed/load_test/load_test_run.hpp
@@ -1,5 +1,5 @@
-// One measured point of the load test: real controllers on loopback, hollow workers, a steady load of array jobs, and what that costs
-// each process. Time is real.
+// Measures one point of the load test: real controllers on loopback, simulated workers and a steady load of array jobs, and the
+// resources that each controller process uses. Runs in real time.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -8,33 +8,33 @@
 
 namespace thistlefront::testbed {
 
-// Faults that begin with the measurement.
+// Faults that are injected when the measurement starts.
 inline constexpr const char* kNoFault = "";
-inline constexpr const char* kLeaderEnds = "leader-ends";
-inline constexpr const char* kSilence = "silence";      // a tenth of the workers neither send nor answer for 10 s
-inline constexpr const char* kReconnect = "reconnect";  // all workers' connections are closed at once
+inline constexpr const char* kKillLeader = "leader-ends";
+inline constexpr const char* kSilenceWorkers = "silence";  // a tenth of the workers neither send nor reply for 10 s
+inline constexpr const char* kReconnectAll = "reconnect";  // all workers' connections are closed at once
 
 struct LoadTestOptions {
-  std::string program;             // the controllers' program
-  std::vector<std::string> flags;  // for each controller
-  std::string logs;                // directory for what the controllers write; empty: nowhere
-  std::string label;               // told in the result
+  std::string program;                        // executable of the controllers
+  std::vector<std::string> controller_flags;  // for each controller
+  std::string log_directory;                  // for the controllers' logs; empty: discarded
+  std::string label;                          // repeated in the result
   std::size_t controllers = 3, workers = 500, threads = 2, teams = 20;
-  std::size_t running = 0;  // tasks; 0: twenty for each worker
-  double starts = 0;        // a second; 0: 0.28 for each worker
-  std::size_t tasks = 40;   // tasks of a job
-  double ramp_s = 60;       // at most, until the tasks run
+  std::size_t running_tasks = 0;  // 0: 20 per worker
+  double starts_per_s = 0;        // 0: 0.28 per worker
+  std::size_t tasks_per_job = 40;
+  double max_ramp_s = 60;  // until the tasks run
   double settle_s = 5, measure_s = 20;
   double heartbeat_interval_s = 3, lease_s = 22, cancel_s = 42;
-  double state_rps = 2000, state_write_rps = 200, state_value_kb = 64;
-  std::uint64_t state_txn_ops = 16;
+  double store_rps = 2000, store_write_rps = 200, store_value_kb = 64;
+  std::uint64_t store_txn_ops = 16;
   double max_memory_mb = 4000;
   std::uint64_t max_sockets = 8000;
   unsigned seed = 1;
   std::string fault = kNoFault;
 };
 
-// The point as one JSON object. Throws std::runtime_error where it could not be measured at all.
+// Returns the point as one JSON object. Throws std::runtime_error if it cannot be measured.
 nlohmann::json run_load_test(const LoadTestOptions& options);
 
 }  // namespace thistlefront::testbed
--- a/testbed/load_test/process_usage.cpp
+++ b/testbed/load_test/process_usage.cpp
@@ -10,7 +10,7 @@
 namespace thistlefront::testbed {
 
 namespace {
-constexpr int kFieldsBeforeTimes = 11;  // of /proc/PID/stat, behind the command's name
+constexpr int kFieldsBeforeTimes = 11;  // in /proc/PID/stat, between the command name and the processor times
 constexpr double kKilobytesPerMegabyte = 1024;
 
 double processor_seconds(const std::string& stat_path) {
@@ -39,10 +39,10 @@
     if (name == "VmRSS:") out.memory_mb = value / kKilobytesPerMegabyte;
     if (name == "Threads:") out.threads = static_cast<std::size_t>(value);
   }
-  std::error_code gone;
-  for (const auto& descriptor : std::filesystem::directory_iterator(directory + "/fd", gone)) {
-    const auto target = std::filesystem::read_symlink(descriptor.path(), gone);
-    if (!gone && target.string().starts_with("socket:")) ++out.sockets;
+  std::error_code error;
+  for (const auto& descriptor : std::filesystem::directory_iterator(directory + "/fd", error)) {
+    const auto target = std::filesystem::read_symlink(descriptor.path(), error);
+    if (!error && target.string().starts_with("socket:")) ++out.sockets;
   }
   return out;
 }
--- a/testbed/load_test/process_usage.hpp
+++ b/testbed/load_test/process_usage.hpp
@@ -1,4 +1,4 @@
-// What the system says of one process: processor time, memory, threads, sockets.
+// Reads the resource usage of one process from /proc: processor time, memory, threads, sockets.
 #pragma once
 #include <sys/types.h>
 
@@ -12,7 +12,7 @@
   std::size_t threads = 0, sockets = 0;
 };
 
-// All zero where there is no such process.
+// Returns zeros if there is no such process.
 ProcessUsage usage_of(pid_t pid);
 
 }  // namespace thistlefront::testbed
