--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Makes the tables of docs/CAPACITY.md from the committed points of the scale run (docs/measurements/scale.jsonl).
+"""Generates the tables of docs/CAPACITY.md from the committed points of the scale run (docs/measurements/scale.jsonl).
 
     tools/capacity.py            writes the tables into the page
-    tools/capacity.py --check    fails where the page does not say what the measurements say
+    tools/capacity.py --check    fails if the page differs from the tables that the measurements give
 
-A slope is the least-squares line over the points of one label; it is told with its range over the runs (seeds), each run fitted
-by itself, and with the worst relative distance of a point from the line.
+A slope is that of the least-squares line through the points of one label. It is given with its range over the runs (seeds), with
+each run fitted separately, and with the largest relative distance of a point from the line.
 """
 import argparse
 import json
@@ -18,15 +18,15 @@
 PAGE = ROOT / "docs/CAPACITY.md"
 BEGIN, END = "<!-- made by tools/capacity.py: begin -->", "<!-- made by tools/capacity.py: end -->"
 
-# The target of the operators' letter.
-WORKERS, TASKS, STARTS, CELLS = 21000, 430000, 5900, 4  # a cell a region (docs/scale.md)
+# The operators' target for one deployment.
+WORKERS, TASKS, STARTS, CELLS = 21000, 430000, 5900, 4  # one cell per region (docs/scale.md)
 WORKER_BYTES_A_SECOND = 4000
-FITTED = (500, 1000, 1500, 2000)  # sizes with three runs
-MOST_THREADS = 1700  # a point whose leader has more had reached the bound of its threads: not fitted
+FITTED = (500, 1000, 1500, 2000)  # worker counts that were measured in three runs
+MOST_THREADS = 1700  # a leader with more had reached its thread limit; such a point is not fitted
 
 
 def line(points):
-    """Slope and intercept of y over x, and the worst relative distance of a point."""
+    """Returns the slope and intercept of y over x, and the largest relative distance of a point from the line."""
     xs, ys = [p[0] for p in points], [p[1] for p in points]
     slope, intercept = statistics.linear_regression(xs, ys)
     worst = max(abs(y - (slope * x + intercept)) / y if y else 0.0 for x, y in points)
@@ -34,7 +34,7 @@
 
 
 def slopes(points, value):
-    """Over all runs, and the least and greatest of the runs by themselves."""
+    """Returns the line over all runs, and the smallest and largest slope of a single run."""
     whole = line([(p["workers"], value(p)) for p in points])
     by_seed = [line([(p["workers"], value(p)) for p in points if p["seed"] == seed])[0] for seed in sorted({p["seed"] for p in points})]
     return whole, min(by_seed), max(by_seed)
@@ -45,7 +45,7 @@
 
 
 QUANTITIES = [
-    # name, unit, scale, value of a point, role
+    # name, unit of the slope, factor to that unit, value of a point
     ("leader: processor", "cores a worker", 1, lambda p: p["leader"]["processor"]),
     ("leader: of it, planning", "cores a worker", 1, lambda p: p["leader"]["pass_processor_seconds_total_per_s"]),
     ("leader: memory", "KB a worker", 1024, lambda p: p["leader"]["memory_mb"]),
@@ -113,8 +113,8 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that names it
-    parser.add_argument("--check", action="store_true", help="compare, and write nothing")
+    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that starts with the program name
+    parser.add_argument("--check", action="store_true", help="only compare; write nothing")
     args = parser.parse_args()
     page = PAGE.read_text()
     before, rest = page.split(BEGIN)
--- a/tools/day_report.py
+++ b/tools/day_report.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Reads journal entries of the bench and prints, for each day played, its figure, broken rules, and every class and team of
-which less than a share (0.6) was served: jobs started, done, by deadline, service time. A day on which less than half of any
-one class or team is served fails.
+"""Reads journal entries of the bench. Prints, for each simulated day, its score, its broken rules, and the goals (finished, deadline, up),
+classes and teams below a minimum (default 0.6); then the jobs of each class and the resource usage of each host.
+A day on which less than half of any one class or team is served fails.
 
     tools/day_report.py journal/20261201T*.json
 """
@@ -23,7 +23,7 @@
         for aim, _ in day.get("aims", []):
             if (m := AIM.match(aim)) and m[1] in ("finished", "deadline", "up") and float(m[3]) < least:
                 low.append(f"{m[1]}{m[2]} {m[3]}")
-        # Each: class or team, its share of the day's jobs, the share of them that was served.
+        # Each item: class or team, its fraction of the day's jobs, the served fraction of those jobs.
         low += [f"served {name} {served:.2f}" for name, _, served in day.get("served") or [] if served < least]
         print("  under " + f"{least}: " + ("; ".join(low) or "nothing"))
     for line in lines:
@@ -38,7 +38,7 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that names it
+    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that starts with the program name
     parser.add_argument("entries", type=pathlib.Path, nargs="+")
     parser.add_argument("--least", type=float, default=0.6)
     args = parser.parse_args()
--- a/tools/site_variant.py
+++ b/tools/site_variant.py
@@ -1,17 +1,17 @@
 #!/usr/bin/env python3
-"""Writes a variant of a site file of the bench: machines, capacity and traffic times a factor, processes started again
-sooner, another number of controllers, machines moved between zones. Only what is named changes; the rest is left as it is.
+"""Writes a variant of a site file of the bench: machines, capacity, teams and traffic multiplied by a factor, another restart delay
+of processes, another number of controllers, or machines moved between zones. All other settings stay as they are.
 
     tools/site_variant.py SITE --times 1.5 --restart-after 0.2 --out target/sites
 
-The copy gets the files that the site names (`wire`) beside it. docs/operations.md, "Sizes", has what such days showed.
+The file that the site names as `wire` is copied next to the variant. docs/operations.md, "Sizes", has results of such variants.
 """
 import argparse
 import pathlib
 import re
 import shutil
 
-# Key -> the tables whose figures grow with the size of the deployment.
+# Key -> the tables in which its value is multiplied by `--times`.
 GROWS = {
     "count": {"capacity", "machines"},
     "spot": {"capacity"},
@@ -56,12 +56,12 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that names it
+    parser.error = lambda message: parser.exit(2, f"{parser.prog}: {message}\n")  # one line that starts with the program name
     parser.add_argument("site", type=pathlib.Path)
-    parser.add_argument("--times", type=float, default=1.0, help="machines, capacity, teams and traffic times this")
-    parser.add_argument("--restart-after", type=float, help="seconds until a process that ended is started again")
+    parser.add_argument("--times", type=float, default=1.0, help="factor for machines, capacity, teams and traffic")
+    parser.add_argument("--restart-after", type=float, help="seconds until a process that ended is restarted")
     parser.add_argument("--controllers", type=int, help="number of controllers")
-    parser.add_argument("--zone-shift", type=int, default=0, help="machines of each zone move so many zones on")
+    parser.add_argument("--zone-shift", type=int, default=0, help="number of zones by which the machines of each zone are moved")
     parser.add_argument("--out", type=pathlib.Path, required=True, help="directory for the variant")
     args = parser.parse_args()
     args.out.mkdir(parents=True, exist_ok=True)
