--- a/testbed/load_test/load_cluster.cpp
+++ b/testbed/load_test/load_cluster.cpp
@@ -162,21 +162,21 @@
   }
 }
 
-SubmittedJob LoadCluster::make_job(std::size_t number, double run_s) const {
+SubmittedJob LoadCluster::make_job(std::size_t job_number, double run_s) const {
   SubmittedJob job;
-  job.uid = "j-" + std::to_string(kFirstJobNumber + number);
-  job.owner = team_name(number % options_.teams);
+  job.uid = "j-" + std::to_string(kFirstJobNumber + job_number);
+  job.owner = team_name(job_number % options_.teams);
   job.job_type = "batch";
   job.task_count = static_cast<std::uint32_t>(options_.tasks_per_job);
   job.run_s = run_s;
   return job;
 }
 
-void LoadCluster::submit(HttpClient& client, const std::stop_token& stop, std::size_t number, bool is_initial_load) {
+void LoadCluster::submit(HttpClient& client, const std::stop_token& stop, std::size_t job_number, bool is_initial_load) {
   // Running tasks = task starts per second * mean run time.
   const double run_s = static_cast<double>(target_running_tasks()) / target_starts_per_s();
-  const double remaining_fraction = is_initial_load ? static_cast<double>(number % 97 + 3) / 100 : 1;
-  const auto job = make_job(number, run_s * remaining_fraction);
+  const double remaining_fraction = is_initial_load ? static_cast<double>(job_number % 97 + 3) / 100 : 1;
+  const auto job = make_job(job_number, run_s * remaining_fraction);
   jobs_.add(job.uid, {job.run_s, steady_now(), job.cores});
   checker_.submitted(job, steady_now());
   const auto body = submission(job, "array", run_s).dump();
--- a/testbed/load_test/load_cluster.hpp
+++ b/testbed/load_test/load_cluster.hpp
@@ -54,8 +54,8 @@
   [[nodiscard]] HttpReply handle_cloud_request(const HttpCall& call) const;
   void run_submitter(const std::stop_token& stop, std::size_t submitter, std::size_t initial_jobs, double period_s);
   // `is_initial_load`: gives the tasks only a part of their run time, so that those submitted together end at different times.
-  void submit(HttpClient& client, const std::stop_token& stop, std::size_t number, bool is_initial_load);
-  SubmittedJob make_job(std::size_t number, double run_s) const;
+  void submit(HttpClient& client, const std::stop_token& stop, std::size_t job_number, bool is_initial_load);
+  SubmittedJob make_job(std::size_t job_number, double run_s) const;
 
   const LoadTestOptions& options_;
   Checker checker_;
--- a/tests/safety_agents.cpp
+++ b/tests/safety_agents.cpp
@@ -86,7 +86,7 @@
   // Late duplicates reach whichever controller leads then; the agent ignores the replies to them.
   for (int copies = uniform(0, 1) < 0.1 ? 1 + static_cast<int>(random_() % 3) : 0; copies > 0; --copies)
     schedule(now_ + uniform(1, 4 * kLeaseS), [this, heartbeat] { receive(heartbeat, true); });
-  const double sent = now_;
+  const double sent_at = now_;
   agent.awaited_serial = heartbeat.serial;
   agent.reply_deadline = now_ + kReplyTimeoutS;
   agent.next_heartbeat_at = now_ + uniform(0.75, 1.25) * kHeartbeatIntervalS;
@@ -94,22 +94,22 @@
   for (int copy = uniform(0, 1) < 0.05 ? 0 : 1; copy < 2; ++copy) {
     if (is_message_dropped() || now_ < agent.sends_nothing_until) continue;
     schedule(now_ + message_delay_s(),
-             [this, &agent, heartbeat, sent, to_deposed_leader] { deliver_heartbeat(agent, heartbeat, sent, to_deposed_leader); });
+             [this, &agent, heartbeat, sent_at, to_deposed_leader] { deliver_heartbeat(agent, heartbeat, sent_at, to_deposed_leader); });
   }
 }
 
-void Simulation::deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed_leader) {
+void Simulation::deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent_at, bool to_deposed_leader) {
   const std::optional<Reply> reply = reply_to(agent, heartbeat, to_deposed_leader);
   if (!reply) return;
   if (is_message_dropped() || now_ < agent.receives_nothing_until || (!reply->commands.empty() && is_partitioned(agent))) return;
   schedule(now_ + message_delay_s(),
-           [this, &agent, agent_incarnation = heartbeat.agent_incarnation, serial = heartbeat.serial, sent, reply = *reply] {
+           [this, &agent, agent_incarnation = heartbeat.agent_incarnation, serial = heartbeat.serial, sent_at, reply = *reply] {
              if (now_ < agent.hangs_until || agent.agent_incarnation != agent_incarnation || agent.awaited_serial != serial ||
-                 reply.fencing_token < agent.fencing_token || now_ - sent > kReplyTimeoutS)
+                 reply.fencing_token < agent.fencing_token || now_ - sent_at > kReplyTimeoutS)
                return;
              agent.awaited_serial = 0;
              agent.fencing_token = reply.fencing_token;
-             agent.last_answered_sent_at = std::max(agent.last_answered_sent_at, sent);
+             agent.last_answered_sent_at = std::max(agent.last_answered_sent_at, sent_at);
              execute(agent, reply.commands);
            });
 }
--- a/tests/safety_leader.cpp
+++ b/tests/safety_leader.cpp
@@ -30,8 +30,8 @@
     if (queued_appends.front().on_durable) queued_appends.front().on_durable();
     queued_appends.pop_front();
   }
-  for (const auto& verdict : cluster_state.failure_attribution().take_decisions())
-    simulation.suspected_jobs += verdict.type == FailureAttribution::Decision::Type::suspected;
+  for (const auto& decision : cluster_state.failure_attribution().take_decisions())
+    simulation.suspected_jobs += decision.type == FailureAttribution::Decision::Type::suspected;
 }
 
 void Simulation::Leader::stop() {
@@ -170,25 +170,25 @@
 
 void Simulation::send_peer_heartbeat() {
   Leader& leader = *leader_;
-  const double sent = now_, echoed_sent_at = leader.requested_at > 0 ? leader.acked_heartbeat_sent_at : 0,
+  const double sent_at = now_, echoed_sent_at = leader.requested_at > 0 ? leader.acked_heartbeat_sent_at : 0,
                requested_at = leader.requested_at, cancellation_age_s = oldest_cancellation_age_s();
   if (requested_at > 0) leader.follower_lease.record_heartbeat_sent();
   const auto takeover_token = leader.takeover_token, fencing_token = leader.fencing_token;
   const bool is_delayed = uniform(0, 1) < 0.5;
   if (now_ < partitioned_until_ && !is_delayed) return;
   schedule(std::max(now_, partitioned_until_) + message_delay_s(),
-           [this, takeover_token, fencing_token, requested_at, cancellation_age_s, sent, echoed_sent_at] {
+           [this, takeover_token, fencing_token, requested_at, cancellation_age_s, sent_at, echoed_sent_at] {
              if (now_ < partitioned_until_ || fencing_token < follower_token_) return;
              partition_lease_.observe_leader(takeover_token);
              follower_token_ = fencing_token;
              if (requested_at > 0) partition_lease_.grant(fencing_token, requested_at, cancellation_age_s);
-             const double received_at = now_, last_renewal_age = now_ - partition_lease_.last_renewal_at();
-             schedule(now_ + message_delay_s(), [this, takeover_token, received_at, last_renewal_age, sent, echoed_sent_at] {
-               if (leader_->takeover_token != takeover_token || now_ < partitioned_until_ || sent < leader_->acked_heartbeat_sent_at)
+             const double received_at = now_, last_renewal_age_s = now_ - partition_lease_.last_renewal_at();
+             schedule(now_ + message_delay_s(), [this, takeover_token, received_at, last_renewal_age_s, sent_at, echoed_sent_at] {
+               if (leader_->takeover_token != takeover_token || now_ < partitioned_until_ || sent_at < leader_->acked_heartbeat_sent_at)
                  return;
-               leader_->follower_lease.record_ack(echoed_sent_at, now_, last_renewal_age);
+               leader_->follower_lease.record_ack(echoed_sent_at, now_, last_renewal_age_s);
                leader_->requested_at = received_at;
-               leader_->acked_heartbeat_sent_at = sent;
+               leader_->acked_heartbeat_sent_at = sent_at;
              });
            });
 }
--- a/tests/safety_users.cpp
+++ b/tests/safety_users.cpp
@@ -38,15 +38,15 @@
 
 void Simulation::change_quotas() {
   std::vector<Record> records;
-  std::map<std::string, double> next;
+  std::map<std::string, double> new_quotas;
   for (const auto& [team, limit] : kInitialQuotaCores) {
-    next[team] = 2 + static_cast<double>(random_() % 6);
-    records.emplace_back(TeamQuotaRecord{team, TeamQuota{{}, {next[team], 0, 0}}, std::nullopt, false});
+    new_quotas[team] = 2 + static_cast<double>(random_() % 6);
+    records.emplace_back(TeamQuotaRecord{team, TeamQuota{{}, {new_quotas[team], 0, 0}}, std::nullopt, false});
   }
   // If this leader stops before the records are confirmed, they may be in the ledger or not: until then the higher quota applies.
-  for (const auto& [team, limit] : next) quota_history_[team].emplace(now_, std::max(limit, quota_history_[team].rbegin()->second));
-  leader_->append_records(std::move(records), [this, next] {
-    for (const auto& [team, limit] : next) quota_history_[team][now_] = limit;
+  for (const auto& [team, limit] : new_quotas) quota_history_[team].emplace(now_, std::max(limit, quota_history_[team].rbegin()->second));
+  leader_->append_records(std::move(records), [this, new_quotas] {
+    for (const auto& [team, limit] : new_quotas) quota_history_[team][now_] = limit;
   });
   schedule(now_ + 6, [this] {
     for (const auto& [team, changes] : quota_history_)
@@ -71,8 +71,8 @@
     record.job.checkpoint_interval_s = 1, record.job.checkpoint_duration_s = 1;
   const std::string uid = record.job.uid;
   team_of_[uid] = record.job.owner;
-  const auto known = leader_->cluster_state.find(uid);
-  if (known.valid()) {
+  const auto existing_job = leader_->cluster_state.find(uid);
+  if (existing_job.valid()) {
     on_job_accepted(i, record);
     return;
   }
--- a/tests/safety_world.cpp
+++ b/tests/safety_world.cpp
@@ -205,12 +205,12 @@
   // A deposed leader that only the key-value store refuses makes no more decisions. It still replies to heartbeats, with the kills that
   // it knows of, until it learns of its successor. The successor confirms no cancellation before that.
   const bool still_replies = !has_partitions_ && fault == Fault::deposed_leader_replies;
-  auto next = std::make_unique<Leader>(*this, fencing_token_ += 1, still_replies);
+  auto successor = std::make_unique<Leader>(*this, fencing_token_ += 1, still_replies);
   if (still_replies) {
     deposed_replies_until_ = std::max(deposed_replies_until_, now_ + uniform(0, 25));
     deposed_leader_ = std::move(leader_);
   }
-  leader_ = std::move(next);
+  leader_ = std::move(successor);
 }
 
 }  // namespace thistlefront::safety
--- a/tests/safety_world.hpp
+++ b/tests/safety_world.hpp
@@ -191,7 +191,7 @@
     std::vector<Command> commands;
   };
   void send_heartbeat(Agent& agent);
-  void deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent, bool to_deposed_leader);
+  void deliver_heartbeat(Agent& agent, const Heartbeat& heartbeat, double sent_at, bool to_deposed_leader);
   // The reply of the controller that the heartbeat reaches, if it sends one.
   std::optional<Reply> reply_to(const Agent& agent, const Heartbeat& heartbeat, bool to_deposed_leader);
   void send_commands(const std::string& name, std::uint64_t fencing_token, std::uint64_t agent_incarnation,
