--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -141,14 +141,14 @@
 }
 
 std::optional<Heartbeat> CommandSender::post(HttpClient& client, const Request& request, bool& has_slot, bool& unacknowledged) {
-  Late give_up_slot{steady_now() + kSlotTimeoutS, [&] {
-                      Lock lock(shared_.mutex);
-                      has_slot = false;
-                      --busy_slots_;
-                      assign_slots();
-                    }};
+  LateCallback give_up_slot{steady_now() + kSlotTimeoutS, [&] {
+                              Lock lock(shared_.mutex);
+                              has_slot = false;
+                              --busy_slots_;
+                              assign_slots();
+                            }};
   const auto result = client.post(kCommandsPath, request.body, kCommandTimeoutS, &give_up_slot);
-  unacknowledged = result.delivery == Delivery::in_doubt;
+  unacknowledged = result.delivery == Delivery::outcome_unknown;
   if (!result.is(200) && !result.is(409)) return std::nullopt;
   try {
     return parse_heartbeat(result.body);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -24,7 +24,7 @@
 // The leader that heartbeats are relayed to, if it is another controller.
 std::optional<HeartbeatRelay::Lead> relay_target(SharedState& shared) {
   Lock lock(shared.mutex);
-  FramePool* pool = shared.role == Role::follower ? shared.leader_pool() : nullptr;
+  FrameConnectionPool* pool = shared.role == Role::follower ? shared.leader_pool() : nullptr;
   if (!pool) return std::nullopt;
   return HeartbeatRelay::Lead{pool, shared.known_leader.change_count, shared.known_leader.takeover_token};
 }
@@ -120,7 +120,7 @@
     case Kind::unknown: return error_reply(404, "no such path");
     case Kind::wrong_method: return error_reply(405, "wrong method");
     case Kind::health: return requests_.health();
-    case Kind::metrics: return reporter_.report({http_server_->connections(), frame_server_->connections()});
+    case Kind::metrics: return reporter_.report({http_server_->count_open_connections(), frame_server_->count_open_connections()});
     case Kind::heartbeat: return heartbeats_.handle(call.body, heartbeat_cache_of(call.session));
     default: return requests_.handle(route, call);
   }
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -106,11 +106,11 @@
 }
 
 HttpReply HeartbeatHandler::forward(Lock& lock, std::string_view body, double asked_at) {
-  FramePool* pool = shared_.leader_pool();
+  FrameConnectionPool* pool = shared_.leader_pool();
   const std::string leader = shared_.known_leader.label;
   lock.unlock();
   if (!pool) return redirect_to("");
-  const auto answer = pool->ask(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeoutS);
+  const auto answer = pool->call(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeoutS);
   auto reply = answer ? unpack_reply(*answer, asked_at) : std::nullopt;
   lock.lock();
   // Not if a later leader was confirmed meanwhile: nothing is answered under an older token from then on.
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -109,7 +109,7 @@
 // Older builds, and leaders whose operator has switched it off, accept no batches: agents are then redirected to the leader.
 void HeartbeatRelay::query_leader_support(const Lead& lead) {
   const double asked = steady_now();
-  const auto answer = lead.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
+  const auto answer = lead.pool->call(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
   const auto reply = answer ? unpack_reply(*answer, asked) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(asked);
@@ -127,7 +127,7 @@
   HeartbeatBatch batch;
   const auto sent = collect_batch(batch, lead);
   const double asked = steady_now();
-  const auto frame = lead.pool->ask(pack(batch), kBatchTimeoutS);
+  const auto frame = lead.pool->call(pack(batch), kBatchTimeoutS);
   const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
   const bool taken = answer && answer->answers.size() == sent.size() && answer->takeover_token == lead.takeover_token;
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -24,7 +24,7 @@
  public:
   // The leader that heartbeats go to. `number` grows with each lead that this controller learns of.
   struct Lead {
-    FramePool* pool = nullptr;
+    FrameConnectionPool* pool = nullptr;
     std::uint64_t number = 0, takeover_token = 0;
   };
   // Asked without the relay's lock; nothing where no other controller is known to lead.
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -153,7 +153,7 @@
   std::vector<std::function<void()>> work;
   work.reserve(probes.size());
   for (auto& target : probes) work.emplace_back([this, &target] { probe_agent(target); });
-  run_at_once(work);
+  run_in_parallel(work);
 }
 
 void InstanceReleaser::probe_agent(Probe& target) {
--- a/src/controller/peer_link.hpp
+++ b/src/controller/peer_link.hpp
@@ -12,8 +12,8 @@
 
 struct PeerLink {
   Settings::Peer peer;
-  std::unique_ptr<FramePool> calls;       // forwarded requests and heartbeats, while the peer leads
-  std::unique_ptr<FramePool> heartbeats;  // between controllers
+  std::unique_ptr<FrameConnectionPool> calls;       // forwarded requests and heartbeats, while the peer leads
+  std::unique_ptr<FrameConnectionPool> heartbeats;  // between controllers
 
   // Used on the leader, for the current term:
   PartitionLeaseGrant partition_lease;  // granted to the peer
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -23,7 +23,7 @@
     const auto outgoing = next_heartbeat(stop, link);
     if (!outgoing) return;
     const double sent_at = steady_now();
-    const auto answer = link.heartbeats->ask(pack(outgoing->heartbeat), kPeerHeartbeatTimeoutS);
+    const auto answer = link.heartbeats->call(pack(outgoing->heartbeat), kPeerHeartbeatTimeoutS);
     const auto ack = answer ? unpack_peer_heartbeat_ack(*answer) : std::nullopt;
     if (reachable != ack.has_value()) {
       reachable = ack.has_value();
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 RegistryView::RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas own_quotas,
-                           std::vector<FramePool*> pools)
+                           std::vector<FrameConnectionPool*> pools)
     : settings_(settings),
       supported_versions_(std::move(supported_versions)),
       own_quotas_(std::move(own_quotas)),
@@ -45,9 +45,9 @@
   return true;
 }
 
-std::optional<HttpReply> RegistryView::call_peer(FramePool& peer, const char* target) {
+std::optional<HttpReply> RegistryView::call_peer(FrameConnectionPool& peer, const char* target) {
   const double sent_at = steady_now();
-  const auto answer = peer.ask(pack(PeerCall{"GET", target, ""}), kPeerCallTimeoutS);
+  const auto answer = peer.call(pack(PeerCall{"GET", target, ""}), kPeerCallTimeoutS);
   return answer ? unpack_reply(*answer, sent_at) : std::nullopt;
 }
 
--- a/src/controller/registry_view.hpp
+++ b/src/controller/registry_view.hpp
@@ -20,7 +20,8 @@
  public:
   // `own_quotas`: the team quotas of this controller's settings. `pools`: connections to the peers, in the order of the settings; they
   // must outlive this object.
-  RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas own_quotas, std::vector<FramePool*> pools);
+  RegistryView(const Settings& settings, SupportedVersions supported_versions, TeamQuotas own_quotas,
+               std::vector<FrameConnectionPool*> pools);
 
   // Writes this controller's registry record, and retries until it succeeds. Returns false if a stop is requested.
   bool register_self(StoreClient& store, std::stop_token stop) const;
@@ -37,14 +38,14 @@
   [[nodiscard]] const std::vector<std::string>& controller_labels() const { return controller_labels_; }
 
  private:
-  static std::optional<HttpReply> call_peer(FramePool& peer, const char* target);
+  static std::optional<HttpReply> call_peer(FrameConnectionPool& peer, const char* target);
   std::map<std::string, SupportedVersions> read_peer_versions(std::stop_token stop) const;
   std::map<std::string, std::optional<TeamQuotas>> quotas_of_all_controllers(const rollout::ControllerRegistry& registry);
 
   const Settings& settings_;
   const SupportedVersions supported_versions_;
   const TeamQuotas own_quotas_;
-  std::vector<FramePool*> pools_;
+  std::vector<FrameConnectionPool*> pools_;
   std::vector<std::string> controller_labels_;
   std::map<std::uint64_t, TeamQuotas> peer_quotas_;  // by digest
 };
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -96,13 +96,13 @@
 }
 
 RequestHandler::ForwardResult RequestHandler::ask_leader(Lock& lock, const HttpCall& call, double began) {
-  FramePool* pool = shared_.leader_pool();
+  FrameConnectionPool* pool = shared_.leader_pool();
   const double asked_at = steady_now();
   const double left = began + kForwardTimeoutS - asked_at;
   if (!pool || left <= 0) return {};
   lock.unlock();
   const PeerCall forwarded{std::string(call.method), std::string(call.target), std::string(call.body)};
-  const auto answer = pool->ask(pack(forwarded), left);
+  const auto answer = pool->call(pack(forwarded), left);
   auto reply = answer ? unpack_reply(*answer, asked_at) : std::nullopt;
   if (answer && !reply) spdlog::error("forwarding: malformed answer from the leader");
   lock.lock();
--- a/src/controller/rollout_manager.cpp
+++ b/src/controller/rollout_manager.cpp
@@ -32,7 +32,7 @@
   const auto& config = shared_.config;
   StoreClient store(config.settings.store_address);
   std::stop_callback abort(stop, [&] { store.abort(); });
-  std::vector<FramePool*> pools;
+  std::vector<FrameConnectionPool*> pools;
   pools.reserve(shared_.peers.size());
   for (auto& link : shared_.peers) pools.push_back(link.calls.get());
   RegistryView view(config.settings, config.supported_versions, config.team_quotas, std::move(pools));
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -37,7 +37,7 @@
   const auto body = rent_body(sent->name, sent->machine_type, offer.zone, offer.spot, sent->request.count);
   const auto response = cloud.post(kRentPath, body, kCloudTimeoutS);
   // Without an answer the same request is made again: under another name it would rent twice.
-  if (response.delivery == Delivery::in_doubt || response.is(429)) return false;
+  if (response.delivery == Delivery::outcome_unknown || response.is(429)) return false;
   Lock lock(shared_.mutex);
   pending_.reset();
   return shared_.is_term(sent->term) && apply_response(*sent, response);
--- a/src/controller/shared_state.cpp
+++ b/src/controller/shared_state.cpp
@@ -15,8 +15,8 @@
   for (const auto& peer : config.settings.peers) {
     PeerLink link;
     link.peer = peer;
-    link.calls = std::make_unique<FramePool>(peer.address, ResourceBudget::kCallsToAPeer);
-    link.heartbeats = std::make_unique<FramePool>(peer.address, 1);
+    link.calls = std::make_unique<FrameConnectionPool>(peer.address, ResourceBudget::kCallsToAPeer);
+    link.heartbeats = std::make_unique<FrameConnectionPool>(peer.address, 1);
     peers.push_back(std::move(link));
   }
 }
@@ -45,10 +45,10 @@
   if (role == Role::follower) partition_lease.revoke();
   // Agents that could not reach the earlier leader may reach the new one.
   redirects.clear();
-  if (FramePool* pool = leader_pool(); pool && label_known) pool->interrupt();
+  if (FrameConnectionPool* pool = leader_pool(); pool && label_known) pool->interrupt_calls();
 }
 
-FramePool* SharedState::leader_pool() {
+FrameConnectionPool* SharedState::leader_pool() {
   for (auto& link : peers)
     if (link.peer.label == known_leader.label) return link.calls.get();
   return nullptr;
--- a/src/controller/shared_state.hpp
+++ b/src/controller/shared_state.hpp
@@ -81,7 +81,7 @@
   // interrupted, so that they are sent to the new one.
   void handle_leader_change(bool label_known);
   // Connections to the known leader; null if it is not known or not a peer.
-  FramePool* leader_pool();
+  FrameConnectionPool* leader_pool();
 
   // Ends the term, if there is one.
   void step_down(const Lock& lock, const char* reason);
--- a/src/controller/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -25,7 +25,7 @@
 
 StoreStatus StoreClient::status_of(const HttpResult& r) {
   if (r.delivery == Delivery::unsent) return StoreStatus::unavailable;
-  if (r.delivery == Delivery::in_doubt) return StoreStatus::in_doubt;
+  if (r.delivery == Delivery::outcome_unknown) return StoreStatus::in_doubt;
   switch (r.status) {
     case 200: return StoreStatus::ok;
     case 404: return StoreStatus::missing;
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -10,7 +10,7 @@
 constexpr double kMillisPerSecond = 1000;
 
 Frame frame_of(PeerKind kind, Packer& packer) {
-  return {static_cast<std::uint8_t>(kind), packer.take()};
+  return {static_cast<std::uint8_t>(kind), packer.take_bytes()};
 }
 bool is(const Frame& frame, PeerKind kind) {
   return frame.kind == static_cast<std::uint8_t>(kind);
@@ -56,7 +56,7 @@
   peer_heartbeat.echoed_process = u.integer<std::uint64_t>();
   peer_heartbeat.echoed_clock_ms = u.integer<std::uint64_t>();
   peer_heartbeat.oldest_cancellation_age_ms = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::peer_heartbeat) || !u.done()) return std::nullopt;
+  if (!is(frame, PeerKind::peer_heartbeat) || !u.is_fully_read()) return std::nullopt;
   return peer_heartbeat;
 }
 std::optional<PeerHeartbeatAck> unpack_peer_heartbeat_ack(const Frame& frame) {
@@ -67,7 +67,7 @@
   ack.process = u.integer<std::uint64_t>();
   ack.clock_ms = u.integer<std::uint64_t>();
   ack.last_renewal_age_ms = u.integer<std::uint32_t>();
-  if (!is(frame, PeerKind::peer_heartbeat_ack) || !u.done()) return std::nullopt;
+  if (!is(frame, PeerKind::peer_heartbeat_ack) || !u.is_fully_read()) return std::nullopt;
   return ack;
 }
 std::optional<PeerCall> unpack_call(const Frame& frame) {
@@ -76,7 +76,7 @@
   call.method = u.text();
   call.target = u.text();
   call.body = u.text();
-  if (!is(frame, PeerKind::call) || !u.done()) return std::nullopt;
+  if (!is(frame, PeerKind::call) || !u.is_fully_read()) return std::nullopt;
   return call;
 }
 std::optional<HttpReply> unpack_reply(const Frame& frame, double asked) {
@@ -86,7 +86,7 @@
   reply.retry_after_s = u.integer<std::uint16_t>();
   if (const auto left_ms = u.integer<std::uint32_t>(); left_ms != kUnlimited) reply.valid_until = asked + left_ms / kMillisPerSecond;
   reply.body = u.text();
-  if (!is(frame, PeerKind::reply) || !u.done()) return std::nullopt;
+  if (!is(frame, PeerKind::reply) || !u.is_fully_read()) return std::nullopt;
   return reply;
 }
 
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -125,7 +125,7 @@
 }
 
 Frame frame_of(PeerKind kind, Packer& out) {
-  return {static_cast<std::uint8_t>(kind), out.take()};
+  return {static_cast<std::uint8_t>(kind), out.take_bytes()};
 }
 bool begins_as(const Frame& frame, PeerKind kind, Unpacker& in) {
   return frame.kind == static_cast<std::uint8_t>(kind) && in.integer<std::uint8_t>() == kVersion;
@@ -173,7 +173,7 @@
   batch.worker_count = in.integer<std::uint32_t>();
   for (auto left = read_count(in, kMaxHeartbeatsInBatch, valid); left > 0 && valid && in.ok(); --left)
     batch.heartbeats.push_back(read_delta(in, valid));
-  if (!valid || !in.done()) return std::nullopt;
+  if (!valid || !in.is_fully_read()) return std::nullopt;
   return batch;
 }
 
@@ -193,7 +193,7 @@
       worker.commands.push_back(read_command(in, valid));
     answer.answers.push_back(std::move(worker));
   }
-  if (!valid || !in.done()) return std::nullopt;
+  if (!valid || !in.is_fully_read()) return std::nullopt;
   return answer;
 }
 
--- a/src/protocol/version_messages.cpp
+++ b/src/protocol/version_messages.cpp
@@ -88,7 +88,7 @@
       .integer(supported_versions.incarnation)
       .text(supported_versions.build)
       .integer(supported_versions.teams_digest);
-  return packer.take();
+  return packer.take_bytes();
 }
 
 std::string pack(const std::map<std::string, TeamQuota>& teams) {
@@ -99,7 +99,7 @@
     for (const double amount : {quota.guarantee.cores, quota.guarantee.accelerators, quota.limit.cores, quota.limit.accelerators})
       packer.integer(std::bit_cast<std::uint64_t>(amount));
   }
-  return packer.take();
+  return packer.take_bytes();
 }
 
 std::optional<std::map<std::string, TeamQuota>> unpack_teams(std::string_view packed) {
@@ -114,7 +114,7 @@
       return std::nullopt;
     teams[std::move(name)] = {{amounts[0], amounts[1], 0}, {amounts[2], amounts[3], 0}};
   }
-  if (!unpacker.done()) return std::nullopt;
+  if (!unpacker.is_fully_read()) return std::nullopt;
   return teams;
 }
 
--- a/src/transport/acceptor.cpp
+++ b/src/transport/acceptor.cpp
@@ -12,16 +12,16 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::size_t kMaxClosing = 16;  // connections beyond the bound that may be closing at a time
+constexpr std::size_t kMaxClosingConnections = 16;  // open beyond max_connections until their threads have ended
 constexpr double kAcceptRetrySeconds = 0.02;
 }  // namespace
 
-void Acceptor::Connection::touch() {
-  active_at_.store(steady_now(), std::memory_order_relaxed);
+void Acceptor::Connection::record_activity() {
+  last_active_at_.store(steady_now(), std::memory_order_relaxed);
 }
 
-Acceptor::Acceptor(const std::string& address, std::size_t max_connections, Routine routine)
-    : listener_(listen_on(address)), max_connections_(std::max<std::size_t>(max_connections, 1)), routine_(std::move(routine)) {
+Acceptor::Acceptor(const std::string& address, std::size_t max_connections, Handler handler)
+    : listener_(listen_on(address)), max_connections_(std::max<std::size_t>(max_connections, 1)), handler_(std::move(handler)) {
   thread_ = std::jthread([this](std::stop_token stop) { accept_loop(stop); });
 }
 
@@ -34,35 +34,37 @@
   thread_.request_stop();
   listener_.shutdown();
   thread_.join();
-  std::list<std::unique_ptr<Connection>> rest;
+  std::list<std::unique_ptr<Connection>> remaining;
   {
     std::lock_guard lock(mutex_);
-    rest.swap(connections_);
+    remaining.swap(connections_);
     by_eviction_rank_.clear();
   }
-  for (auto& c : rest) {
-    c->stop_.request_stop();
-    c->stream.socket().shutdown();
+  for (auto& connection : remaining) {
+    connection->stop_.request_stop();
+    connection->stream.socket().shutdown();
   }
-  // Their routines use objects that the owner of this acceptor destroys next.
-  for (auto& c : rest)
-    while (!c->finished_.load()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  // The handlers use objects that the owner of this acceptor destroys after this call.
+  for (auto& connection : remaining)
+    while (!connection->finished_.load()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-std::size_t Acceptor::open_connections() {
+std::size_t Acceptor::count_open_connections() {
   std::lock_guard lock(mutex_);
   return connections_.size() - std::min(connections_.size(), ended_count_.load());
 }
 
-void Acceptor::remove_ended() {
+void Acceptor::remove_ended_connections() {
   if (ended_count_.load() == 0) return;
   std::vector<Connection*> finished;
   {
     std::lock_guard lock(ended_mutex_);
-    // A thread lists its connection before it sets finished_: one in between is left for the next call.
-    const auto still_running = std::partition(ended_.begin(), ended_.end(), [](const Connection* c) { return !c->finished_.load(); });
-    finished.assign(still_running, ended_.end());
-    ended_.erase(still_running, ended_.end());
+    // A thread adds its connection to ended_connections_ before it sets finished_. A connection between these two steps stays for
+    // the next call.
+    const auto still_running = std::partition(ended_connections_.begin(), ended_connections_.end(),
+                                              [](const Connection* connection) { return !connection->finished_.load(); });
+    finished.assign(still_running, ended_connections_.end());
+    ended_connections_.erase(still_running, ended_connections_.end());
   }
   std::lock_guard lock(mutex_);
   for (Connection* connection : finished) {
@@ -72,13 +74,13 @@
   ended_count_ -= finished.size();
 }
 
-void Acceptor::evict_one() {
+void Acceptor::evict_connection() {
   while (!by_eviction_rank_.empty()) {
     const auto [indexed_rank, connection] = *by_eviction_rank_.begin();
     by_eviction_rank_.erase(by_eviction_rank_.begin());
     const auto rank = connection->eviction_rank();
     if (indexed_rank < rank) {
-      // It was active since it was indexed: it is indexed anew, and the next one is tried.
+      // The rank has grown since it was indexed: update it and try the next connection.
       connection->indexed_rank_ = rank;
       by_eviction_rank_.insert({rank, connection});
       continue;
@@ -88,17 +90,17 @@
   }
 }
 
-void Acceptor::run(Connection& connection) {
+void Acceptor::run_handler(Connection& connection) {
   try {
-    routine_(connection, connection.stop_.get_token());
-  } catch (const std::exception& e) {
-    spdlog::error("connection: unhandled error: {}", e.what());
+    handler_(connection, connection.stop_.get_token());
+  } catch (const std::exception& error) {
+    spdlog::error("connection: unhandled error: {}", error.what());
   }
-  // The descriptor is closed only when the accept loop removes the connection; until then the peer must not wait for us.
+  // The descriptor stays open until the accept loop removes the connection. The shutdown tells the peer at once.
   connection.stream.socket().shutdown();
   {
     std::lock_guard lock(ended_mutex_);
-    ended_.push_back(&connection);
+    ended_connections_.push_back(&connection);
     ++ended_count_;
   }
   connection.finished_.store(true);
@@ -106,26 +108,26 @@
 
 void Acceptor::accept_loop(std::stop_token stop) {
   while (!stop.stop_requested()) {
-    Socket s = accept_from(listener_);
+    Socket socket = accept_from(listener_);
     if (stop.stop_requested()) return;
-    remove_ended();
-    if (!s.open()) {
+    remove_ended_connections();
+    if (!socket.is_open()) {
       if (!pause_for(stop, kAcceptRetrySeconds)) return;
       continue;
     }
     std::lock_guard lock(mutex_);
-    // As many connections as allowed are closing already: the new one is refused.
-    if (connections_.size() >= max_connections_ + kMaxClosing) continue;
-    // A user's connection is closed before that of a worker that runs tasks.
-    if (connections_.size() >= max_connections_) evict_one();
-    connections_.push_back(std::make_unique<Connection>(std::move(s)));
+    // The maximum number of connections is closing already: refuse the new one.
+    if (connections_.size() >= max_connections_ + kMaxClosingConnections) continue;
+    // Users' connections are evicted before those of agents that run tasks.
+    if (connections_.size() >= max_connections_) evict_connection();
+    connections_.push_back(std::make_unique<Connection>(std::move(socket)));
     Connection& connection = *connections_.back();
     connection.position_ = std::prev(connections_.end());
-    connection.touch();
+    connection.record_activity();
     try {
-      std::thread([this, &connection] { run(connection); }).detach();
-    } catch (const std::system_error& e) {
-      spdlog::error("connection: no thread available: {}", e.what());
+      std::thread([this, &connection] { run_handler(connection); }).detach();
+    } catch (const std::system_error& error) {
+      spdlog::error("connection: no thread available: {}", error.what());
       connections_.pop_back();
       continue;
     }
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,4 +1,4 @@
-// Clocks: steady seconds for leases and timeouts, wall seconds for what is stored in the ledger.
+// Clocks: steady seconds for leases and timeouts, wall-clock seconds for times stored in the ledger.
 #pragma once
 #include <time.h>
 
@@ -6,16 +6,16 @@
 
 namespace thistlefront {
 
-// Seconds on a clock that never goes back; comparable within one process only.
+// Seconds on the monotonic clock; comparable within one process only.
 inline double steady_now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
-// Seconds since the Unix epoch; may be set back.
+// Seconds since the Unix epoch; the clock may be set back.
 inline double wall_now() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-// Processor seconds that the calling thread has used; 0 if the system does not tell.
+// Processor seconds that the calling thread has used; 0 if the system does not report it.
 inline double thread_processor_seconds() {
   timespec used{};
   if (::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used) != 0) return 0;
--- a/src/transport/connection_pool.hpp
+++ b/src/transport/connection_pool.hpp
@@ -1,5 +1,5 @@
-// Pool of idle HTTP connections, at most one for each address. Beyond the bound the least recently used one is closed. Not
-// thread-safe: each thread that calls workers owns a pool.
+// Pool of idle HTTP connections, at most one for each address. Beyond `max_connections` the least recently used one is closed. Not
+// thread-safe: the owner serializes the calls.
 #pragma once
 #include <list>
 #include <memory>
@@ -13,9 +13,9 @@
 class ConnectionPool {
  public:
   explicit ConnectionPool(std::size_t max_connections) : max_connections_(max_connections) {}
-  // Takes the idle connection to this address out of the pool, or makes a new one that is not connected yet.
+  // Removes the idle connection to this address from the pool and returns it, or returns a new one that is not connected yet.
   std::unique_ptr<HttpClient> acquire(const std::string& address);
-  // Puts a connection back. It is closed if it is broken, or if one to this address is in the pool already.
+  // Returns a connection to the pool. It is closed if it is broken or if the pool already has a connection to this address.
   void release(const std::string& address, std::unique_ptr<HttpClient> client);
   // Closes all idle connections.
   void clear();
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -13,15 +13,15 @@
 namespace {
 constexpr std::size_t kMaxRequestBodyBytes = std::size_t{64} * 1024;
 constexpr std::size_t kMaxRequestHeaderBytes = std::size_t{8} * 1024;
-constexpr std::size_t kMaxResponseBodyBytes = std::size_t{64} * 1024 * 1024;  // watches and pages of the ledger can be large
+constexpr std::size_t kMaxResponseBodyBytes = std::size_t{64} * 1024 * 1024;  // responses to watches and ledger pages can be large
 constexpr std::size_t kReadBufferBytes = 2048;
 constexpr unsigned kHttp11 = 11;
-constexpr int kMaxAttempts = 2;  // the second one if a kept connection was stale
+constexpr int kMaxAttempts = 2;  // the second one if a reused connection was stale
 }  // namespace
 
 HttpServer::HttpServer(const std::string& address, std::size_t max_connections, Handler handler)
     : handler_(std::move(handler)),
-      acceptor_(address, max_connections, [this](Acceptor::Connection& c, std::stop_token stop) { serve(c, stop); }) {}
+      acceptor_(address, max_connections, [this](Acceptor::Connection& connection, std::stop_token stop) { serve(connection, stop); }) {}
 
 void HttpServer::serve(Acceptor::Connection& connection, std::stop_token stop) const {
   beast::flat_buffer buffer;
@@ -33,9 +33,9 @@
     parser.header_limit(kMaxRequestHeaderBytes);
     ErrorCode ec;
     http::read(connection.stream, buffer, parser, ec);
-    connection.touch();
+    connection.record_activity();
     HttpReply reply;
-    bool keep = false;
+    bool keep_alive = false;
     if (ec == http::error::body_limit) {
       reply = {413, R"({"error":"body: larger than 64 KiB"})", 0, true};
     } else if (ec && ec.category() == make_error_code(http::error::bad_method).category() && ec != http::error::end_of_stream &&
@@ -45,7 +45,7 @@
       return;
     } else {
       const auto& request = parser.get();
-      keep = request.keep_alive();
+      keep_alive = request.keep_alive();
       const auto method = request.method_string();
       const auto target = request.target();
       reply = handler_({{method.data(), method.size()}, {target.data(), target.size()}, request.body(), session});
@@ -55,7 +55,7 @@
     response.set(http::field::content_type, beast::string_view(reply.type.data(), reply.type.size()));
     if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
     response.body() = std::move(reply.body);
-    response.keep_alive(keep && !reply.close);
+    response.keep_alive(keep_alive && !reply.close);
     response.prepare_payload();
     if (steady_now() > reply.valid_until) {
       response.result(http::status::service_unavailable);
@@ -73,10 +73,10 @@
 }
 
 bool HttpClient::connect(double timeout_s, LateCallback* late) {
-  Socket s = connect_to(address_, timeout_s, late);
+  Socket socket = connect_to(address_, timeout_s, late);
   std::lock_guard lock(mutex_);
-  if (!s.open() || aborted_) return false;
-  stream_ = std::make_unique<Stream>(std::move(s));
+  if (!socket.is_open() || aborted_) return false;
+  stream_ = std::make_unique<Stream>(std::move(socket));
   return true;
 }
 
@@ -104,25 +104,25 @@
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const bool reused = stream_ != nullptr;
     if (!reused && !connect(deadline - steady_now(), late)) return {};
-    stream_->deadline(deadline, late);
+    stream_->set_deadline(deadline, late);
     ErrorCode ec;
     http::write(*stream_, request, ec);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(kMaxResponseBodyBytes);
     if (!ec) http::read(*stream_, buffer, parser, ec);
-    stream_->deadline(deadline);
+    stream_->set_deadline(deadline);
     if (!ec) {
       HttpResult result{Delivery::answered, parser.get().result_int(), std::move(parser.get().body())};
       if (!parser.get().keep_alive()) disconnect();
       return result;
     }
     disconnect();
-    // The other side may have closed a kept connection meanwhile. A request that only reads is safe to send again.
+    // The peer may have closed the idle connection. A request that only reads is safe to send again.
     if (reused && method == "GET" && ec != boost::asio::error::timed_out) continue;
-    return {Delivery::in_doubt, 0, {}};
+    return {Delivery::outcome_unknown, 0, {}};
   }
-  return {Delivery::in_doubt, 0, {}};
+  return {Delivery::outcome_unknown, 0, {}};
 }
 
 }  // namespace thistlefront
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,5 +1,5 @@
 // HTTP/1.1 server and client over blocking sockets, with Boost.Beast's parser and serializer. The controller serves users and
-// workers with it and calls the key-value store, the cloud and the workers.
+// agents with it and calls the key-value store, the cloud and the agents.
 #pragma once
 #include <any>
 #include <functional>
@@ -14,12 +14,12 @@
 
 namespace thistlefront {
 
-// A request as the server's handler sees it; valid during the call.
+// A request as the server's handler sees it; valid only while the handler runs.
 struct HttpCall {
   std::string_view method;
   std::string_view target;
   std::string_view body;
-  std::any& session;  // kept by the handler from one request of a connection to the next; empty at first
+  std::any& session;  // the handler's state for this connection, kept between its requests; initially empty
 };
 
 // The handler's reply.
@@ -27,21 +27,21 @@
   unsigned status = 200;
   std::string body;
   int retry_after_s = 0;  // 0: no Retry-After header
-  bool close = false;
+  bool close = false;     // whether the connection is closed after the reply
   std::string_view type = "application/json";
-  // Steady seconds until when the reply may be sent; later a 503 is sent instead. Checked just before sending, since the process
-  // may have been suspended after the reply was made.
+  // Steady seconds. After this time a 503 is sent instead of the reply. Checked just before sending, since the process may have been
+  // suspended after the reply was made.
   double valid_until = std::numeric_limits<double>::infinity();
-  bool evict_last = false;  // at the bound, other connections are closed before this one
+  bool evict_last = false;  // whether other connections are evicted before this one
 };
 
-// Answers requests with the handler's replies, one thread for each connection.
+// Answers requests with the handler's replies. Each connection has a thread of its own.
 class HttpServer {
  public:
   using Handler = std::function<HttpReply(const HttpCall&)>;
   HttpServer(const std::string& address, std::size_t max_connections, Handler handler);
   void stop() { acceptor_.stop(); }
-  [[nodiscard]] std::size_t connections() { return acceptor_.open_connections(); }
+  [[nodiscard]] std::size_t count_open_connections() { return acceptor_.count_open_connections(); }
 
  private:
   void serve(Acceptor::Connection& connection, std::stop_token stop) const;
@@ -49,34 +49,34 @@
   Acceptor acceptor_;
 };
 
-// What the client knows of a request's fate.
+// What the client knows about the execution of a request.
 enum class Delivery {
-  answered,  // a whole response was read
-  unsent,    // the connection could not be made: the request was not executed
-  in_doubt,  // sent, but no whole response was read: the request may have been executed, or may be later
+  answered,         // a complete response was received
+  unsent,           // connecting failed: the request was not executed
+  outcome_unknown,  // sent, but no complete response was received: the request may have been executed, or may be later
 };
 
-// The outcome of a call; status and body only if it was answered.
+// The outcome of a call; `status` and `body` are set only if it was answered.
 struct HttpResult {
   Delivery delivery = Delivery::unsent;
   unsigned status = 0;
   std::string body;
   [[nodiscard]] bool ok() const { return delivery == Delivery::answered && status == 200; }
-  [[nodiscard]] bool is(unsigned s) const { return delivery == Delivery::answered && status == s; }
+  [[nodiscard]] bool is(unsigned expected) const { return delivery == Delivery::answered && status == expected; }
 };
 
-// One keep-alive connection to one address, made on the first call and again when it is broken. Not thread-safe, except abort().
+// One keep-alive connection to one address, opened by the first call and reopened when it is broken. Only abort() is thread-safe.
 class HttpClient {
  public:
   explicit HttpClient(std::string address) : address_(std::move(address)) {}
-  // Calls and waits for the response, `timeout_s` at most. `late` is called back on the way if the call takes long.
+  // Sends a request and waits at most `timeout_s` for the response. See LateCallback for `late`.
   HttpResult call(std::string_view method, const std::string& target, const std::string& body, double timeout_s,
                   LateCallback* late = nullptr);
   HttpResult get(const std::string& target, double timeout_s) { return call("GET", target, "", timeout_s); }
   HttpResult post(const std::string& target, const std::string& body, double timeout_s, LateCallback* late = nullptr) {
     return call("POST", target, body, timeout_s, late);
   }
-  // Ends a call in progress on another thread; later calls fail.
+  // Ends a call in progress on another thread. Later calls fail.
   void abort();
   void disconnect();
   [[nodiscard]] bool connected() const { return stream_ != nullptr; }
@@ -84,7 +84,7 @@
  private:
   bool connect(double timeout_s, LateCallback* late);
   std::string address_;
-  std::mutex mutex_;  // guards stream_'s descriptor against abort()
+  std::mutex mutex_;  // guards aborted_, and stream_ against a concurrent abort()
   bool aborted_ = false;
   std::unique_ptr<Stream> stream_;
 };
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -28,8 +28,8 @@
 }
 
 void disable_nagle(int fd) {
-  int on = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  int enabled = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 bool parse_address(const std::string& address, sockaddr_in& out) {
@@ -46,15 +46,15 @@
   return remaining_s <= 0 ? 0 : static_cast<int>(std::ceil(remaining_s * 1000.0));
 }
 
-// Polls one descriptor until the deadline and returns what poll() does. Calls `late` back on the way.
+// Polls one descriptor until the deadline and returns the result of poll(). Runs the callback of `late` when it is due.
 int wait_until(int fd, short events, double deadline, LateCallback* late) {
   for (;;) {
-    const bool calls_back = late && late->then && late->at < deadline;
-    pollfd p{fd, events, 0};
-    const int n = ::poll(&p, 1, remaining_ms(calls_back ? late->at : deadline));
-    if (n < 0 && errno == EINTR) continue;
-    if (n != 0 || !calls_back) return n;
-    std::exchange(late->then, nullptr)();
+    const bool callback_pending = late && late->callback && late->due_at < deadline;
+    pollfd polled{fd, events, 0};
+    const int ready_count = ::poll(&polled, 1, remaining_ms(callback_pending ? late->due_at : deadline));
+    if (ready_count < 0 && errno == EINTR) continue;
+    if (ready_count != 0 || !callback_pending) return ready_count;
+    std::exchange(late->callback, nullptr)();
   }
 }
 
@@ -78,43 +78,43 @@
   if (colon == std::string::npos) return std::nullopt;
   std::uint16_t port = 0;
   const char* end = address.data() + address.size();
-  auto [p, ec] = std::from_chars(address.data() + colon + 1, end, port);
-  if (ec != std::errc() || p != end) return std::nullopt;
+  auto [parsed_end, ec] = std::from_chars(address.data() + colon + 1, end, port);
+  if (ec != std::errc() || parsed_end != end) return std::nullopt;
   std::string host = address.substr(0, colon);
-  in_addr probe{};
-  if (::inet_pton(AF_INET, host.c_str(), &probe) != 1) return std::nullopt;
+  in_addr host_address{};
+  if (::inet_pton(AF_INET, host.c_str(), &host_address) != 1) return std::nullopt;
   return std::make_pair(host, port);
 }
 
 Socket connect_to(const std::string& address, double timeout_s, LateCallback* late) {
-  sockaddr_in to{};
-  if (!parse_address(address, to)) return {};
-  Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!s.open()) return {};
-  if (::connect(s.fd(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) {
+  sockaddr_in endpoint{};
+  if (!parse_address(address, endpoint)) return {};
+  Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+  if (!socket.is_open()) return {};
+  if (::connect(socket.fd(), reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0) {
     if (errno != EINPROGRESS) return {};
-    if (wait_until(s.fd(), POLLOUT, steady_now() + timeout_s, late) <= 0) return {};
-    int err = 0;
-    socklen_t len = sizeof err;
-    if (::getsockopt(s.fd(), SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) return {};
+    if (wait_until(socket.fd(), POLLOUT, steady_now() + timeout_s, late) <= 0) return {};
+    int error = 0;
+    socklen_t error_size = sizeof error;
+    if (::getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &error_size) != 0 || error != 0) return {};
   }
-  int flags = ::fcntl(s.fd(), F_GETFL, 0);
-  ::fcntl(s.fd(), F_SETFL, flags & ~O_NONBLOCK);
-  disable_nagle(s.fd());
-  return s;
+  int flags = ::fcntl(socket.fd(), F_GETFL, 0);
+  ::fcntl(socket.fd(), F_SETFL, flags & ~O_NONBLOCK);
+  disable_nagle(socket.fd());
+  return socket;
 }
 
 Socket listen_on(const std::string& address) {
-  sockaddr_in at{};
-  if (!parse_address(address, at)) throw std::runtime_error("not an address: " + address);
-  Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (!s.open()) throw std::runtime_error("socket: " + last_error().message());
-  int on = 1;
-  ::setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (::bind(s.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(s.fd(), kListenBacklog) != 0) {
+  sockaddr_in endpoint{};
+  if (!parse_address(address, endpoint)) throw std::runtime_error("not an address: " + address);
+  Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  if (!socket.is_open()) throw std::runtime_error("socket: " + last_error().message());
+  int enabled = 1;
+  ::setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (::bind(socket.fd(), reinterpret_cast<sockaddr*>(&endpoint), sizeof endpoint) != 0 || ::listen(socket.fd(), kListenBacklog) != 0) {
     throw std::runtime_error("cannot listen on " + address + ": " + last_error().message());
   }
-  return s;
+  return socket;
 }
 
 Socket accept_from(const Socket& listener) {
@@ -127,21 +127,21 @@
 }
 
 bool Stream::wait_ready(short events, ErrorCode& ec) const {
-  const int n = wait_until(socket_.fd(), events, *deadline_, late_);
-  if (n < 0) ec = last_error();
-  if (n == 0) ec = boost::asio::error::timed_out;
-  return n > 0;
+  const int ready_count = wait_until(socket_.fd(), events, *deadline_, late_);
+  if (ready_count < 0) ec = last_error();
+  if (ready_count == 0) ec = boost::asio::error::timed_out;
+  return ready_count > 0;
 }
 
 std::size_t Stream::read_raw(void* data, std::size_t size, ErrorCode& ec) {
   if (deadline_ && !wait_ready(POLLIN, ec)) return 0;
   for (;;) {
-    auto n = ::recv(socket_.fd(), data, size, 0);
-    if (n > 0) {
+    auto received = ::recv(socket_.fd(), data, size, 0);
+    if (received > 0) {
       ec = {};
-      return static_cast<std::size_t>(n);
+      return static_cast<std::size_t>(received);
     }
-    if (n == 0) {
+    if (received == 0) {
       ec = boost::asio::error::eof;
       return 0;
     }
@@ -157,10 +157,10 @@
   message.msg_iovlen = static_cast<std::size_t>(count);
   for (;;) {
     const int flags = MSG_NOSIGNAL | (deadline_ ? MSG_DONTWAIT : 0);
-    auto n = ::sendmsg(socket_.fd(), &message, flags);
-    if (n >= 0) {
+    auto sent = ::sendmsg(socket_.fd(), &message, flags);
+    if (sent >= 0) {
       ec = {};
-      return static_cast<std::size_t>(n);
+      return static_cast<std::size_t>(sent);
     }
     if (errno == EINTR) continue;
     if ((errno == EAGAIN || errno == EWOULDBLOCK) && deadline_) {
@@ -173,24 +173,24 @@
 }
 
 bool Stream::read_exact(void* data, std::size_t size, ErrorCode& ec) {
-  auto* at = static_cast<char*>(data);
+  auto* next = static_cast<char*>(data);
   while (size > 0) {
-    auto n = read_raw(at, size, ec);
+    auto received = read_raw(next, size, ec);
     if (ec) return false;
-    at += n;
-    size -= n;
+    next += received;
+    size -= received;
   }
   return true;
 }
 
 bool Stream::write_all(const void* data, std::size_t size, ErrorCode& ec) {
-  const auto* at = static_cast<const char*>(data);
+  const auto* next = static_cast<const char*>(data);
   while (size > 0) {
-    iovec part{const_cast<char*>(at), size};
-    auto n = write_raw(&part, 1, ec);
+    iovec part{const_cast<char*>(next), size};
+    auto sent = write_raw(&part, 1, ec);
     if (ec) return false;
-    at += n;
-    size -= n;
+    next += sent;
+    size -= sent;
   }
   return true;
 }
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -1,5 +1,5 @@
-// Blocking TCP sockets over IPv4: an owned descriptor, connecting with a time limit, and a stream that Boost.Beast can read and
-// write. The base of HttpClient, HttpServer and the frames between controllers.
+// Blocking TCP sockets over IPv4: an owned descriptor, connecting with a timeout, and a stream for Boost.Beast. HttpClient,
+// HttpServer and the frames between controllers are built on it.
 #pragma once
 #include <poll.h>
 #include <sys/socket.h>
@@ -18,7 +18,7 @@
 
 using ErrorCode = boost::system::error_code;
 
-// Owns a socket's descriptor.
+// Owns a socket descriptor.
 class Socket {
  public:
   Socket() = default;
@@ -29,7 +29,7 @@
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
 
-  [[nodiscard]] bool open() const { return fd_ >= 0; }
+  [[nodiscard]] bool is_open() const { return fd_ >= 0; }
   [[nodiscard]] int fd() const { return fd_; }
   int release() {
     int fd = fd_;
@@ -46,31 +46,30 @@
   int fd_ = -1;
 };
 
-// Called once, from the calling thread, if a call is still waiting at the given time. The call goes on all the same.
+// Runs once, on the waiting thread, if a call is still waiting at `due_at`. The call continues to wait afterwards.
 struct LateCallback {
-  double at = 0;  // steady seconds
-  std::function<void()> then;
+  double due_at = 0;  // steady seconds
+  std::function<void()> callback;
 };
-using Late = LateCallback;  // former name, for callers not renamed yet
 
-// Splits "1.2.3.4:80" into host and port; nothing if it is not of that form.
+// Splits "1.2.3.4:80" into host and port; nullopt if `address` does not have that form.
 std::optional<std::pair<std::string, std::uint16_t>> split_address(const std::string& address);
-// Connects within the time limit. On failure the socket returned is not open.
+// Connects within `timeout_s`. On failure the returned socket is not open.
 Socket connect_to(const std::string& address, double timeout_s, LateCallback* late = nullptr);
-// Listens with a deep backlog; throws std::runtime_error with the reason.
+// Throws std::runtime_error with the reason if listening fails.
 Socket listen_on(const std::string& address);
-// Waits for the next connection. Not open if the listener was shut down, or if there is no descriptor left.
+// Waits for the next connection. The returned socket is not open if the listener was shut down or no descriptor is available.
 Socket accept_from(const Socket& listener);
 
-// A synchronous stream over a socket, with the members that Boost.Beast requires. With a deadline, a read or write that would
-// pass it fails with timed_out.
+// A synchronous stream over a socket, with the members that Boost.Beast requires. A read or write that is not complete by the
+// deadline fails with timed_out.
 class Stream {
  public:
   Stream() = default;
   explicit Stream(Socket socket) : socket_(std::move(socket)) {}
 
-  // Sets the deadline of the reads and writes that follow; nothing: none.
-  void deadline(std::optional<double> steady_s, LateCallback* late = nullptr) {
+  // Sets the deadline and the late callback of later reads and writes; nullopt removes the deadline.
+  void set_deadline(std::optional<double> steady_s, LateCallback* late = nullptr) {
     deadline_ = steady_s;
     late_ = late;
   }
@@ -92,36 +91,36 @@
   template <class Buffers>
   std::size_t read_some(const Buffers& buffers) {
     ErrorCode ec;
-    auto n = read_some(buffers, ec);
+    auto size = read_some(buffers, ec);
     if (ec) throw boost::system::system_error(ec);
-    return n;
+    return size;
   }
   template <class Buffers>
   std::size_t write_some(const Buffers& buffers, ErrorCode& ec) {
-    iovec parts[kMaxParts];
+    iovec parts[kMaxBuffersPerWrite];
     int count = 0;
     const auto end = boost::asio::buffer_sequence_end(buffers);
-    for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count < kMaxParts; ++it) {
-      boost::asio::const_buffer b(*it);
-      if (b.size() == 0) continue;
-      parts[count++] = {const_cast<void*>(b.data()), b.size()};
+    for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count < kMaxBuffersPerWrite; ++it) {
+      boost::asio::const_buffer buffer(*it);
+      if (buffer.size() == 0) continue;
+      parts[count++] = {const_cast<void*>(buffer.data()), buffer.size()};
     }
     return write_raw(parts, count, ec);
   }
   template <class Buffers>
   std::size_t write_some(const Buffers& buffers) {
     ErrorCode ec;
-    auto n = write_some(buffers, ec);
+    auto size = write_some(buffers, ec);
     if (ec) throw boost::system::system_error(ec);
-    return n;
+    return size;
   }
 
-  // Read or write all of it; false on failure, with the reason in `ec`.
+  // Read or write exactly `size` bytes; false on failure, with the reason in `ec`.
   bool read_exact(void* data, std::size_t size, ErrorCode& ec);
   bool write_all(const void* data, std::size_t size, ErrorCode& ec);
 
  private:
-  static constexpr int kMaxParts = 16;  // buffers written with one system call
+  static constexpr int kMaxBuffersPerWrite = 16;  // written with one system call
   std::size_t read_raw(void* data, std::size_t size, ErrorCode& ec);
   std::size_t write_raw(const iovec* parts, int count, ErrorCode& ec);
   bool wait_ready(short events, ErrorCode& ec) const;
--- a/src/transport/threads.cpp
+++ b/src/transport/threads.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr int kTrimThresholdBytes = 512 * 1024;
 constexpr int kMmapThresholdBytes = 256 * 1024;
-[[maybe_unused]] constexpr std::size_t kStackBytes = std::size_t{256} * 1024;  // sanitizers need the default
+[[maybe_unused]] constexpr std::size_t kStackBytes = std::size_t{256} * 1024;  // not for sanitizers: they need the default size
 }  // namespace
 
 void configure_process_memory() {
@@ -31,32 +31,32 @@
   pthread_attr_destroy(&attr);
 }
 
-void run_at_once(const std::vector<std::function<void()>>& work) {
-  struct Unfinished {
+void run_in_parallel(const std::vector<std::function<void()>>& functions) {
+  struct UnfinishedFunctions {
     std::mutex mutex;
-    std::condition_variable all_done;
+    std::condition_variable all_finished;
     std::size_t count;
     void count_down() {
       std::lock_guard lock(mutex);
-      if (--count == 0) all_done.notify_all();
+      if (--count == 0) all_finished.notify_all();
     }
   };
-  const auto unfinished = std::make_shared<Unfinished>();
-  unfinished->count = work.size();
-  for (const auto& function : work) {
+  const auto unfinished = std::make_shared<UnfinishedFunctions>();
+  unfinished->count = functions.size();
+  for (const auto& function : functions) {
     try {
       std::thread([&function, unfinished] {
         function();
         unfinished->count_down();
       }).detach();
-    } catch (const std::system_error& e) {
-      spdlog::error("threads: could not be started: {}", e.what());
+    } catch (const std::system_error& error) {
+      spdlog::error("parallel execution: no thread available, runs in the calling thread: {}", error.what());
       function();
       unfinished->count_down();
     }
   }
   std::unique_lock lock(unfinished->mutex);
-  unfinished->all_done.wait(lock, [&] { return unfinished->count == 0; });
+  unfinished->all_finished.wait(lock, [&] { return unfinished->count == 0; });
 }
 
 }  // namespace thistlefront
--- a/src/transport/threads.hpp
+++ b/src/transport/threads.hpp
@@ -1,5 +1,5 @@
-// Memory settings for a process with many threads on a small machine, an interruptible sleep for long-lived threads, and running
-// work in parallel.
+// Memory settings for a process with many threads on a small machine, an interruptible sleep for long-lived threads, and parallel
+// execution of functions.
 #pragma once
 #include <chrono>
 #include <condition_variable>
@@ -10,10 +10,10 @@
 
 namespace thistlefront {
 
-// Sets small default stacks and a single malloc arena, since each connection costs a thread. Called once, at the process's start.
+// Sets small default stacks and a single malloc arena, since each connection has a thread. Call once, before starting threads.
 void configure_process_memory();
 
-// Sleeps for the time given, or until a stop is requested; false if it was.
+// Sleeps for `seconds` or until a stop is requested. Returns false if a stop was requested.
 inline bool pause_for(std::stop_token stop, double seconds) {
   std::mutex mutex;
   std::condition_variable_any never_notified;
@@ -22,8 +22,8 @@
   return !stop.stop_requested();
 }
 
-// Runs all functions in parallel, each in a thread of its own, and returns when all have returned. One for which no thread can be
-// made runs in the calling thread. Waits for the functions and not for the end of their threads: see Acceptor::Connection.
-void run_at_once(const std::vector<std::function<void()>>& work);
+// Runs each function in a thread of its own and returns when all functions have returned. If no thread is available, the function
+// runs in the calling thread. Does not wait for the threads to end: Acceptor::Connection::finished_ gives the reason.
+void run_in_parallel(const std::vector<std::function<void()>>& functions);
 
 }  // namespace thistlefront
--- a/testbed/network_relay.cpp
+++ b/testbed/network_relay.cpp
@@ -51,7 +51,7 @@
 void Relay::accept_connections() {
   while (!ending_) {
     Socket accepted = accept_from(listener_);
-    if (!accepted.open()) continue;
+    if (!accepted.is_open()) continue;
     std::lock_guard lock(mutex_);
     std::erase_if(connections_, [](const auto& connection) { return connection->over.load(); });
     connections_.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
@@ -70,7 +70,7 @@
 }
 
 void Relay::Connection::copy(const Relay& relay) {
-  while (to.open() && !relay.ending_) {
+  while (to.is_open() && !relay.ending_) {
     const auto answer_events = static_cast<short>(relay.answers_held_ ? 0 : POLLIN);
     pollfd fds[2] = {{from.fd(), POLLIN, 0}, {to.fd(), answer_events, 0}};
     if (relay.cut_) {
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -205,16 +205,16 @@
 TEST_P(HeartbeatRelayOf, AMalformedBatchChangesNothing) {
   begin_with_work();
   const auto leader = cluster->leader();
-  FramePool peer(cluster->settings(leader).peer_listen, 2);
+  FrameConnectionPool peer(cluster->settings(leader).peer_listen, 2);
   for (const std::string& payload : {std::string(), std::string("\1\2\3"), std::string(5000, '\xff'), std::string(64, '\1')}) {
-    const auto answer = peer.ask({static_cast<std::uint8_t>(PeerKind::heartbeat_batch), payload}, 2);
+    const auto answer = peer.call({static_cast<std::uint8_t>(PeerKind::heartbeat_batch), payload}, 2);
     ASSERT_TRUE(answer) << payload.size();
     const auto reply = unpack_reply(*answer, steady_now());
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 400u);
   }
   // Well formed, and for another leader: not taken.
-  const auto answer = peer.ask(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
+  const auto answer = peer.call(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
   ASSERT_TRUE(answer);
   const auto refusal = unpack_heartbeat_batch_answer(*answer);
   ASSERT_TRUE(refusal);
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -107,12 +107,12 @@
   const auto ask = [&](auto& streams, const std::string& target) {
     streams.push_back(std::make_unique<Stream>(connect_to(address, 2)));
     const std::string request = "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
-    streams.back()->deadline(steady_now() + 2);
+    streams.back()->set_deadline(steady_now() + 2);
     EXPECT_TRUE(streams.back()->write_all(request.data(), request.size(), ec));
     EXPECT_TRUE(streams.back()->read_exact(answer, 12, ec)) << "the beginning of the first line";
   };
   const auto closed = [&](Stream& stream) {
-    stream.deadline(steady_now() + 0.2);
+    stream.set_deadline(steady_now() + 0.2);
     stream.read_exact(answer, sizeof answer, ec);  // the rest of the answer, and then the end or a timeout
     return ec == boost::asio::error::eof;
   };
@@ -132,7 +132,7 @@
   });
   HttpClient client(address);
   int told = 0;
-  Late late{steady_now() + 0.05, [&] { ++told; }};
+  LateCallback late{steady_now() + 0.05, [&] { ++told; }};
   EXPECT_TRUE(client.call("POST", "/", "{}", 2, &late).ok());
   EXPECT_EQ(told, 1);
 }
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1391,7 +1391,7 @@
 // What a frame looks like on a connection: length, version and kind, then the payload.
 TEST(WireFormatControllers, FramesBeginWithLengthVersionAndKind) {
   EXPECT_EQ(kFrameVersion, 2);
-  EXPECT_EQ(kMaxFrame, 524288u);
+  EXPECT_EQ(kMaxFrameBytes, 524288u);
   int ends[2] = {};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, ends), 0);
   Stream writer{Socket(ends[0])};
