--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -100,7 +100,7 @@
   term.direct_agents_counted_at = now;
   const double recent_s = kRecentHeartbeatPeriods * shared_.config.settings.heartbeat_interval_s;
   const auto heard = measure_reachability(*term.cluster_state, now, recent_s).recent_nodes;
-  const auto at_relays = term.balancer.workers_at_relays(now);
+  const auto at_relays = term.balancer.count_agents_at_relays(now);
   term.direct_agent_count = heard > at_relays ? heard - at_relays : 0;
   return term.direct_agent_count;
 }
@@ -182,7 +182,7 @@
   out.takeover_token = batch->takeover_token;
   out.fencing_token = term.fencing_token;
   const double now = steady_now();
-  term.balancer.record_worker_count(batch->sender, batch->worker_count, now);
+  term.balancer.record_agent_count(batch->sender, batch->worker_count, now);
   if (shared_.may_decide()) {
     const auto redirection = term.balancer.redirect_from_relay(batch->sender, now);
     out.redirect_count = redirection.count;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -174,7 +174,7 @@
     WaitingHeartbeat& w = *sent[i];
     const auto outcome = answer.answers[i].outcome;
     if (outcome == HeartbeatAnswer::Outcome::full_required) {
-      heartbeats_.forget(w.heartbeat->node);
+      heartbeats_.forget_node(w.heartbeat->node);
       requeue(w);
     } else if (outcome == HeartbeatAnswer::Outcome::retry_later) {
       requeue(w);
@@ -236,7 +236,7 @@
   counted_at_ = now;
   std::erase_if(heard_at_, [&](const auto& heard) {
     if (now - heard.second <= kAgentMemoryS) return false;
-    heartbeats_.forget(heard.first);
+    heartbeats_.forget_node(heard.first);
     return true;
   });
   workers_ = static_cast<std::uint32_t>(heard_at_.size());
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "cluster_state/cluster_state.hpp"
+#include "heartbeat_relay/agent_balancer.hpp"
 #include "heartbeat_relay/heartbeat_delta.hpp"
-#include "heartbeat_relay/worker_balancer.hpp"
 #include "leadership/quorum_tracker.hpp"
 #include "ledger/ledger_reader.hpp"
 #include "ledger/ledger_writer.hpp"
@@ -61,7 +61,7 @@
   std::unordered_map<std::string, double> early_reply_times;
   HeartbeatDeltaDecoder relayed_heartbeats;
   bool accepts_heartbeat_batches = false;  // from relaying peers; never reset within the term
-  WorkerBalancer balancer;
+  AgentBalancer balancer;
   double commands_failing_since = 0;    // steady seconds; no direct command has been answered since. 0: the latest one was answered
   std::size_t direct_agent_count = 0;   // agents that send heartbeats to this controller itself, as of the latest count
   double direct_agents_counted_at = 0;  // steady seconds
--- a/src/heartbeat_relay/heartbeat_delta.hpp
+++ b/src/heartbeat_relay/heartbeat_delta.hpp
@@ -1,7 +1,7 @@
-// The two ends of a stream of heartbeats from a relay (a follower that takes agents' heartbeats) to the leader. The encoder sends
-// how a heartbeat differs from the last one that the leader is known to have; the decoder restores the heartbeat, or asks for the
-// whole of it. Pure. A heartbeat is identified by its node, incarnation and serial, so that a difference is never applied to
-// another heartbeat than the one it was made from.
+// Delta compression of the heartbeats that a relay (a follower that accepts agents' heartbeats) sends to the leader. The encoder
+// computes the difference from the last heartbeat that the leader acknowledged; the decoder restores the heartbeat, or reports that
+// it needs the full one. Both do no I/O. A heartbeat is identified by node, incarnation and serial, so a difference is applied only
+// to the heartbeat that it was computed from.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -12,31 +12,31 @@
 
 namespace thistlefront {
 
-// On the relay, for one term of the leader.
+// Used on the relay, for one term of the leader.
 class HeartbeatDeltaEncoder {
  public:
-  // What is to be sent of this heartbeat: the smaller of a difference and the whole.
+  // Returns the difference from the acknowledged heartbeat or the full heartbeat, whichever is smaller.
   [[nodiscard]] HeartbeatDelta encode(const Heartbeat& heartbeat) const;
-  // The leader has this heartbeat.
+  // Records that the leader has this heartbeat.
   void record_acknowledged(const Heartbeat& heartbeat);
-  // The leader does not have the heartbeat that the last delta of this node was based on.
-  void forget(const std::string& node);
-  // Another term began: nothing is known of what its leader has.
+  // Records that the leader lacks the heartbeat on which the node's last delta was based. The next delta will be a full heartbeat.
+  void forget_node(const std::string& node);
+  // Called when another term begins: it is not known which heartbeats the new leader has.
   void clear() { acknowledged_.clear(); }
 
  private:
-  NameMap<Heartbeat> acknowledged_;  // by node: the newest
+  NameMap<Heartbeat> acknowledged_;  // newest acknowledged heartbeat by node
 };
 
-// On the leader, for one term.
+// Used on the leader, for one term.
 class HeartbeatDeltaDecoder {
  public:
-  // The heartbeat that was sent, valid until the next call; null where the whole of it is needed.
+  // Returns the restored heartbeat, valid until the next call, or nullptr if the full heartbeat is needed.
   const Heartbeat* decode(const HeartbeatDelta& delta);
   [[nodiscard]] std::size_t size() const { return received_.size(); }
 
  private:
-  NameMap<Heartbeat> received_;  // by node: the newest
+  NameMap<Heartbeat> received_;  // newest received heartbeat by node
 };
 
 }  // namespace thistlefront
--- a/src/heartbeat_relay/relay_mode.hpp
+++ b/src/heartbeat_relay/relay_mode.hpp
@@ -1,4 +1,4 @@
-// Whether a leader receives the heartbeats of its agents by way of other controllers. Called by the leader. Pure.
+// Decides whether the leader receives agents' heartbeats through other controllers. Does no I/O.
 #pragma once
 #include <cstddef>
 
@@ -7,11 +7,11 @@
 enum class RelayMode {
   off,
   on,
-  automatic,  // on where serving all agents itself would take too much of the leader's processor time or too many connections
+  automatic,  // on if serving all agents directly would use too much of the leader's processor time or too many connections
 };
 
-// What `automatic` decides. `processor_share`: cores that this process may use, 0 where that is not known; `most_connections`: of
-// users and agents together.
-bool is_relay_needed(std::size_t workers, double processor_share, std::size_t most_connections);
+// Whether `automatic` turns the relay on. `cores`: processor cores that this process may use, 0 if unknown. `max_connections`: bound
+// of the connections of users and agents together.
+bool is_relay_needed(std::size_t agents, double cores, std::size_t max_connections);
 
 }  // namespace thistlefront
--- a/tests/heartbeat_delta_test.cpp
+++ b/tests/heartbeat_delta_test.cpp
@@ -1,5 +1,5 @@
-// Heartbeats sent as differences: whatever is lost, late, repeated or reordered on the way, the leader sees the heartbeat that the agent
-// sent, or asks for the whole of it.
+// Heartbeats sent as differences. Whether messages are lost, delayed, repeated or reordered, the decoder restores the heartbeat that
+// the agent sent or requests the full one.
 #include "heartbeat_relay/heartbeat_delta.hpp"
 
 #include <gtest/gtest.h>
@@ -17,23 +17,25 @@
 namespace thistlefront {
 namespace {
 
-std::string text_of(const TaskReport& p) {
-  return p.id.uid + "/" + std::to_string(p.id.task) + "." + std::to_string(p.attempt) + "=" + std::to_string(static_cast<int>(p.phase)) +
-         "," + std::to_string(static_cast<int>(p.exit_reason)) + (p.checkpointed ? "k" : "");
+std::string describe(const TaskReport& task) {
+  return task.id.uid + "/" + std::to_string(task.id.task) + "." + std::to_string(task.attempt) + "=" +
+         std::to_string(static_cast<int>(task.phase)) + "," + std::to_string(static_cast<int>(task.exit_reason)) +
+         (task.checkpointed ? "k" : "");
 }
-// All that a heartbeat says, its tasks in a fixed order.
-std::string text_of(const Heartbeat& r) {
+// All fields of a heartbeat, with the tasks sorted.
+std::string describe(const Heartbeat& heartbeat) {
   std::vector<std::string> tasks;
-  for (const auto& p : r.tasks) tasks.push_back(text_of(p));
+  for (const auto& task : heartbeat.tasks) tasks.push_back(describe(task));
   std::sort(tasks.begin(), tasks.end());
-  std::string out = r.node + " " + r.address + " " + r.machine_type + " " + r.zone + (r.spot ? " spot " : " ") +
-                    std::to_string(r.agent_incarnation) + "." + std::to_string(r.serial) + " " + std::to_string(r.fencing_token) + " " +
-                    (r.interruption_in_s ? std::to_string(*r.interruption_in_s) : "-");
-  for (const auto& p : tasks) out += " " + p;
+  std::string out = heartbeat.node + " " + heartbeat.address + " " + heartbeat.machine_type + " " + heartbeat.zone +
+                    (heartbeat.spot ? " spot " : " ") + std::to_string(heartbeat.agent_incarnation) + "." +
+                    std::to_string(heartbeat.serial) + " " + std::to_string(heartbeat.fencing_token) + " " +
+                    (heartbeat.interruption_in_s ? std::to_string(*heartbeat.interruption_in_s) : "-");
+  for (const auto& task : tasks) out += " " + task;
   return out;
 }
 
-// An agent whose tasks change at random.
+// An agent whose heartbeats change at random.
 class RandomAgent {
  public:
   RandomAgent(std::string name, std::mt19937& random) : random_(random) {
@@ -43,24 +45,24 @@
     heartbeat_.zone = "a";
     heartbeat_.agent_incarnation = 1;
   }
-  const Heartbeat& next() {
-    const auto before = heartbeat_.serial;
+  const Heartbeat& next_heartbeat() {
+    const auto previous_serial = heartbeat_.serial;
     ++heartbeat_.serial;
     heartbeat_.repeated_serial.reset();
-    const auto what = random_() % 10;
-    if (what < 4) {
-      // As the reader of its connection would tell if it had read the heartbeat before.
-      if (random_() % 2 == 0) heartbeat_.repeated_serial = before;
-    } else if (what == 4 && random_() % 4 == 0) {
+    const auto change = random_() % 10;
+    if (change < 4) {
+      // Set by a HeartbeatCache that has read the previous heartbeat.
+      if (random_() % 2 == 0) heartbeat_.repeated_serial = previous_serial;
+    } else if (change == 4 && random_() % 4 == 0) {
       ++heartbeat_.agent_incarnation;
       heartbeat_.tasks.clear();
-    } else if (what == 5) {
+    } else if (change == 5) {
       heartbeat_.fencing_token += random_() % 2;
-    } else if (what == 6) {
+    } else if (change == 6) {
       heartbeat_.interruption_in_s = random_() % 2 ? std::optional<double>(static_cast<double>(random_() % 100) / 4) : std::nullopt;
-    } else if (what == 7 && !heartbeat_.tasks.empty()) {
+    } else if (change == 7 && !heartbeat_.tasks.empty()) {
       heartbeat_.tasks.erase(heartbeat_.tasks.begin() + static_cast<long>(random_() % heartbeat_.tasks.size()));
-    } else if (what == 8 && !heartbeat_.tasks.empty()) {
+    } else if (change == 8 && !heartbeat_.tasks.empty()) {
       auto& task_report = heartbeat_.tasks[random_() % heartbeat_.tasks.size()];
       task_report.phase = static_cast<TaskPhase>(random_() % 5);
       task_report.exit_reason = task_report.phase == TaskPhase::exited ? static_cast<ExitReason>(1 + random_() % 8) : ExitReason::none;
@@ -72,12 +74,13 @@
                                   ExitReason::none,
                                   false});
       std::shuffle(heartbeat_.tasks.begin(), heartbeat_.tasks.end(), random_);
-      if (random_() % 40 == 0) heartbeat_.tasks.push_back(heartbeat_.tasks.front());  // no agent does that: it is sent whole
+      if (random_() % 40 == 0)
+        heartbeat_.tasks.push_back(heartbeat_.tasks.front());  // not sent by real agents; makes a full delta necessary
     }
     return heartbeat_;
   }
-  // Its serial grew with the answer to a command.
-  void skip() { ++heartbeat_.serial; }
+  // A reply to a command used one serial.
+  void skip_serial() { ++heartbeat_.serial; }
 
  private:
   std::mt19937& random_;
@@ -85,15 +88,15 @@
   std::uint64_t attempts_ = 0;
 };
 
-struct Tally {
-  std::size_t whole = 0, difference = 0, unchanged = 0, asked = 0;
+struct DeltaCounts {
+  std::size_t full = 0, difference = 0, unchanged = 0, rejected = 0;
 };
 
-// Two relays, agents that move between them, a leader that changes. Deltas arrive late, twice, reordered, or not at all.
-void simulate(unsigned seed, Tally& tally) {
+// Simulates two relays, agents that move between them and leader changes. Deltas are delayed, repeated, reordered or lost.
+void simulate(unsigned seed, DeltaCounts& counts) {
   std::mt19937 random(seed);
-  std::vector<RandomAgent> workers;
-  for (int i = 0; i < 3; ++i) workers.emplace_back("m-" + std::to_string(i), random);
+  std::vector<RandomAgent> agents;
+  for (int i = 0; i < 3; ++i) agents.emplace_back("m-" + std::to_string(i), random);
   struct InFlight {
     std::size_t relay;
     Heartbeat heartbeat;
@@ -103,60 +106,60 @@
   HeartbeatDeltaDecoder decoder;
   std::deque<InFlight> in_flight;
   for (int step = 0; step < 400; ++step) {
-    const auto what = random() % 12;
-    if (what < 5) {
-      auto& worker = workers[random() % workers.size()];
-      if (random() % 6 == 0) worker.skip();
-      const Heartbeat& heartbeat = worker.next();
+    const auto event = random() % 12;
+    if (event < 5) {
+      auto& agent = agents[random() % agents.size()];
+      if (random() % 6 == 0) agent.skip_serial();
+      const Heartbeat& heartbeat = agent.next_heartbeat();
       const auto relay = random() % 8 == 0 ? random() % 2 : std::size_t{0};
       const auto delta = encoders[relay].encode(heartbeat);
-      tally.whole += delta.kind == HeartbeatDelta::Kind::whole;
-      tally.difference += delta.kind == HeartbeatDelta::Kind::difference;
-      tally.unchanged += delta.kind == HeartbeatDelta::Kind::unchanged;
+      counts.full += delta.kind == HeartbeatDelta::Kind::whole;
+      counts.difference += delta.kind == HeartbeatDelta::Kind::difference;
+      counts.unchanged += delta.kind == HeartbeatDelta::Kind::unchanged;
       in_flight.push_back({relay, heartbeat, pack(HeartbeatBatch{"host-0", 1, 0, {delta}})});
-    } else if (what == 5 && random() % 10 == 0) {
-      decoder = {};  // another leader; its relays learn of it sooner or later
+    } else if (event == 5 && random() % 10 == 0) {
+      decoder = {};  // leader change; relays may notice it later
       if (random() % 2) encoders[random() % 2].clear();
-    } else if (what == 6 && random() % 20 == 0) {
-      encoders[random() % 2].clear();  // a relay that restarted
+    } else if (event == 6 && random() % 20 == 0) {
+      encoders[random() % 2].clear();  // restart of a relay
     } else if (!in_flight.empty()) {
-      const std::size_t at = random() % 5 == 0 ? random() % in_flight.size() : 0;
-      const InFlight message = in_flight[at];
-      if (random() % 6 != 0) in_flight.erase(in_flight.begin() + static_cast<long>(at));  // else it arrives once more
-      if (random() % 8 == 0) continue;                                                    // or never, or its answer does not
+      const std::size_t index = random() % 5 == 0 ? random() % in_flight.size() : 0;
+      const InFlight message = in_flight[index];
+      if (random() % 6 != 0) in_flight.erase(in_flight.begin() + static_cast<long>(index));  // otherwise it arrives again
+      if (random() % 8 == 0) continue;                                                       // the message or its reply is lost
       const auto batch = unpack_heartbeat_batch(message.frame);
       ASSERT_TRUE(batch && batch->heartbeats.size() == 1);
-      const Heartbeat* got = decoder.decode(batch->heartbeats[0]);
-      if (!got) {
-        ++tally.asked;
-        encoders[message.relay].forget(message.heartbeat.node);
+      const Heartbeat* restored = decoder.decode(batch->heartbeats[0]);
+      if (!restored) {
+        ++counts.rejected;
+        encoders[message.relay].forget_node(message.heartbeat.node);
         continue;
       }
-      ASSERT_EQ(text_of(*got), text_of(message.heartbeat)) << "seed " << seed << ", step " << step;
+      ASSERT_EQ(describe(*restored), describe(message.heartbeat)) << "seed " << seed << ", step " << step;
       if (random() % 8 != 0) encoders[message.relay].record_acknowledged(message.heartbeat);
     }
   }
 }
 
-TEST(HeartbeatDelta, TheLeaderSeesWhatTheAgentSentOrAsksForTheWhole) {
-  Tally tally;
+TEST(HeartbeatDelta, DecoderRestoresTheSentHeartbeatOrRequestsTheFullOne) {
+  DeltaCounts counts;
   for (unsigned seed = 1; seed <= 1500; ++seed) {
-    simulate(seed, tally);
+    simulate(seed, counts);
     if (testing::Test::HasFatalFailure()) return;
   }
-  // Every case really occurred.
-  EXPECT_GT(tally.whole, 10000u);
-  EXPECT_GT(tally.difference, 10000u);
-  EXPECT_GT(tally.unchanged, 10000u);
-  EXPECT_GT(tally.asked, 1000u);
+  // All cases occurred.
+  EXPECT_GT(counts.full, 10000u);
+  EXPECT_GT(counts.difference, 10000u);
+  EXPECT_GT(counts.unchanged, 10000u);
+  EXPECT_GT(counts.rejected, 1000u);
 }
 
-TEST(HeartbeatDelta, ADifferenceToAnotherHeartbeatIsRefused) {
+TEST(HeartbeatDelta, DecoderRejectsADifferenceFromAnotherHeartbeat) {
   std::mt19937 random(5);
-  RandomAgent worker("m-1", random);
+  RandomAgent agent("m-1", random);
   HeartbeatDeltaEncoder encoder;
   HeartbeatDeltaDecoder decoder;
-  const Heartbeat first = worker.next();
+  const Heartbeat first = agent.next_heartbeat();
   ASSERT_TRUE(decoder.decode(encoder.encode(first)));
   encoder.record_acknowledged(first);
   Heartbeat second = first;
@@ -164,19 +167,19 @@
   second.tasks.push_back({{"j-9", 0}, 1, TaskPhase::running, ExitReason::none, false});
   const auto delta = encoder.encode(second);
   ASSERT_NE(delta.kind, HeartbeatDelta::Kind::whole);
-  HeartbeatDeltaDecoder fresh;
-  EXPECT_EQ(fresh.decode(delta), nullptr) << "a new leader";
-  auto of_another_incarnation = delta;
-  ++of_another_incarnation.agent_incarnation;
-  EXPECT_EQ(decoder.decode(of_another_incarnation), nullptr);
-  auto to_another_base = delta;
-  ++to_another_base.base_serial;
-  EXPECT_EQ(decoder.decode(to_another_base), nullptr);
+  HeartbeatDeltaDecoder new_decoder;
+  EXPECT_EQ(new_decoder.decode(delta), nullptr) << "a new leader";
+  auto another_incarnation = delta;
+  ++another_incarnation.agent_incarnation;
+  EXPECT_EQ(decoder.decode(another_incarnation), nullptr);
+  auto another_base = delta;
+  ++another_base.base_serial;
+  EXPECT_EQ(decoder.decode(another_base), nullptr);
   ASSERT_TRUE(decoder.decode(delta));
-  EXPECT_EQ(decoder.decode(delta), nullptr) << "a second copy: the heartbeat it is based on is no longer the newest";
+  EXPECT_EQ(decoder.decode(delta), nullptr) << "repeated delta: its base is no longer the newest heartbeat";
 }
 
-TEST(HeartbeatDelta, ABatchAnswerIsUnpackedAsItWasPacked) {
+TEST(HeartbeatDelta, BatchAnswerIsUnchangedByPackingAndUnpacking) {
   HeartbeatBatchAnswer answer;
   answer.takeover_token = 7;
   answer.fencing_token = 9;
@@ -200,28 +203,28 @@
   EXPECT_DOUBLE_EQ(got->answers[0].commands[1].grace_period_s, 4.5);
 }
 
-TEST(HeartbeatDelta, AMalformedBatchIsRefusedAsAWhole) {
+TEST(HeartbeatDelta, MalformedBatchIsRejectedCompletely) {
   std::mt19937 random(11);
-  RandomAgent worker("m-1", random);
+  RandomAgent agent("m-1", random);
   HeartbeatBatch batch{"host-1", 5, 2, {}};
   HeartbeatDeltaEncoder encoder;
   for (int i = 0; i < 30; ++i) {
-    const Heartbeat heartbeat = worker.next();
+    const Heartbeat heartbeat = agent.next_heartbeat();
     batch.heartbeats.push_back(encoder.encode(heartbeat));
     encoder.record_acknowledged(heartbeat);
   }
-  const Frame whole = pack(batch);
-  ASSERT_TRUE(unpack_heartbeat_batch(whole));
-  for (std::size_t size = 0; size < whole.payload.size(); ++size)
-    ASSERT_FALSE(unpack_heartbeat_batch({whole.kind, whole.payload.substr(0, size)})) << size << " bytes of it";
-  EXPECT_FALSE(unpack_heartbeat_batch({whole.kind, whole.payload + "x"}));
-  EXPECT_FALSE(unpack_heartbeat_batch({static_cast<std::uint8_t>(PeerKind::call), whole.payload}));
-  auto of_a_later_version = whole;
-  of_a_later_version.payload[0] = 2;
-  EXPECT_FALSE(unpack_heartbeat_batch(of_a_later_version));
-  // Altered bytes are refused or read as something else of the right form; nothing is read past the end.
+  const Frame frame = pack(batch);
+  ASSERT_TRUE(unpack_heartbeat_batch(frame));
+  for (std::size_t size = 0; size < frame.payload.size(); ++size)
+    ASSERT_FALSE(unpack_heartbeat_batch({frame.kind, frame.payload.substr(0, size)})) << size << " bytes";
+  EXPECT_FALSE(unpack_heartbeat_batch({frame.kind, frame.payload + "x"}));
+  EXPECT_FALSE(unpack_heartbeat_batch({static_cast<std::uint8_t>(PeerKind::call), frame.payload}));
+  auto later_version = frame;
+  later_version.payload[0] = 2;
+  EXPECT_FALSE(unpack_heartbeat_batch(later_version));
+  // Batches with altered bytes are rejected or unpacked as another valid batch; nothing is read past the end.
   for (int i = 0; i < 20000; ++i) {
-    Frame altered = whole;
+    Frame altered = frame;
     for (auto changes = 1 + random() % 4; changes > 0; --changes)
       altered.payload[random() % altered.payload.size()] = static_cast<char>(random());
     const auto got = unpack_heartbeat_batch(altered);
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -1,5 +1,5 @@
-// The heartbeat relay with real controllers: workers stay with whichever controller they found, which relays their heartbeats to the
-// leader. Nothing that happens to the relaying controller, to the leader or to the link between them costs a lease or a machine.
+// The heartbeat relay with real controllers: agents send to any controller, and followers relay the heartbeats to the leader. A fault
+// of a relay, of the leader or of the link between them must not expire a lease or release a node.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,16 +15,16 @@
 
 using test_support::wait;
 
-constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // heartbeat, lease, cancel, pull
-constexpr std::size_t kMachinesPerController = 8, kTasks = 2;
+constexpr testbed::Times kTimes{0.5, 5, 20, 0.1};  // seconds: heartbeat, lease, cancel, pull
+constexpr std::size_t kNodesPerController = 8, kTasksPerJob = 2;
 
-class HeartbeatRelayOf : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
+class HeartbeatRelayTest : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
  protected:
-  HeartbeatRelayOf() : ClusterFixture(kTimes) {
+  HeartbeatRelayTest() : ClusterFixture(kTimes) {
     cloud = [this](const HttpCall& call) -> HttpReply {
       if (call.target == kMachineTypesPath) return {200, test_support::kMachineTypes};
-      if (call.method == "GET") return {200, workers_made ? machine_list() : R"({"hosts":[],"truncated":false})"};
-      if (call.target == "/rentals/release") ++releases;
+      if (call.method == "GET") return {200, workers_created ? instance_list() : R"({"hosts":[],"truncated":false})"};
+      if (call.target == "/rentals/release") ++release_requests;
       return {503, R"({"error":"no capacity"})"};
     };
   }
@@ -33,44 +33,44 @@
     out.relay_mode = relay ? RelayMode::on : RelayMode::off;
     return out;
   }
-  void begin_with_work(bool relay = true) {
-    start_cluster(GetParam(), kMachinesPerController * GetParam(), "x", options(relay));
-    workers_made = true;
+  void start_cluster_with_running_jobs(bool relay = true) {
+    start_cluster(GetParam(), kNodesPerController * GetParam(), "x", options(relay));
+    workers_created = true;
     for (int i = 0; i < 6; ++i) {
-      jobs.push_back("j-" + std::to_string(i + 1));
-      checker.submitted({jobs.back(), "red", "batch", "", kTasks, 1, 1000}, steady_now());
-      ASSERT_TRUE(cluster->submit_until(jobs.back(), 20));
-      checker.told(jobs.back(), "queued", steady_now());
+      job_uids.push_back("j-" + std::to_string(i + 1));
+      checker.submitted({job_uids.back(), "red", "batch", "", kTasksPerJob, 1, 1000}, steady_now());
+      ASSERT_TRUE(cluster->submit_until(job_uids.back(), 20));
+      checker.told(job_uids.back(), "queued", steady_now());
     }
-    ASSERT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
+    ASSERT_TRUE(cluster->eventually(20, [&] { return all_tasks_run(); }));
   }
-  bool all_run() {
-    return std::all_of(jobs.begin(), jobs.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasks; });
+  bool all_tasks_run() {
+    return std::all_of(job_uids.begin(), job_uids.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasksPerJob; });
   }
-  // No lease expired: each agent is in its first incarnation.
+  // An agent starts another incarnation when its lease expires.
   void expect_no_lease_expired(const char* when) {
-    for (auto& w : workers) EXPECT_EQ(w->agent_incarnation(), 1u) << w->name() << ", " << when;
-    EXPECT_EQ(releases, 0) << "no machine is given back, " << when;
+    for (auto& worker : workers) EXPECT_EQ(worker->agent_incarnation(), 1u) << worker->name() << ", " << when;
+    EXPECT_EQ(release_requests, 0) << "no node is released, " << when;
   }
-  double metric(std::size_t replica, const std::string& name) const {
-    const auto text = cluster->metric(replica, name + " ");
+  double metric(std::size_t controller, const std::string& name) const {
+    const auto text = cluster->metric(controller, name + " ");
     return text.empty() ? 0 : std::strtod(text.substr(text.find(' ')).c_str(), nullptr);
   }
-  // Heartbeats that followers relayed so far.
-  double relayed() {
+  // Heartbeats that all controllers have relayed so far.
+  double count_relayed_heartbeats() {
     double out = 0;
     for (std::size_t i = 0; i < GetParam(); ++i) out += metric(i, "reports_passed_on_total");
     return out;
   }
-  bool relays_heartbeats() {
-    const double before = relayed();
-    return cluster->eventually(5, [&] { return relayed() > before + 3; });
+  bool heartbeats_are_relayed() {
+    const double before = count_relayed_heartbeats();
+    return cluster->eventually(5, [&] { return count_relayed_heartbeats() > before + 3; });
   }
-  std::string machine_list() {
+  std::string instance_list() {
     nlohmann::json nodes = nlohmann::json::array();
-    for (const auto& w : workers)
-      nodes.push_back({{"uid", w->name()},
-                       {"address", w->address()},
+    for (const auto& worker : workers)
+      nodes.push_back({{"uid", worker->name()},
+                       {"address", worker->address()},
                        {"hostKind", "big"},
                        {"yard", "x"},
                        {"loaners", false},
@@ -79,66 +79,66 @@
     return nlohmann::json{{"hosts", nodes}, {"truncated", false}}.dump();
   }
 
-  std::vector<std::string> jobs;
-  std::atomic<int> releases{0};
-  std::atomic<bool> workers_made{false};  // from then on the cloud lists them
+  std::vector<std::string> job_uids;
+  std::atomic<int> release_requests{0};
+  std::atomic<bool> workers_created{false};  // whether the cloud lists their instances
 };
 
-TEST_P(HeartbeatRelayOf, TasksAreStartedAndCancelledThroughIt) {
-  begin_with_work();
-  EXPECT_TRUE(relays_heartbeats());
+TEST_P(HeartbeatRelayTest, TasksAreStartedAndCancelledThroughTheRelay) {
+  start_cluster_with_running_jobs();
+  EXPECT_TRUE(heartbeats_are_relayed());
   checker.wants_withdrawn("j-1");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-1") == "aborted"; }));
   wait(1);
-  // Through its answers alone, where no direct command reaches the workers.
-  for (auto& w : workers) w->cut_commands(true);
+  // Without direct commands, replies to heartbeats carry the cancellations.
+  for (auto& worker : workers) worker->cut_commands(true);
   checker.wants_withdrawn("j-2");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-2") == "aborted"; }));
   EXPECT_TRUE(cluster->eventually(10, [&] {
-    return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& w) { return sum + w->holds(); }) ==
-           4 * kTasks;
+    return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& worker) { return sum + worker->holds(); }) ==
+           4 * kTasksPerJob;
   }));
-  expect_no_lease_expired("at the end");
+  expect_no_lease_expired("after the cancellations");
 }
 
-TEST_P(HeartbeatRelayOf, ALeaderThatStopsCostsNoLease) {
-  begin_with_work();
-  for (int round = 0; round < 2; ++round) {
+TEST_P(HeartbeatRelayTest, NoLeaseExpiresWhenTheLeaderStops) {
+  start_cluster_with_running_jobs();
+  for (int repetition = 0; repetition < 2; ++repetition) {
     const auto first = cluster->leader();
     cluster->stop(first);
     ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
     cluster->start(first, options(true));
     wait(2 * kTimes.lease);
     expect_no_lease_expired("after a leader stopped");
-    EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
+    EXPECT_TRUE(cluster->eventually(20, [&] { return all_tasks_run(); }));
   }
 }
 
-// A relaying controller that stops must not look like the loss of its workers: their heartbeats come through another one.
-TEST_P(HeartbeatRelayOf, ARelayThatStopsCostsNoLeaseAndNoMachine) {
-  begin_with_work();
-  for (double away : {0.05, 2 * kTimes.lease}) {
+// The leader must not treat the stop of a relay as the loss of its nodes: their heartbeats arrive through another controller.
+TEST_P(HeartbeatRelayTest, NoLeaseExpiresAndNoNodeIsReleasedWhenARelayStops) {
+  start_cluster_with_running_jobs();
+  for (double downtime_s : {0.05, 2 * kTimes.lease}) {
     const auto relay = (cluster->leader() + 1) % GetParam();
     cluster->stop(relay);
-    wait(away);
+    wait(downtime_s);
     cluster->start(relay, options(true));
     wait(2 * kTimes.lease);
     expect_no_lease_expired("after a relay stopped");
-    EXPECT_TRUE(all_run());
+    EXPECT_TRUE(all_tasks_run());
   }
 }
 
-// Controllers that can't reach each other, while the workers reach all of them.
-TEST_P(HeartbeatRelayOf, ARelayCutFromTheLeaderAloneSendsItsWorkersToIt) {
-  begin_with_work();
+// The agents can still reach the leader, and the relay redirects them to it.
+TEST_P(HeartbeatRelayTest, NoLeaseExpiresWhenARelayIsPartitionedFromTheLeaderOnly) {
+  start_cluster_with_running_jobs();
   const auto leader = cluster->leader();
   const auto relay = (leader + 1) % GetParam();
   set_partition(relay, leader, true);
   wait(3 * kTimes.lease);
   set_partition(relay, leader, false);
-  expect_no_lease_expired("after the cut");
-  EXPECT_TRUE(all_run());
-  // Afterwards it relays again.
+  expect_no_lease_expired("after the partition");
+  EXPECT_TRUE(all_tasks_run());
+  // The relay works again afterwards.
   EXPECT_TRUE(cluster->eventually(30, [&] {
     const double before = metric(relay, "reports_passed_on_total");
     wait(0.7);
@@ -146,27 +146,27 @@
   }));
 }
 
-// Cut from the leader and from the store: its workers are most likely cut off with it, so it keeps the leases of those in its own zone.
-// When it sent them to the leader instead, 120 to 151 of some 400 nodes lost theirs.
-TEST_P(HeartbeatRelayOf, ARelayCutOffWithItsZoneKeepsItsWorkersLeases) {
-  begin_with_work();
+// A relay partitioned from leader and store renews the leases of the nodes in its own zone, since they are most likely partitioned as
+// well. Redirecting their agents to the leader instead expired the leases of 120 to 151 of some 400 nodes.
+TEST_P(HeartbeatRelayTest, NoLeaseExpiresWhenARelayIsPartitionedFromLeaderAndStore) {
+  start_cluster_with_running_jobs();
   const auto relay = (cluster->leader() + 1) % GetParam();
   ASSERT_TRUE(cluster->eventually(20, [&] { return metric(relay, "reports_passed_on_total") > 3; }));
   set_partition(relay, true);
   cluster->state.endpoint(relay).refuses = true;
   EXPECT_TRUE(cluster->eventually(6, [&] { return metric(relay, "kept_in_cuts_total") > 0; }));
   wait(2 * kTimes.lease);
-  expect_no_lease_expired("in the cut");
+  expect_no_lease_expired("during the partition");
   set_partition(relay, false);
   cluster->state.endpoint(relay).refuses = false;
   wait(kTimes.lease);
-  expect_no_lease_expired("after the cut");
-  EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); }));
+  expect_no_lease_expired("after the partition");
+  EXPECT_TRUE(cluster->eventually(20, [&] { return all_tasks_run(); }));
 }
 
-// Batches held up by a cut reach a leader that was deposed meanwhile, and its answers come back late.
-TEST_P(HeartbeatRelayOf, ADeposedLeadersLateAnswersHarmNothing) {
-  begin_with_work();
+// A partition delays batches until their leader is deposed; its replies arrive late.
+TEST_P(HeartbeatRelayTest, LateRepliesOfADeposedLeaderDoNotAffectTasks) {
+  start_cluster_with_running_jobs();
   const auto first = cluster->leader();
   set_partition(first, true);
   cluster->state.endpoint(first).refuses = true;
@@ -178,32 +178,33 @@
   cluster->state.endpoint(first).refuses = false;
   ASSERT_TRUE(cluster->eventually(20, [&] { return withdraw(next, "j-1") == "aborted"; }));
   wait(kTimes.lease + 1);
-  EXPECT_TRUE(cluster->eventually(
-      10, [&] { return std::all_of(jobs.begin() + 1, jobs.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasks; }); }));
-  EXPECT_EQ(releases, 0);
+  EXPECT_TRUE(cluster->eventually(10, [&] {
+    return std::all_of(job_uids.begin() + 1, job_uids.end(), [&](const auto& uid) { return count_running_tasks(uid) == kTasksPerJob; });
+  }));
+  EXPECT_EQ(release_requests, 0);
 }
 
-// Operators switch the relay on and off by restarting one controller after the other; older builds behave as with the relay off.
-TEST_P(HeartbeatRelayOf, SwitchedOnAndOffOneControllerAfterTheOther) {
-  begin_with_work(false);
-  EXPECT_EQ(relayed(), 0) << "off: workers send to the leader";
+// Operators turn the relay on and off by restarting one controller at a time. Older builds behave as with the relay off.
+TEST_P(HeartbeatRelayTest, RelayCanBeTurnedOnAndOffOneControllerAtATime) {
+  start_cluster_with_running_jobs(false);
+  EXPECT_EQ(count_relayed_heartbeats(), 0) << "relay off: agents send to the leader";
   for (const bool on : {true, false}) {
     for (std::size_t i = 0; i < GetParam(); ++i) {
       cluster->start(i, options(on));
       wait(1.5);
-      EXPECT_TRUE(cluster->eventually(20, [&] { return all_run(); })) << i << (on ? " on" : " off");
+      EXPECT_TRUE(cluster->eventually(20, [&] { return all_tasks_run(); })) << i << (on ? " on" : " off");
     }
     if (!on) continue;
-    EXPECT_TRUE(relays_heartbeats());
+    EXPECT_TRUE(heartbeats_are_relayed());
   }
-  const double before = relayed();
+  const double before = count_relayed_heartbeats();
   wait(2);
-  EXPECT_EQ(relayed(), before);
-  expect_no_lease_expired("after both");
+  EXPECT_EQ(count_relayed_heartbeats(), before);
+  expect_no_lease_expired("after turning the relay on and off");
 }
 
-TEST_P(HeartbeatRelayOf, AMalformedBatchChangesNothing) {
-  begin_with_work();
+TEST_P(HeartbeatRelayTest, MalformedBatchIsRejectedWithoutEffect) {
+  start_cluster_with_running_jobs();
   const auto leader = cluster->leader();
   FrameConnectionPool peer(cluster->settings(leader).peer_listen, 2);
   for (const std::string& payload : {std::string(), std::string("\1\2\3"), std::string(5000, '\xff'), std::string(64, '\1')}) {
@@ -213,7 +214,7 @@
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 400u);
   }
-  // Well formed, and for another leader: not taken.
+  // A well-formed batch for another leader is refused.
   const auto answer = peer.call(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
   ASSERT_TRUE(answer);
   const auto refusal = unpack_heartbeat_batch_answer(*answer);
@@ -221,19 +222,19 @@
   EXPECT_EQ(refusal->takeover_token, 0u);
   wait(kTimes.lease);
   expect_no_lease_expired("after malformed batches");
-  EXPECT_TRUE(all_run());
+  EXPECT_TRUE(all_tasks_run());
 }
 
-// A worker's heartbeat is delayed and arrives at another controller after newer ones.
-TEST_P(HeartbeatRelayOf, AnOldHeartbeatThroughAnotherRelayRenewsNothing) {
-  begin_with_work();
-  for (auto& w : workers) w->copy_heartbeats(true);
+// Copies of heartbeats arrive at any controller after newer heartbeats of the same agent.
+TEST_P(HeartbeatRelayTest, DelayedCopiesOfHeartbeatsThroughOtherRelaysHaveNoEffect) {
+  start_cluster_with_running_jobs();
+  for (auto& worker : workers) worker->copy_heartbeats(true);
   wait(3 * kTimes.lease);
-  expect_no_lease_expired("with old copies of heartbeats at any controller");
-  EXPECT_TRUE(all_run());
+  expect_no_lease_expired("with delayed copies of heartbeats");
+  EXPECT_TRUE(all_tasks_run());
 }
 
-INSTANTIATE_TEST_SUITE_P(Controllers, HeartbeatRelayOf, testing::Values(3, 5));
+INSTANTIATE_TEST_SUITE_P(Controllers, HeartbeatRelayTest, testing::Values(3, 5));
 
 }  // namespace
 }  // namespace thistlefront
--- a/tests/relay_mode_test.cpp
+++ b/tests/relay_mode_test.cpp
@@ -1,4 +1,4 @@
-// The heartbeat relay turns itself on where one leader would be short of processor time or connections, and nowhere else.
+// `automatic` turns the heartbeat relay on only if the leader alone would run short of processor time or connections.
 #include "heartbeat_relay/relay_mode.hpp"
 
 #include <gtest/gtest.h>
@@ -6,19 +6,19 @@
 namespace thistlefront {
 namespace {
 
-constexpr std::size_t kConnections = 1600;
+constexpr std::size_t kMaxConnections = 1600;
 
-TEST(RelayMode, IsNeededWhereTheLeadersProcessorWouldBeUsedUp) {
-  EXPECT_TRUE(is_relay_needed(302, 0.038, kConnections));
-  EXPECT_FALSE(is_relay_needed(302, 0.064, kConnections));
-  EXPECT_FALSE(is_relay_needed(302, 1, kConnections));
-  EXPECT_FALSE(is_relay_needed(302, 0, kConnections)) << "a share that is not known is no reason";
+TEST(RelayMode, IsNeededWhenAgentsUseTooManyCores) {
+  EXPECT_TRUE(is_relay_needed(302, 0.038, kMaxConnections));
+  EXPECT_FALSE(is_relay_needed(302, 0.064, kMaxConnections));
+  EXPECT_FALSE(is_relay_needed(302, 1, kMaxConnections));
+  EXPECT_FALSE(is_relay_needed(302, 0, kMaxConnections)) << "the number of cores is unknown";
 }
 
-TEST(RelayMode, IsNeededWhereConnectionsRunOut) {
-  EXPECT_TRUE(is_relay_needed(1300, 8, kConnections));
-  EXPECT_FALSE(is_relay_needed(1100, 8, kConnections));
-  EXPECT_FALSE(is_relay_needed(0, 0.001, kConnections));
+TEST(RelayMode, IsNeededWhenAgentsUseTooManyConnections) {
+  EXPECT_TRUE(is_relay_needed(1300, 8, kMaxConnections));
+  EXPECT_FALSE(is_relay_needed(1100, 8, kMaxConnections));
+  EXPECT_FALSE(is_relay_needed(0, 0.001, kMaxConnections));
 }
 
 }  // namespace
