--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -61,7 +61,7 @@
   add_service_levels(out);
   add_histograms(out);
   HttpReply reply{200, std::move(out)};
-  reply.type = "text/plain; version=0.0.4";
+  reply.content_type = "text/plain; version=0.0.4";
   return reply;
 }
 
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -52,10 +52,10 @@
       connection.set_evict_last(reply.evict_last);
     }
     http::response<http::string_body> response(static_cast<http::status>(reply.status), kHttp11);
-    response.set(http::field::content_type, beast::string_view(reply.type.data(), reply.type.size()));
+    response.set(http::field::content_type, beast::string_view(reply.content_type.data(), reply.content_type.size()));
     if (reply.retry_after_s > 0) response.set(http::field::retry_after, std::to_string(reply.retry_after_s));
     response.body() = std::move(reply.body);
-    response.keep_alive(keep_alive && !reply.close);
+    response.keep_alive(keep_alive && !reply.close_connection);
     response.prepare_payload();
     if (steady_now() > reply.valid_until) {
       response.result(http::status::service_unavailable);
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -26,9 +26,9 @@
 struct HttpReply {
   unsigned status = 200;
   std::string body;
-  int retry_after_s = 0;  // 0: no Retry-After header
-  bool close = false;     // whether the connection is closed after the reply
-  std::string_view type = "application/json";
+  int retry_after_s = 0;          // 0: no Retry-After header
+  bool close_connection = false;  // after the reply
+  std::string_view content_type = "application/json";
   // Steady seconds. After this time a 503 is sent instead of the reply. Checked just before sending, since the process may have been
   // suspended after the reply was made.
   double valid_until = std::numeric_limits<double>::infinity();
--- a/testbed/fake_state_store.cpp
+++ b/testbed/fake_state_store.cpp
@@ -196,7 +196,7 @@
   endpoint.blown = true;
   while (endpoint.blown && !ending_) changed_.wait_for(lock, std::chrono::milliseconds(2));
   HttpReply none{503, "{}"};
-  none.close = true;
+  none.close_connection = true;
   return none;
 }
 
@@ -298,7 +298,7 @@
   const double until = steady_now() + kLostAnswerDelay;
   while (!ending_ && steady_now() < until) changed_.wait_for(lock, std::chrono::milliseconds(50));
   HttpReply reply{503, "{}"};
-  reply.close = true;
+  reply.close_connection = true;
   return reply;
 }
 
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -43,7 +43,7 @@
   HttpServer server(address, 10, [](const HttpCall& call) -> HttpReply {
     if (call.target == "/lingers") make_thread_linger();
     HttpReply reply{200, "{}"};
-    reply.close = true;
+    reply.close_connection = true;
     return reply;
   });
   HttpClient first(address);
