--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -111,7 +111,7 @@
 // Older builds, and leaders whose operator has switched the relay off, accept no batches; agents are then redirected to the leader.
 void HeartbeatRelay::query_leader_support(const Leader& leader) {
   const double sent_at = steady_now();
-  const auto answer = leader.pool->ask(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
+  const auto answer = leader.pool->call(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
   const auto reply = answer ? unpack_reply(*answer, sent_at) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(sent_at);
@@ -129,7 +129,7 @@
   HeartbeatBatch batch;
   const auto sent = collect_batch(batch, leader);
   const double sent_at = steady_now();
-  const auto frame = leader.pool->ask(pack(batch), kBatchTimeoutS);
+  const auto frame = leader.pool->call(pack(batch), kBatchTimeoutS);
   const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
   if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
   const bool accepted = answer && answer->answers.size() == sent.size() && answer->takeover_token == leader.takeover_token;
@@ -176,7 +176,7 @@
     WaitingHeartbeat& w = *sent[i];
     const auto outcome = answer.answers[i].outcome;
     if (outcome == HeartbeatAnswer::Outcome::full_required) {
-      encoder_.forget(w.heartbeat->node);
+      encoder_.forget_node(w.heartbeat->node);
       requeue(w);
     } else if (outcome == HeartbeatAnswer::Outcome::retry_later) {
       requeue(w);
@@ -238,7 +238,7 @@
   agents_counted_at_ = now;
   std::erase_if(last_heartbeat_at_, [&](const auto& entry) {
     if (now - entry.second <= kAgentRetentionS) return false;
-    encoder_.forget(entry.first);
+    encoder_.forget_node(entry.first);
     return true;
   });
   recent_agent_count_ = static_cast<std::uint32_t>(last_heartbeat_at_.size());
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -24,7 +24,7 @@
  public:
   // The leader that heartbeats are relayed to.
   struct Leader {
-    FramePool* pool = nullptr;
+    FrameConnectionPool* pool = nullptr;
     std::uint64_t change_count = 0;  // KnownLeader::change_count
     std::uint64_t takeover_token = 0;
   };
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -95,13 +95,13 @@
 }
 
 RequestHandler::ForwardResult RequestHandler::forward_once(Lock& lock, const HttpCall& call, double began) {
-  FramePool* pool = shared_.leader_pool();
+  FrameConnectionPool* pool = shared_.leader_pool();
   const double sent_at = steady_now();
   const double timeout_s = began + kForwardTimeoutS - sent_at;
   if (!pool || timeout_s <= 0) return {};
   lock.unlock();
   const PeerCall forwarded{std::string(call.method), std::string(call.target), std::string(call.body)};
-  const auto answer = pool->ask(pack(forwarded), timeout_s);
+  const auto answer = pool->call(pack(forwarded), timeout_s);
   auto reply = answer ? unpack_reply(*answer, sent_at) : std::nullopt;
   if (answer && !reply) spdlog::error("forwarding: malformed answer from the leader");
   lock.lock();
--- a/src/controller/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -25,7 +25,7 @@
 
 StoreStatus StoreClient::status_of(const HttpResult& r) {
   if (r.delivery == Delivery::unsent) return StoreStatus::unavailable;
-  if (r.delivery == Delivery::in_doubt) return StoreStatus::indeterminate;
+  if (r.delivery == Delivery::outcome_unknown) return StoreStatus::indeterminate;
   switch (r.status) {
     case 200: return StoreStatus::ok;
     case 404: return StoreStatus::missing;
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -10,7 +10,7 @@
 constexpr double kMillisPerSecond = 1000;
 
 Frame make_frame(PeerFrameKind kind, Packer& packer) {
-  return {static_cast<std::uint8_t>(kind), packer.take()};
+  return {static_cast<std::uint8_t>(kind), packer.take_bytes()};
 }
 bool has_kind(const Frame& frame, PeerFrameKind kind) {
   return frame.kind == static_cast<std::uint8_t>(kind);
@@ -57,7 +57,7 @@
   peer_heartbeat.echoed_process = u.integer<std::uint64_t>();
   peer_heartbeat.echoed_clock_ms = u.integer<std::uint64_t>();
   peer_heartbeat.oldest_cancellation_age_ms = u.integer<std::uint32_t>();
-  if (!has_kind(frame, PeerFrameKind::peer_heartbeat) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::peer_heartbeat) || !u.is_fully_read()) return std::nullopt;
   return peer_heartbeat;
 }
 std::optional<PeerHeartbeatAck> unpack_peer_heartbeat_ack(const Frame& frame) {
@@ -68,7 +68,7 @@
   ack.process = u.integer<std::uint64_t>();
   ack.clock_ms = u.integer<std::uint64_t>();
   ack.last_renewal_age_ms = u.integer<std::uint32_t>();
-  if (!has_kind(frame, PeerFrameKind::peer_heartbeat_ack) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::peer_heartbeat_ack) || !u.is_fully_read()) return std::nullopt;
   return ack;
 }
 std::optional<PeerCall> unpack_call(const Frame& frame) {
@@ -77,7 +77,7 @@
   call.method = u.text();
   call.target = u.text();
   call.body = u.text();
-  if (!has_kind(frame, PeerFrameKind::call) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::call) || !u.is_fully_read()) return std::nullopt;
   return call;
 }
 std::optional<HttpReply> unpack_reply(const Frame& frame, double call_sent_at) {
@@ -88,7 +88,7 @@
   if (const auto remaining_ms = u.integer<std::uint32_t>(); remaining_ms != kUnlimitedValidity)
     reply.valid_until = call_sent_at + remaining_ms / kMillisPerSecond;
   reply.body = u.text();
-  if (!has_kind(frame, PeerFrameKind::reply) || !u.done()) return std::nullopt;
+  if (!has_kind(frame, PeerFrameKind::reply) || !u.is_fully_read()) return std::nullopt;
   return reply;
 }
 
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -127,7 +127,7 @@
 }
 
 Frame make_frame(PeerFrameKind kind, Packer& out) {
-  return {static_cast<std::uint8_t>(kind), out.take()};
+  return {static_cast<std::uint8_t>(kind), out.take_bytes()};
 }
 // Whether the frame has this kind and the version of this build. Reads the version from `in`.
 bool read_header(const Frame& frame, PeerFrameKind kind, Unpacker& in) {
@@ -176,7 +176,7 @@
   batch.worker_count = in.integer<std::uint32_t>();
   for (auto remaining = read_count(in, kMaxHeartbeatsInBatch, valid); remaining > 0 && valid && in.ok(); --remaining)
     batch.heartbeats.push_back(read_delta(in, valid));
-  if (!valid || !in.done()) return std::nullopt;
+  if (!valid || !in.is_fully_read()) return std::nullopt;
   return batch;
 }
 
@@ -197,7 +197,7 @@
       heartbeat_answer.commands.push_back(read_command(in, valid));
     answer.answers.push_back(std::move(heartbeat_answer));
   }
-  if (!valid || !in.done()) return std::nullopt;
+  if (!valid || !in.is_fully_read()) return std::nullopt;
   return answer;
 }
 
--- a/testbed/fake_state_store.cpp
+++ b/testbed/fake_state_store.cpp
@@ -196,7 +196,7 @@
   endpoint.crash_reached = true;
   while (endpoint.crash_reached && !stopping_) changed_.wait_for(lock, std::chrono::milliseconds(2));
   HttpReply reply{503, "{}"};
-  reply.close = true;
+  reply.close_connection = true;
   return reply;
 }
 
@@ -300,7 +300,7 @@
   const double until = steady_now() + kLostReplyDelayS;
   while (!stopping_ && steady_now() < until) changed_.wait_for(lock, std::chrono::milliseconds(50));
   HttpReply reply{503, "{}"};
-  reply.close = true;
+  reply.close_connection = true;
   return reply;
 }
 
--- a/testbed/network_relay.cpp
+++ b/testbed/network_relay.cpp
@@ -51,7 +51,7 @@
 void NetworkRelay::accept_connections() {
   while (!stopping_) {
     Socket accepted = accept_from(listener_);
-    if (!accepted.open()) continue;
+    if (!accepted.is_open()) continue;
     std::lock_guard lock(mutex_);
     std::erase_if(connections_, [](const auto& connection) { return connection->closed.load(); });
     connections_.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
@@ -71,7 +71,7 @@
 }
 
 void NetworkRelay::Connection::copy_bytes(const NetworkRelay& relay) {
-  while (server.open() && !relay.stopping_) {
+  while (server.is_open() && !relay.stopping_) {
     const auto server_events = static_cast<short>(relay.holds_replies_ ? 0 : POLLIN);
     pollfd fds[2] = {{client.fd(), POLLIN, 0}, {server.fd(), server_events, 0}};
     if (relay.partitioned_) {
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1403,7 +1403,7 @@
 
 TEST(WireFormatControllers, FramesBeginWithLengthVersionAndKind) {
   EXPECT_EQ(kFrameVersion, 2);
-  EXPECT_EQ(kMaxFrame, 524288u);
+  EXPECT_EQ(kMaxFrameBytes, 524288u);
   int sockets[2] = {};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, sockets), 0);
   Stream writer{Socket(sockets[0])};
