--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -95,8 +95,8 @@
   checker.record_withdrawal("j-2");
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(0, "j-2") == "aborted"; }));
   EXPECT_TRUE(cluster->eventually(10, [&] {
-    return std::accumulate(workers.begin(), workers.end(), std::size_t{0}, [](auto sum, auto& worker) { return sum + worker->unfinished_tasks(); }) ==
-           4 * kTasksPerJob;
+    return std::accumulate(workers.begin(), workers.end(), std::size_t{0},
+                           [](auto sum, auto& worker) { return sum + worker->unfinished_tasks(); }) == 4 * kTasksPerJob;
   }));
   expect_no_lease_expired("after the cancellations");
 }
