--- a/src/scheduling/accelerator_reservation.cpp
+++ b/src/scheduling/accelerator_reservation.cpp
@@ -27,7 +27,8 @@
   }
 }
 
-// The job's tasks by machine type. Pending tasks count for each type on which they may run.
+// The job's tasks by machine type. Pending tasks count for the type that the job requires, or, unless it names exactly one, for each
+// type into which they fit.
 std::map<MachineTypeIndex, double> tasks_by_machine_type(const ClusterState& cluster_state, const Job& job) {
   std::map<MachineTypeIndex, double> tasks;
   for (const auto& [task, placement] : job.placed) tasks[cluster_state.node(placement.node).machine_type] += 1;
@@ -65,8 +66,8 @@
     const MachineTypeIndex index = cluster_state.find_machine_type(machine_type.name);
     const RecentDemand& demand = update_recent_demand(index, current, context.steady_now);
     if (demand.nodes < kNegligibleNodes) continue;
-    // One spare node if the start target leaves no time for backfilling tasks to complete. Gangs of several nodes wait for the last
-    // of them, so another gang as wide as the widest is provided for.
+    // Spare nodes for the next job. A gang starts only when the last of its nodes is free, so with gangs of several nodes, one more as
+    // wide as the widest is provided for. Otherwise, one node is spare if the start target is too short to wait for backfilling tasks.
     const double spare = demand.widest_gang_nodes > 1 ? demand.widest_gang_nodes : demand.start_target_s < kBackfillTaskRunSeconds ? 1 : 0;
     reserve_nodes(input, index, static_cast<std::size_t>(std::ceil(demand.nodes + spare)));
   }
--- a/src/scheduling/capacity_release_rate.hpp
+++ b/src/scheduling/capacity_release_rate.hpp
@@ -7,7 +7,7 @@
 
 class CapacityReleaseRate {
  public:
-  // Cores per second, recently.
+  // The recent rate, in cores per second.
   [[nodiscard]] double rate(double now) const { return decayed_cores(now) / kDecaySeconds; }
   // Counts the cores of a completed task.
   void add(double cores, double now) {
--- a/src/scheduling/failed_searches.hpp
+++ b/src/scheduling/failed_searches.hpp
@@ -21,7 +21,7 @@
   void add(const PlanJob& job);
 
  private:
-  // Decides which nodes a job may use.
+  // The constraints that decide which nodes a job may use.
   struct Eligibility {
     std::vector<MachineTypeIndex> machine_types;
     ZoneIndex zone;
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -25,9 +25,9 @@
 void GangPlacement::place() {
   if (builder_.startable_units(job_) < job_.units) return;
   for (const auto& nodes : candidate_sets()) search_nodes(nodes);
-  const bool now = builder_.is_now(best_.start_at);
-  if (!now) builder_.add_unserved(job_, job_.units, best_.start_at > builder_.input().horizon ? job_.units : 0);
-  if (best_.start_at == kInfinity || (!now && builder_.reservations_full())) return;
+  const bool starts_now = builder_.is_now(best_.start_at);
+  if (!starts_now) builder_.add_unserved(job_, job_.units, best_.start_at > builder_.input().horizon ? job_.units : 0);
+  if (best_.start_at == kInfinity || (!starts_now && builder_.reservations_full())) return;
   for (const auto& part : best_.parts) builder_.add_slot(job_, part.position, part.units, best_.start_at);
   builder_.charge_team(job_, job_.units, best_.start_at);
 }
@@ -104,12 +104,12 @@
   auto tasks_by_zone = job_.tasks_by_zone;
   std::uint32_t remaining = job_.units;
   for (const auto& [cost, position] : sorted_nodes) {
-    auto& in_zone = count_at(tasks_by_zone, builder_.node(position).zone.value);
-    if (in_zone >= job_.max_tasks_per_zone) continue;
+    auto& tasks_in_zone = count_at(tasks_by_zone, builder_.node(position).zone.value);
+    if (tasks_in_zone >= job_.max_tasks_per_zone) continue;
     const auto units =
-        std::min({remaining, builder_.count_fitting_units(job_, position, start_at, duration_s), job_.max_tasks_per_zone - in_zone});
+        std::min({remaining, builder_.count_fitting_units(job_, position, start_at, duration_s), job_.max_tasks_per_zone - tasks_in_zone});
     if (units == 0) continue;
-    in_zone += units;
+    tasks_in_zone += units;
     remaining -= units;
     parts.push_back({position, units});
     if (remaining == 0) return parts;
--- a/src/scheduling/gang_placement.hpp
+++ b/src/scheduling/gang_placement.hpp
@@ -20,7 +20,7 @@
     NodePosition position = 0;
     std::uint32_t units = 0;
   };
-  // A gang runs once the last of its nodes has the image. The best slot is the one in which it runs first.
+  // A gang runs once the last of its nodes has the image. The best slot is the one in which it runs earliest.
   struct GangSlot {
     double start_at = kInfinity, runs_at = kInfinity;
     std::vector<UnitsOnNode> parts;
@@ -32,7 +32,8 @@
   [[nodiscard]] std::vector<std::vector<NodePosition>> candidate_sets() const;
   // Searches these nodes for a slot that is better than `best_`, and stores it there.
   void search_nodes(const std::vector<NodePosition>& nodes);
-  // Lower bound of the gang's start time: when enough nodes can each take at least one unit.
+  // Lower bound of the gang's start time. Each node counts from the time at which one unit fits there, with as many units as would
+  // fit if it were empty.
   double first_possible_start(const std::vector<NodePosition>& nodes, double duration_s);
   // Start times of all profile steps after `from`, in no particular order.
   [[nodiscard]] std::vector<double> step_times_after(const std::vector<NodePosition>& nodes, double from) const;
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Lower bound of the estimate in the sort key: without it, a false estimate near zero would be planned before everything else.
+// Lower bound of the estimate in the sort key: without it, a job with a false estimate near zero would be planned first.
 constexpr double kMinEstimateSeconds = 10.0;
 
 template <class Value>
--- a/src/scheduling/plan.hpp
+++ b/src/scheduling/plan.hpp
@@ -59,7 +59,7 @@
   std::vector<std::uint32_t> tasks_by_node;  // the same by position in PlanInput::nodes; empty: none
   std::vector<NodeIndex> avoided_nodes;      // nodes on which the job failed recently
   bool suspect = false;                      // fails wherever it runs: nothing is preempted or rented for it
-  double remaining_start_target_s = 0;       // services: time left to meet the start target; 0: no target, or it is missed
+  double remaining_start_target_s = 0;       // services: time left to meet the last start target; 0: no target, or it is missed
   double max_wait_s = 2;                     // maximum wait for a reserved slot before other work is preempted
 };
 
@@ -90,7 +90,7 @@
 struct Plan {
   std::vector<Slot> starts;        // slots that start now
   std::vector<Slot> reservations;  // slots that start later; jobs planned afterwards never delay them
-  // Units of a job that do not start now, for scale-out.
+  // Units of a job that do not start now; input of scale-out and of preemption.
   struct Unserved {
     JobIndex job;
     std::uint32_t units = 0;
--- a/src/scheduling/plan_builder.hpp
+++ b/src/scheduling/plan_builder.hpp
@@ -57,7 +57,7 @@
   double run_duration_s(const PlanJob& job, NodePosition position) {
     return job.service ? kInfinity : std::max(kMinRunSeconds, image_pull_s(job, position) + job.estimated_run_s);
   }
-  // Ranks nodes among slots with the same start time; lower is better.
+  // Ranks nodes whose slots are equally early; lower is better.
   double placement_cost(PlanJob& job, NodePosition position);
 
   // Units that the team's quota lets start now. Reservations do not count against it: otherwise the long queue of one job
@@ -86,7 +86,7 @@
   void add_slot(PlanJob& job, NodePosition position, std::uint32_t units, double start_at);
   // Counts units with a slot against the team's quota.
   void charge_team(const PlanJob& job, std::uint32_t units, double start_at);
-  // Records units that do not start now, unless the job is suspect: nothing is rented for suspect jobs.
+  // Records units that do not start now, unless the job is suspect: nothing is preempted or rented for suspect jobs.
   void add_unserved(const PlanJob& job, std::uint32_t units, std::uint32_t after_horizon) {
     if (!job.suspect) plan_.unserved.push_back({job.job, units, after_horizon});
   }
--- a/src/scheduling/plan_input_builder.cpp
+++ b/src/scheduling/plan_input_builder.cpp
@@ -137,8 +137,8 @@
   return input;
 }
 
-// A job may wait until the next start target of its class or, after the last target, until its deadline is only just met. Services
-// always have the default.
+// A job may wait for its slot until shortly before the next start target of its class. After the last target, it may wait as long as
+// it can still meet its deadline. Services always have the default.
 double PlanInputBuilder::max_wait_s(const Job& job, double wall_now) const {
   const double waited_s = wall_now - job.eligible_since;
   if (job.spec.job_type == JobType::service) return kDefaultMaxWaitSeconds;
@@ -181,7 +181,7 @@
   return out;
 }
 
-// Without this, arrays of the lowest priority hardly ever ran while 20 teams requested half as much again as the cluster has.
+// Without promotion, arrays of the lowest priority hardly ever ran while 20 teams requested 1.5 times the capacity of the cluster.
 std::set<JobIndex> promote_starving_jobs(PlanInput& input, const ClusterState& cluster_state, StarvationGuard& guard, double release_rate,
                                          const PassContext& context, const std::set<JobIndex>& within_guarantee) {
   guard.accrue(release_rate, context.steady_now);
@@ -195,8 +195,8 @@
     if (within_guarantee.contains(plan_job.job)) return {};
     if (!plan_job.service) highest_tier = std::max(highest_tier, plan_job.tier);
     const double waited_s = context.wall_now - job.eligible_since;
-    const bool eligible = !plan_job.service && !plan_job.suspect && plan_job.demand.accelerators <= 0;
-    if (!eligible || !job.placed.empty() || waited_s < kStarvingAfterSeconds) continue;
+    const bool is_promotable = !plan_job.service && !plan_job.suspect && plan_job.demand.accelerators <= 0;
+    if (!is_promotable || !job.placed.empty() || waited_s < kStarvingAfterSeconds) continue;
     const double unit_cores = plan_job.demand.cores * (plan_job.gang ? plan_job.units : 1);
     starving.push_back({i, plan_job.job, waited_s, unit_cores, plan_job.gang ? 1 : plan_job.units});
   }
--- a/src/scheduling/plan_node_builder.cpp
+++ b/src/scheduling/plan_node_builder.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-// On a node where accelerator jobs may run, other tasks may backfill what whole tasks of the largest accelerator demand leave free.
+// The backfill capacity of a node is what remains when as many tasks of the largest accelerator demand as fit run there.
 void set_backfill_capacity(PlanNode& plan_node, const Resources& largest_demand) {
   const Resources& capacity = plan_node.capacity;
   if (capacity.accelerators <= 0 || largest_demand.accelerators <= 0 || !largest_demand.fits(capacity)) return;
@@ -59,7 +59,7 @@
 double expected_end(const Job& job, const Placement& placement, double wall_now) {
   if (placement.stopping) return wall_now + placement.grace_period_s + kStopSlackSeconds;
   if (job.spec.job_type == JobType::service) return kInfinity;
-  // A task not yet reported as running counts as just started.
+  // A task not yet reported as running counts as started when its start was decided, but no earlier than 1 s ago.
   const double started_at = placement.running_since > 0 ? placement.running_since : std::max(placement.decided_at, wall_now - 1);
   return started_at + job.spec.estimated_run_s;
 }
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -26,7 +26,7 @@
 
 BootProgress boot_progress(const Node& node, const MachineType* machine_type, double steady_now) {
   // A node with placed tasks has booted, even if the instance list is outdated and this leader has received no heartbeat from it yet.
-  // Without this check, a new leader took such nodes for dead and released them (see new_machines_test).
+  // Without this check, a new leader took such nodes for dead and released them (see new_instances_test).
   if (!node.placed.empty()) return BootProgress::none;
   if (!node.instance.listed || node.terminated || node.agent.has_reported || node.release_requested || !machine_type)
     return BootProgress::none;
--- a/src/scheduling/start_records.hpp
+++ b/src/scheduling/start_records.hpp
@@ -14,7 +14,7 @@
 
 struct PlannedStarts {
   std::map<JobIndex, TasksStartedRecord> records;  // one attempt number for all starts of a job
-  std::set<NodeIndex> nodes;                       // of all slots
+  std::set<NodeIndex> nodes;                       // the nodes of all slots
 };
 
 // Gives each slot the lowest pending tasks of its job that no earlier slot has. `decided_at`: wall seconds of the decision.
--- a/src/scheduling/starvation_guard.cpp
+++ b/src/scheduling/starvation_guard.cpp
@@ -7,7 +7,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kReleasedFraction = 0.05;   // of the released cores, for starving jobs
+constexpr double kReleasedFraction = 0.05;   // fraction of the released cores that goes to starving jobs
 constexpr double kMaxBalanceSeconds = 20.0;  // bounds the balance to this many seconds of accrual
 }  // namespace
 
--- a/src/scheduling/starvation_guard.hpp
+++ b/src/scheduling/starvation_guard.hpp
@@ -1,6 +1,6 @@
 // Keeps jobs of low priority from starving. Jobs are planned by priority first, so lower priorities would never run while more
 // work of a higher priority is submitted than the cluster can do. A small fraction of the cores that completed tasks release goes
-// to the jobs that have waited longest and of which nothing runs. Tasks started this way are preempted only for services or for
+// to the jobs without placed tasks that have waited longest. Tasks started this way are preempted only for services or for
 // work within a guarantee. Teams' guarantees are not affected. Called in each pass by promote_starving_jobs and by the leader.
 // Pure; times are steady seconds.
 #pragma once
@@ -31,7 +31,8 @@
   // Adds the guard's fraction of the cores released since the last call. `release_rate`: cores per second, recently.
   void accrue(double release_rate, double now);
   // Returns the jobs to promote in this pass and the number of units of each, longest wait first, while the balance lasts. As long
-  // as the balance is positive, one unit of any size is promoted; the balance then stays negative until that is earned back.
+  // as the balance is positive, one unit of any size is promoted. Its charge may make the balance negative; nothing is promoted then
+  // until accruals have made the balance positive again.
   [[nodiscard]] std::vector<Promotion> promote(std::vector<StarvingJob> starving) const;
   // Charges started units of a promoted job and protects the job.
   void charge(JobIndex job, double cores);
@@ -46,7 +47,7 @@
   std::set<JobIndex> protected_jobs_;
 };
 
-// Wait after which a job of which nothing runs counts as starving.
+// Wait after which a job without placed tasks counts as starving.
 inline constexpr double kStarvingAfterSeconds = 60.0;
 
 }  // namespace thistlefront
--- a/src/scheduling/unit_placement.cpp
+++ b/src/scheduling/unit_placement.cpp
@@ -56,10 +56,10 @@
 std::uint32_t UnitPlacement::placeable_units(const Candidate& candidate) {
   const NodePosition position = candidate.position;
   const ZoneIndex zone = builder_.node(position).zone;
-  const std::uint32_t in_zone = count_at(job_.tasks_by_zone, zone.value);
-  if (in_zone >= job_.max_tasks_per_zone || !builder_.has_backfill_capacity(job_, position)) return 0;
+  const std::uint32_t tasks_in_zone = count_at(job_.tasks_by_zone, zone.value);
+  if (tasks_in_zone >= job_.max_tasks_per_zone || !builder_.has_backfill_capacity(job_, position)) return 0;
   if (job_.single_zone && has_tasks_in_other_zone(job_.tasks_by_zone, zone)) return 0;
-  std::uint32_t units = std::min(remaining_units_, job_.max_tasks_per_zone - in_zone);
+  std::uint32_t units = std::min(remaining_units_, job_.max_tasks_per_zone - tasks_in_zone);
   units = std::min(
       units, builder_.profile(position).count_fitting_units(job_.demand, candidate.start_at, builder_.run_duration_s(job_, position)));
   if (job_.service) units = std::min(units, 1u);
--- a/src/scheduling/unit_placement.hpp
+++ b/src/scheduling/unit_placement.hpp
@@ -41,7 +41,8 @@
   FailedSearches& failed_searches_;
   std::priority_queue<Candidate> candidates_;
   std::uint32_t remaining_units_ = 0;
-  std::uint32_t reserved_units_ = 0, units_after_horizon_ = 0;  // the second counts the reserved units that start after the horizon
+  std::uint32_t reserved_units_ = 0;
+  std::uint32_t units_after_horizon_ = 0;  // reserved units that start after the horizon
 };
 
 }  // namespace thistlefront
--- a/src/scheduling/victim_search.cpp
+++ b/src/scheduling/victim_search.cpp
@@ -77,11 +77,11 @@
 
 bool VictimSearch::is_beyond_guarantee(const Job& victim) const {
   const Resources& guarantee = cluster_state_.teams()[victim.team.value].guarantee;
-  const Resources& beyond = use_beyond_guarantee_[victim.team.value];
+  const Resources& excess = use_beyond_guarantee_[victim.team.value];
   const Resources& demand = victim.spec.demand;
-  const bool cores = guarantee.cores > 0 && beyond.cores >= demand.cores;
-  const bool accelerators = guarantee.accelerators > 0 && demand.accelerators > 0 && beyond.accelerators >= demand.accelerators;
-  return cores || accelerators;
+  const bool exceeds_cores = guarantee.cores > 0 && excess.cores >= demand.cores;
+  const bool exceeds_accelerators = guarantee.accelerators > 0 && demand.accelerators > 0 && excess.accelerators >= demand.accelerators;
+  return exceeds_cores || exceeds_accelerators;
 }
 
 VictimSet VictimSearch::find_cheapest_set(const PlanJob& preemptor, const PlanNode& node) const {
@@ -90,6 +90,7 @@
   if (!preemptor.demand.fits(free)) groups = victim_groups_on(preemptor, node.node);
   std::sort(groups.begin(), groups.end(), [](const auto& a, const auto& b) { return a.lost_work < b.lost_work; });
   VictimSet set;
+  // Adds one core second on nodes with accelerators, so that work without accelerators prefers other nodes.
   set.cost = preemptor.demand.accelerators == 0 && node.capacity.accelerators > 0 ? 1 : 0;
   if (preemptor.service) set.cost += image_wait_cost(preemptor, image_pull_time(preemptor, node));
   for (auto& group : groups) {
