--- a/src/leadership/partition_lease.cpp
+++ b/src/leadership/partition_lease.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Subtracted from `cancel_s` for delays of timers and thread scheduling.
+// Subtracted from the maximum duration for delays of timers and thread scheduling.
 constexpr double kTimerMarginS = 0.3;
 // A follower renews leases under its partition lease only after the leader has been silent for this long.
 constexpr double kLeaderSilentAfterS = 3.0;
--- a/src/worker_control/heartbeat_application.cpp
+++ b/src/worker_control/heartbeat_application.cpp
@@ -66,7 +66,7 @@
   }
 
  private:
-  void remove(TaskRef ref, Placement& placement, double failed_at = 0) {
+  void remove_task(TaskRef ref, Placement& placement, double failed_at = 0) {
     placement.removal_pending = true;
     needs_scheduling_pass_ = true;
     end_records_.add_removed(cluster_state_, ref, placement.attempt, failed_at);
@@ -78,7 +78,7 @@
   void remove_tasks_of_earlier_incarnations() {
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
-      if (placement.agent_incarnation < heartbeat_.agent_incarnation && !placement.removal_pending) remove(placed, placement);
+      if (placement.agent_incarnation < heartbeat_.agent_incarnation && !placement.removal_pending) remove_task(placed, placement);
     }
   }
 
@@ -101,7 +101,8 @@
     if (is_heartbeat_) agent.heartbeat_serial = heartbeat_.serial;
     // A delayed copy of a heartbeat may arrive after the lease has expired, and a leader that has received nothing else from the
     // node can't distinguish it from a new heartbeat. No such copy carries this leader's token. So a heartbeat without that token
-    // proves that the agent is alive only once, and does not make a node with an expired lease usable again.
+    // counts as a sign of life only if it is the first message that this leader receives from the agent, and does not make a node
+    // with an expired lease usable again.
     const bool proves_alive = !is_heartbeat_ || heartbeat_.fencing_token >= takeover_token_;
     if (proves_alive || !agent.has_reported) agent.last_heartbeat_at = now_.steady_s;
     if (proves_alive) node_.lease_expired = false;
@@ -114,6 +115,7 @@
     node_.agent.interruption_at = now_.steady_s + *heartbeat_.interruption_in_s;
   }
 
+  // An agent that has seen a higher token no longer executes the starts whose outcome is unknown.
   void clear_fenced_starts() {
     std::uint64_t& indeterminate_token = node_.commands.indeterminate_token;
     if (heartbeat_.fencing_token > indeterminate_token) indeterminate_token = 0;
@@ -142,12 +144,12 @@
     placement->phase = reported.phase;
     if (reported.phase == TaskPhase::running) {
       if (phase_changed && placement->running_since == 0) placement->running_since = now_.wall_s;
-      credit_healthy_replica(reported.ref, *placement);
+      record_healthy_replica(reported.ref, *placement);
     }
     if (reported.phase == TaskPhase::exited && !placement->removal_pending) apply_exit(reported.ref, *placement, exit_reason);
   }
 
-  void credit_healthy_replica(TaskRef ref, const Placement& placement) {
+  void record_healthy_replica(TaskRef ref, const Placement& placement) {
     FailureAttribution& failure_attribution = cluster_state_.failure_attribution();
     if (!failure_attribution.is_suspect(ref.job) || cluster_state_.job(ref.job).spec.job_type != JobType::service) return;
     if (now_.wall_s - placement.running_since > kHealthyReplicaS) failure_attribution.record_success(ref.job, node_index_);
@@ -161,7 +163,7 @@
       return;
     }
     const bool failed = exit_reason == ExitReason::failed || exit_reason == ExitReason::unknown_task;
-    remove(ref, placement, failed ? now_.wall_s : 0);
+    remove_task(ref, placement, failed ? now_.wall_s : 0);
     if (exit_reason == ExitReason::insufficient_resources || exit_reason == ExitReason::duplicate_attempt)
       node_.full_until = now_.steady_s + kFullNodeBackoffS;
   }
@@ -174,7 +176,7 @@
     for (const auto& placed : node_.placed) {
       Placement& placement = *placed.placement;
       if (!placement.stopping || placement.removal_pending || placement.agent_incarnation != heartbeat_.agent_incarnation) continue;
-      if (!find_reported_task(node_.agent, placed, placement.attempt)) remove(placed, placement);
+      if (!find_reported_task(node_.agent, placed, placement.attempt)) remove_task(placed, placement);
     }
   }
 
--- a/src/worker_control/lease_expiry.hpp
+++ b/src/worker_control/lease_expiry.hpp
@@ -29,7 +29,7 @@
 // Whether the lease of the node's agent has certainly expired.
 bool is_lease_expired(const Node& node, const FencingState& fencing_state, double lease_s, double steady_now);
 
-// Marks all tasks placed on the node as ending and returns the records that remove them. Only for a node that is known to run
+// Marks all tasks placed on the node for removal and returns the records that remove them. Only for a node that is known to run
 // nothing, because its lease has expired or because it was released.
 std::vector<Record> evict_all_tasks(ClusterState& cluster_state, NodeIndex node_index);
 
--- a/src/worker_control/lease_renewal_policy.cpp
+++ b/src/worker_control/lease_renewal_policy.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxQuorumGraceS = 5.0;
-// Of the time by which `cancel_s` exceeds a lease.
+// Fraction of the maximum duration of a partition lease.
 constexpr double kQuorumGraceFraction = 0.25;
 
 }  // namespace
--- a/src/worker_control/lease_renewal_policy.hpp
+++ b/src/worker_control/lease_renewal_policy.hpp
@@ -10,11 +10,13 @@
 // kill that may have been confirmed to a user, or the controller stops renewing early enough that the lease ends within `cancel_s` of
 // the first such confirmation.
 //
+// The first row that matches decides ("-": yes or no):
+//
 //   ledger read  certain to lead  has quorum  partition lease  |  reply to the heartbeat
 //   yes          yes              -           -                |  all commands
-//   -            (otherwise)      -           active           |  kills only
-//   yes          no               yes         -                |  kills only
-//   no           either of the two            -                |  kills only if the agent runs no task, else no reply
+//   -            -                -           yes              |  kills only
+//   yes          no               yes         no               |  kills only
+//   no           yes to at least one          no               |  kills only if the agent runs no task, else no reply
 //   any other combination                                      |  no reply
 //
 // docs/design.md, "Who may renew a lease in doubt", has the proof; tests/lease_renewal_policy_test.cpp explores it exhaustively.
@@ -29,7 +31,9 @@
   bool ledger_read = false;          // it has read the ledger in this term, so it knows of all earlier cancellations
   bool session_lease_valid = false;  // its session lease is valid, so no other controller leads
   bool has_quorum = false;           // a majority of the controllers follows it (leadership/quorum_tracker)
-  bool has_partition_lease = false;  // the node is in its zone, and its partition lease has not expired (leadership/partition_lease)
+  // The node is in its zone, and its partition lease is active or, until it has read the ledger, not expired
+  // (leadership/partition_lease).
+  bool has_partition_lease = false;
 };
 
 enum class LeaseRenewal {
@@ -43,8 +47,8 @@
 LeaseRenewal decide_lease_renewal(const LeadershipEvidence& evidence, bool agent_has_tasks);
 
 // Returns for how many seconds the answer of a peer counts towards the quorum of a leader whose leadership is uncertain. Once a majority
-// knows of its successor, tasks cancelled by the successor must be gone in time although a lease was renewed until then. 0 if `cancel_s`
-// is too short for that.
+// knows of its successor, the leader may still renew leases for this long. A lease renewed at the end of that time must still end in
+// time for the cancellations that the successor confirms. 0 if `cancel_s` is too short for that.
 double quorum_grace_s(double cancel_s, double lease_s);
 
 // Whether the node may still execute a start of a job that this leader cancelled more than `min_cancellation_age_s` ago, and no message
