--- a/tests/lease_renewal_policy_test.cpp
+++ b/tests/lease_renewal_policy_test.cpp
@@ -19,7 +19,7 @@
 
 // The faults of one scenario, the time of the cancellation and the zone of the node.
 struct Faults {
-  double store_unreachable_for = 0;                        // by the first leader only, from 2 s on
+  double store_unreachable_for = 0;                        // for the first leader only, from 2 s on
   double store_outage_at = kNever, store_outage_for = 14;  // for all controllers
   unsigned partitions = 0;                                 // bits: between the controllers 0-1, 0-2, 1-2
   double partition_from = 0, partition_until = 0;
@@ -46,7 +46,7 @@
     take_over(0, 0);
     controllers_[0].ledger_read_at = 0;
   }
-  // Runs the simulation. Returns whether the task ran on for too long after its cancellation was confirmed to the user.
+  // Runs the simulation. Returns whether the task still ran more than kCancelS after its cancellation was confirmed to the user.
   bool runs_into_violation() {
     for (now_ = 0; now_ < kEndS; now_ += kStepS) {
       if (faults_.restarted_controller >= 0 && now_ == faults_.restart_at) restart(static_cast<std::size_t>(faults_.restarted_controller));
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -21,8 +21,8 @@
     cluster_state.apply(MachineTypesRecord{{machine_type}});
     cluster_state.set_node_attributes(cluster_state.find_or_add_node("m-1"), "", "big", "x", false);
   }
-  JobIndex add(const std::string& uid, const std::string& team, JobType job_type, Priority priority, std::uint32_t tasks,
-               std::uint32_t placed) {
+  JobIndex add_job(const std::string& uid, const std::string& team, JobType job_type, Priority priority, std::uint32_t tasks,
+                   std::uint32_t placed) {
     JobAcceptedRecord record;
     record.job.uid = uid;
     record.job.owner = team;
@@ -64,38 +64,38 @@
 // Without protection, tasks started by the starvation guard would be the first to be preempted: they are the newest work of the
 // lowest priority on a full cluster.
 TEST_F(Preemption, PreemptsProtectedJobsForServicesOnly) {
-  protected_jobs.insert(add("j-1", "red", JobType::array, Priority::idle, 4, 4));
-  EXPECT_TRUE(victims_for(add("j-2", "blue", JobType::array, Priority::high, 1, 0), {}).empty());
-  EXPECT_EQ(victims_for(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {}).size(), 1u);
+  protected_jobs.insert(add_job("j-1", "red", JobType::array, Priority::idle, 4, 4));
+  EXPECT_TRUE(victims_for(add_job("j-2", "blue", JobType::array, Priority::high, 1, 0), {}).empty());
+  EXPECT_EQ(victims_for(add_job("j-3", "blue", JobType::service, Priority::production, 1, 0), {}).size(), 1u);
   protected_jobs.clear();
   EXPECT_EQ(victims_for(cluster_state.find("j-2"), {}).size(), 1u);
 }
 
 TEST_F(Preemption, PreemptsLowerPriorityButNeverEqualPriority) {
-  const auto batch = add("j-1", "red", JobType::array, Priority::standard, 3, 3);
-  add("j-2", "red", JobType::service, Priority::production, 1, 1);
-  const auto victims = victims_for(add("j-3", "blue", JobType::service, Priority::production, 1, 0), {});
+  const auto batch = add_job("j-1", "red", JobType::array, Priority::standard, 3, 3);
+  add_job("j-2", "red", JobType::service, Priority::production, 1, 1);
+  const auto victims = victims_for(add_job("j-3", "blue", JobType::service, Priority::production, 1, 0), {});
   ASSERT_EQ(victims.size(), 1u);
   EXPECT_EQ(victims[0].ref.job, batch);
-  EXPECT_TRUE(victims_for(add("j-4", "blue", JobType::array, Priority::standard, 1, 0), {}).empty());
+  EXPECT_TRUE(victims_for(add_job("j-4", "blue", JobType::array, Priority::standard, 1, 0), {}).empty());
 }
 
 TEST_F(Preemption, PreemptsNothingWhenEnoughCapacityIsReleasedInTime) {
-  add("j-1", "red", JobType::array, Priority::standard, 4, 4);
-  const auto urgent = add("j-2", "blue", JobType::array, Priority::high, 1, 0);
+  add_job("j-1", "red", JobType::array, Priority::standard, 4, 4);
+  const auto urgent = add_job("j-2", "blue", JobType::array, Priority::high, 1, 0);
   EXPECT_EQ(victims_for(urgent, {}).size(), 1u);
   release_rate = 2;
   EXPECT_TRUE(victims_for(urgent, {}).empty());
   release_rate = 0.5;  // less than a core within the job's maximum wait
   EXPECT_EQ(victims_for(urgent, {}).size(), 1u);
-  const auto replica = add("j-3", "blue", JobType::service, Priority::production, 1, 0);
+  const auto replica = add_job("j-3", "blue", JobType::service, Priority::production, 1, 0);
   release_rate = 100;
   EXPECT_EQ(victims_for(replica, {}).size(), 1u) << "replicas do not wait for released capacity";
 }
 
 TEST_F(Preemption, WithinAGuaranteePreemptsOnlyWorkBeyondAnotherTeamsGuarantee) {
-  const auto red_job = add("j-1", "red", JobType::array, Priority::standard, 4, 4);
-  const auto blue_job = add("j-2", "blue", JobType::array, Priority::standard, 1, 0);
+  const auto red_job = add_job("j-1", "red", JobType::array, Priority::standard, 4, 4);
+  const auto blue_job = add_job("j-2", "blue", JobType::array, Priority::standard, 1, 0);
   EXPECT_TRUE(victims_for(blue_job, {}).empty()) << "not within its guarantee";
   const auto victims = victims_for(blue_job, {blue_job});
   ASSERT_EQ(victims.size(), 1u);
@@ -105,8 +105,8 @@
 
 // Guards against replicas of two teams, both within their guarantees, preempting each other ten times a second.
 TEST_F(Preemption, NeverPreemptsReplicasOfEqualPriorityForAGuarantee) {
-  add("j-1", "red", JobType::service, Priority::production, 4, 4);
-  const auto blue_job = add("j-2", "blue", JobType::service, Priority::production, 1, 0);
+  add_job("j-1", "red", JobType::service, Priority::production, 4, 4);
+  const auto blue_job = add_job("j-2", "blue", JobType::service, Priority::production, 1, 0);
   EXPECT_TRUE(victims_for(blue_job, {blue_job}).empty());
 }
 
@@ -114,8 +114,8 @@
 // work on a node with the image is preempted instead, if little work is lost.
 TEST_F(Preemption, MovesReplicasToNodesWithTheirImageWhenLittleWorkIsLost) {
   cluster_state.set_node_attributes(cluster_state.find_or_add_node("m-2"), "", "big", "y", false);
-  const auto batch = add("j-1", "red", JobType::array, Priority::standard, 4, 4);
-  const auto blue_job = add("j-2", "blue", JobType::service, Priority::production, 1, 0);
+  const auto batch = add_job("j-1", "red", JobType::array, Priority::standard, 4, 4);
+  const auto blue_job = add_job("j-2", "blue", JobType::service, Priority::production, 1, 0);
   for (const double ran_s : {1.0, 500.0}) {
     for (auto& [task, placement] : cluster_state.job(batch).placed) placement.running_since = 1000 - ran_s;
     PlanInput in;
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -302,7 +302,7 @@
   EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS));
 }
 
-TEST(LeaseExpiry, DoesNotExpireWhileAPeerMayStillRenewTheLease) {
+TEST(LeaseExpiry, DoesNotExpireWhileAnEarlierLeaderMayStillRenewTheLease) {
   Node node;
   FencingState fencing_state{kToken, 100, -1};
   EXPECT_FALSE(is_lease_expired(node, fencing_state, 10, 1e6));
