--- a/src/cluster_state/accelerator_demands.hpp
+++ b/src/cluster_state/accelerator_demands.hpp
@@ -1,5 +1,5 @@
 // Largest demand of accepted tasks with accelerators, by machine type. The planner keeps services off the part of a node that such
-// tasks need. `ClusterState` records each accepted job; records are never removed.
+// tasks need. `ClusterState` adds the demand of each accepted job; demands are never removed.
 #pragma once
 #include <map>
 #include <utility>
--- a/src/cluster_state/cluster_state.hpp
+++ b/src/cluster_state/cluster_state.hpp
@@ -30,7 +30,9 @@
 
 namespace thistlefront {
 
-inline constexpr std::size_t kDefaultRecordBytes = 3600;  // used if the limits of the key-value store are not known
+// Approximate maximum size of one record in the ledger, unless the key-value store's value limit requires smaller records; see
+// max_record_bytes().
+inline constexpr std::size_t kDefaultRecordBytes = 3600;
 
 class ClusterState {
  public:
@@ -81,8 +83,7 @@
   // Marks the image (of `image_gb` GB) as the most recently used one in the node's cache; older ones are evicted if it is full.
   void record_image_use(Node& node, ImageIndex image, double image_gb);
 
-  // Machine types and zones.
-  // nullptr while the cloud does not offer the machine type.
+  // Machine types and zones. machine_type() returns nullptr while the cloud does not offer the machine type.
   [[nodiscard]] const MachineType* machine_type(MachineTypeIndex index) const { return machine_types_.offered(index); }
   [[nodiscard]] const std::vector<MachineType>& machine_types() const { return machine_types_.offered(); }
   [[nodiscard]] MachineTypeIndex find_machine_type(std::string_view name) const { return machine_types_.find(name); }
@@ -110,8 +111,9 @@
   // Recomputes each team's usage by tasks that agents report but that are not placed.
   void recount_unplaced_usage();
 
-  // Returns the current state of a job as a record that replaces earlier ones about it. To limit its size, the record covers the
-  // tasks from `next_task` on until it has `max_items` items, and advances `next_task` past them. An ended job is one short record.
+  // Returns the current state of a job as a record that replaces earlier records of the job. To limit its size, the record covers
+  // the tasks from `next_task` on until it has `max_items` items: a task range is one item, a placement counts as several.
+  // Advances `next_task` past the covered tasks. An ended job without tasks on nodes takes one short record.
   [[nodiscard]] Record snapshot_record(JobIndex job_index, std::uint32_t& next_task, std::size_t max_items) const;
   // Whether the snapshot records returned so far, which advanced `next_task`, cover the whole job.
   [[nodiscard]] bool is_snapshot_complete(JobIndex job_index, std::uint32_t next_task) const {
@@ -132,7 +134,7 @@
   static Urgency own_urgency(const Job& job);
   [[nodiscard]] DependencyGraph::DependencyStatus dependency_status(JobIndex job_index) const;
   void register_dependencies(JobIndex job_index);
-  // The job has been read from the ledger: resolves the dependencies of jobs that were read before it.
+  // The job has been read from the ledger: resolves it as a dependency of jobs that were read earlier.
   void resolve_dependency(JobIndex job_index, double done_at = 0);
   // The job ended at `ended_at` (wall-clock seconds; 0: not known): updates or cancels its dependents.
   void update_dependents(JobIndex job_index, double ended_at);
--- a/src/cluster_state/dependency_graph.cpp
+++ b/src/cluster_state/dependency_graph.cpp
@@ -99,7 +99,7 @@
   if (it == vertices_.end() || it->second.ended) return;
   it->second.ended = true;
   it->second.done_at = done_at;
-  // Its start was replayed before all its dependencies were read, so it had been eligible.
+  // A job that is done while marked as blocked had been eligible: its start was replayed before all its dependencies were read.
   if (it->second.blocked) mark_unblocked(it->second);
   const auto dependents = it->second.dependents;
   for (const JobIndex dependent : dependents) {
--- a/src/cluster_state/dependency_graph.hpp
+++ b/src/cluster_state/dependency_graph.hpp
@@ -30,7 +30,7 @@
   struct DependencyStatus {
     enum class State { unresolved, pending, done, cancelled } state = State::unresolved;
     JobIndex job;        // not valid: not read yet
-    double done_at = 0;  // when it was done, if it was read after its dependents and they need the time; otherwise 0
+    double done_at = 0;  // when the job was done, if it was read after dependents that need this time; otherwise 0
   };
   // Jobs that an event changes. Each job is at most once in each list.
   struct JobChanges {
@@ -43,9 +43,9 @@
     std::vector<JobIndex> urgency_changed;  // their required urgency changed
   };
 
-  // Adds a job with dependencies `names` (no duplicates), which have these `statuses`. `own`: its own urgency; `run_s`: its
-  // estimated run time, by which its dependencies must be done before its deadline; `accepted_at`: the earliest time at which it
-  // is eligible. The job may become eligible or be cancelled immediately.
+  // Adds a job with dependencies `names` (no duplicates), which have these `statuses`. `own`: the job's own urgency; `run_s`: its
+  // estimated run time, so its dependencies must be done `run_s` before its deadline; `accepted_at`: the earliest time at which it
+  // can be eligible. The job may become eligible or be cancelled immediately.
   void add(JobIndex job, const Urgency& own, double run_s, double accepted_at, const std::vector<std::string>& names,
            const std::vector<DependencyStatus>& statuses, JobChanges& changes);
   // The job of this name has been read from the ledger and has this status.
@@ -89,7 +89,7 @@
     double done_at = 0;
     double estimated_run_s = 0;
     Urgency own;       // set only for jobs with dependencies
-    Urgency required;  // by dependents
+    Urgency required;  // urgency that the dependents require
   };
   [[nodiscard]] const Vertex* find(JobIndex job) const;
   void add_edge(JobIndex job, JobIndex dependency, JobChanges& changes);
--- a/src/cluster_state/failure_attribution.cpp
+++ b/src/cluster_state/failure_attribution.cpp
@@ -5,13 +5,11 @@
 namespace thistlefront {
 
 namespace {
-// A job becomes suspect when it has failed on this many nodes on which no other job failed,
-constexpr std::size_t kIndependentNodesToSuspect = 2;
-// or on this many nodes in total,
-constexpr std::size_t kNodesToSuspect = 3;
-// or in this many consecutive bursts, on any number of nodes.
-constexpr unsigned kBurstsToSuspect = 4;
-constexpr double kBurstWindowS = 1.0;  // failures within this time are one burst
+// A job becomes suspect when its failures reach any of the next three limits.
+constexpr std::size_t kIndependentNodesToSuspect = 2;  // nodes on which the job failed and no other job did
+constexpr std::size_t kNodesToSuspect = 3;             // all nodes on which the job failed
+constexpr unsigned kBurstsToSuspect = 4;               // consecutive bursts of failures, on any number of nodes
+constexpr double kBurstWindowS = 1.0;                  // failures within this time are one burst
 
 constexpr double kFirstRetryDelayS = 2.0;
 constexpr double kMaxRetryDelayS = 60.0;
@@ -20,7 +18,7 @@
 constexpr std::size_t kJobsToCordon = 2;
 constexpr double kFirstCordonS = 30.0;
 constexpr double kAvoidNodeS = 60.0;
-constexpr std::size_t kMaxFailedNodes = 8;  // kept per job
+constexpr std::size_t kMaxFailedNodes = 8;  // nodes kept for each job, those with the latest failures
 
 double doubled(double delay_s, unsigned times) {
   return delay_s * static_cast<double>(1u << std::min(times, kMaxDoublings));
--- a/src/cluster_state/failure_attribution.hpp
+++ b/src/cluster_state/failure_attribution.hpp
@@ -40,7 +40,7 @@
   // An attribution decision, for the operator's log.
   struct Decision {
     enum class Type { suspected, cleared, cordoned, uncordoned } type;
-    JobIndex job;       // the job, or the last one that failed on the node
+    JobIndex job;       // the suspected or cleared job, or the job whose failure, success or end changed the node's cordon
     NodeIndex node;     // not valid for decisions about a job
     std::size_t count;  // number of nodes on which the job failed, or of times that the node was cordoned
     double until;       // end of the retry delay or cordon; 0: there is none
--- a/src/cluster_state/job_size_ranking.hpp
+++ b/src/cluster_state/job_size_ranking.hpp
@@ -1,5 +1,6 @@
 // Determines which jobs are the largest of their class, compared with recent submissions of the class. Among many small jobs, a
-// large gang finds enough free nodes at the same time only late, if at all, and its users notice that first. No I/O and no clock.
+// large gang may wait long, or forever, until enough nodes are free at the same time; users notice such waits first. No I/O and no
+// clock.
 #pragma once
 #include <cstddef>
 #include <deque>
--- a/src/cluster_state/job_state.hpp
+++ b/src/cluster_state/job_state.hpp
@@ -48,7 +48,7 @@
   bool blocked = false;  // some dependency is not done, so that the job is not live
   bool service = false;
   std::uint32_t live_position = kNotLive;  // index into ClusterState::live()
-  JobStatus status = JobStatus::queued;    // queued: any job that has not ended
+  JobStatus status = JobStatus::queued;    // `queued` until the job has ended, also while its tasks run
   std::uint64_t attempts = 0;
   std::vector<TaskState> tasks;
   std::map<std::uint32_t, Placement> placed;  // by task number
--- a/src/cluster_state/node_state.hpp
+++ b/src/cluster_state/node_state.hpp
@@ -1,4 +1,4 @@
-// State of a node, split by source: agent reports, commands in flight, the cloud's instance list, and decisions of the leader.
+// State of a node, split by source: messages of its agent, commands in flight, the cloud's instance list, and decisions of the leader.
 // `ClusterState` owns the nodes; heartbeat handling and reconciliation update them. Plain data: no I/O, no clock. All times are
 // steady seconds of this controller.
 #pragma once
@@ -19,12 +19,12 @@
 struct AgentState {
   std::uint64_t incarnation = 0;       // increases each time the agent's lease expires; 0: no message received yet
   std::uint64_t serial = 0;            // of its newest message
-  std::uint64_t heartbeat_serial = 0;  // of its newest heartbeat, not counting answers to commands
+  std::uint64_t heartbeat_serial = 0;  // of its newest message that is a heartbeat and not a reply to commands
   std::uint64_t highest_token = 0;     // highest fencing token that it has seen
-  bool has_reported = false;           // to this leader
+  bool has_reported = false;           // whether this leader has received a message from it
   double last_message_at = 0;
   double last_heartbeat_at = 0;           // of the last message that counts as a sign of life (worker_control/heartbeat_application)
-  double last_direct_contact_at = 0;      // received by this controller itself, not through a peer
+  double last_direct_contact_at = 0;      // when this controller itself last received a message from it, not through a peer
   double last_answered_heartbeat_at = 0;  // when this leader last replied to a heartbeat and so renewed the lease
   double incarnation_since = 0;           // when the first message of its current incarnation was received
   double fenced_at = 0;                   // when its current incarnation was first known to have seen this leader's token
--- a/src/cluster_state/quota_accounts.hpp
+++ b/src/cluster_state/quota_accounts.hpp
@@ -51,8 +51,8 @@
 
   // Resources that the team may still use within its limit; `unlimited` for a resource without a limit.
   [[nodiscard]] Resources headroom(TeamIndex index, double unlimited) const;
-  // The first team whose quota differs between settings files, or that is no longer in any: format versions before 3 cannot store
-  // it.
+  // The first team whose quota differs between settings files, or that is no longer in any file; nullopt if there is none. Format
+  // versions before 3 cannot store such a quota.
   [[nodiscard]] std::optional<std::string> changing_team() const;
 
   [[nodiscard]] const std::vector<Team>& teams() const { return teams_; }
--- a/src/cluster_state/quota_agreement.cpp
+++ b/src/cluster_state/quota_agreement.cpp
@@ -62,7 +62,7 @@
     if (!quota || quota == record.agreed) continue;
     narrowed = narrowed ? stricter_quota(*narrowed, *quota) : *quota;
   }
-  // An unknown file may still contain the proposed quota, so that the proposal is kept until all files are known.
+  // An unknown file may still contain the proposed quota, so the proposal is kept until all files are known.
   if (narrowed || known.all_files_known) record.proposed = narrowed;
   return record;
 }
--- a/src/cluster_state/record_application.cpp
+++ b/src/cluster_state/record_application.cpp
@@ -19,7 +19,7 @@
   if (!job_index.valid()) return;
   Job& job = jobs_[job_index.value];
   job.attempts = std::max(job.attempts, record.attempt);
-  // Cancelled after the start was planned and before it was committed: the job does not start.
+  // A job that was cancelled after the start was planned and before it was committed does not start.
   if (job.ended()) return;
   // A start never places a task of a blocked job, except during replay: there, the records of the job's dependencies may come
   // later in the ledger, as snapshot records. The leader that wrote this start knew that the job was eligible, and ignoring the
@@ -64,8 +64,8 @@
   Job& job = jobs_[job_index.value];
   if (job.ended()) return;
   job.status = JobStatus::cancelled;
-  // During replay, its start may have been read before its dependencies, so that it is still blocked. It must be live, or its
-  // tasks are never stopped and stay on their nodes (found by the randomised safety test).
+  // During replay, the job's start may have been read before its dependencies, so the job may still be blocked. It must become live,
+  // or its tasks would never be stopped and stay on their nodes (found by the randomised safety test).
   job.blocked = false;
   if (!job.placed.empty()) activate(job_index);
   for (auto& [task, placement] : job.placed) {
--- a/src/cluster_state/service_level_counters.hpp
+++ b/src/cluster_state/service_level_counters.hpp
@@ -18,16 +18,18 @@
 class ServiceLevelCounters {
  public:
   struct Counts {
-    std::uint64_t accepted = 0;  // jobs, as are all counts up to `largest_started_in_time`
-    std::uint64_t started = 0;   // jobs of which a first task, or the whole gang, was started
+    // Numbers of jobs.
+    std::uint64_t accepted = 0;
+    std::uint64_t started = 0;  // jobs of which a first task, or the whole gang, was started
     std::uint64_t done = 0;
     std::uint64_t done_with_deadline = 0;       // done jobs that had a deadline
     std::uint64_t done_in_time = 0;             // done jobs that met their deadline
     std::uint64_t withdrawn_unstarted = 0;      // jobs cancelled by their users before any task was started
     std::uint64_t largest_started = 0;          // started jobs that are among the largest of their class
     std::uint64_t largest_started_in_time = 0;  // of `largest_started`: started within kLargestJobStartTargetS
-    double replica_requested_s = 0;             // services: seconds of all requested replicas
-    double replica_running_s = 0;               // services: seconds of all running replicas
+    // Replica-seconds of services.
+    double replica_requested_s = 0;
+    double replica_running_s = 0;
     friend bool operator==(const Counts&, const Counts&) = default;
   };
   // Job classes that are not in `classes` are counted together as "other".
--- a/src/cluster_state/usage_accounting.cpp
+++ b/src/cluster_state/usage_accounting.cpp
@@ -44,7 +44,7 @@
     if (may_have_unplaced_tasks(nodes_[i])) charge_unplaced(NodeIndex{i});
 }
 
-// Avoids looking up each task on nearly all nodes, because there every reported task is placed.
+// On nearly all nodes, every reported task is placed. This check avoids looking up each task of these nodes.
 bool ClusterState::may_have_unplaced_tasks(const Node& node) {
   if (node.lease_expired || node.terminated || node.agent.tasks.empty()) return false;
   const auto reported = std::count_if(node.agent.tasks.begin(), node.agent.tasks.end(), is_on_node);
--- a/src/ledger/entry_packer.cpp
+++ b/src/ledger/entry_packer.cpp
@@ -8,12 +8,13 @@
 namespace thistlefront {
 
 namespace {
-constexpr std::uint32_t kLargestEncodingVersion = UINT32_MAX;  // each format version only adds fields to records
-constexpr std::size_t kPlainOverheadBytes = 64;                // of an entry without checksums, excluding its records
-constexpr std::size_t kChecksummedOverheadBytes = 200;         // of an entry with checksums, excluding its records
-constexpr std::size_t kReservedTaskRangesBytes = 250;          // for the task ranges in a job snapshot
-constexpr double kMaxRecordFraction = 0.9;                     // of an entry's capacity, for one record
-constexpr std::size_t kMaxLoggedRecordBytes = 60;              // of a record that is too large
+// Each format version only adds fields to records, so the highest version gives the largest encoding.
+constexpr std::uint32_t kLargestEncodingVersion = UINT32_MAX;
+constexpr std::size_t kPlainOverheadBytes = 64;         // of an entry without checksums, excluding its records
+constexpr std::size_t kChecksummedOverheadBytes = 200;  // of an entry with checksums, excluding its records
+constexpr std::size_t kReservedTaskRangesBytes = 250;   // for the task ranges in a job snapshot
+constexpr double kMaxRecordFraction = 0.9;              // of an entry's capacity, for one record
+constexpr std::size_t kMaxLoggedRecordBytes = 60;       // of a record that is too large
 
 std::size_t max_encoded_bytes(const Record& record) {
   return encode_record(record, kLargestEncodingVersion).text.size();
--- a/src/ledger/ledger_compactor.hpp
+++ b/src/ledger/ledger_compactor.hpp
@@ -18,7 +18,7 @@
 
 class LedgerCompactor {
  public:
-  // Entries kept per entry that a snapshot of the cluster state would take.
+  // Maximum length of the ledger, as a multiple of the entries that a snapshot of the cluster state would take.
   static constexpr double kDefaultLengthFactor = 2;
 
   // A record to write at the end of the ledger in place of older ones. A job with many tasks takes several.
@@ -33,7 +33,7 @@
   // A singleton is a record of which only the newest version is needed: the list of machine types, or the quota of a team. The
   // compactor tracks singletons like jobs, under keys outside the range of job indexes. Returns nothing for other records.
   static std::optional<JobIndex> singleton_key_of(const Record& record, const ClusterState& cluster_state);
-  // Records that this entry holds a job's first record, or a singleton.
+  // Registers that this entry holds a job's first record, or a singleton.
   void record_first_entry(std::uint64_t entry, JobIndex job);
   // Records to write next so that the oldest entry can be removed. Empty while the ledger, which has the entries `first` to
   // `next` - 1, is short enough for the size of the cluster state. `entry_bytes`: approximate capacity of an entry.
@@ -43,7 +43,7 @@
   // to replace entries of a format version that is no longer written.
   [[nodiscard]] std::vector<Rewrite> rewrites_of_oldest(const ClusterState& cluster_state, std::uint64_t next,
                                                         std::size_t budget_bytes) const;
-  // Records that the rewrites are in the ledger: rewrites[i] in entries[i] or a later entry. The rewrites are in the order of
+  // Registers that the rewrites are in the ledger: rewrites[i] in entries[i] or a later entry. The rewrites are in the order of
   // next_rewrites(), except that ended jobs may come first. If there are fewer entries than rewrites, the rest was not written.
   void record_rewritten(const std::vector<Rewrite>& rewrites, const std::vector<std::uint64_t>& entries);
   // Number of the oldest entry that is needed; `fallback` if none is.
@@ -52,7 +52,7 @@
  private:
   // Progress of a job that is rewritten in several commits.
   struct PartialRewrite {
-    JobIndex job;  // the first job of the oldest entry; invalid: no such job
+    JobIndex job;  // the first job of the oldest entry; not valid: no job is partly rewritten
     std::uint32_t covered_tasks = 0;
     std::uint64_t first_entry = 0;  // entry of the first rewritten record
   };
--- a/src/ledger/ledger_reader.cpp
+++ b/src/ledger/ledger_reader.cpp
@@ -57,8 +57,8 @@
 // Why the entry cannot follow those applied so far; nothing if it can.
 std::optional<std::string> LedgerReader::find_sequence_error(const ParsedEntry& parsed) const {
   if (contents_.stored.slots.contains(parsed.number)) return "another entry has the same number";
-  // The first applied entry links to entries that have been removed. An entry that follows one of version 1, which has no link,
-  // has previous_link 0, as has newest_link then.
+  // The first applied entry links to entries that have been removed. Entries of version 1 have no link: after such an entry, both
+  // previous_link and newest_link are 0.
   if (!has_checksums(parsed.entry.format_version) || applied_entries_ == 0) return std::nullopt;
   if (parsed.entry.previous_link == contents_.newest_link) return std::nullopt;
   return "it does not follow entry " + std::to_string(contents_.stored.next_number - 1) +
--- a/src/ledger/ledger_trimmer.cpp
+++ b/src/ledger/ledger_trimmer.cpp
@@ -37,7 +37,7 @@
 }
 
 void LedgerTrimmer::remove_unneeded(std::uint64_t first_needed) {
-  // Free keys remain from a higher format version. An older build would read their values as entries, so they are removed first.
+  // Free keys may remain from a higher format version. An older build would read their values as entries, so they are removed first.
   for (; !commit_.free_slots.empty() && may_remove(); commit_.free_slots.pop_front()) remove_key(commit_.free_slots.front());
   if (!commit_.free_slots.empty()) return;
   for (; commit_.first_number < first_needed && may_remove(); ++commit_.first_number) remove_key(stored_.slots.at(commit_.first_number));
--- a/src/ledger/ledger_writer.cpp
+++ b/src/ledger/ledger_writer.cpp
@@ -60,8 +60,8 @@
 
   const bool writes_entries = !commit.entries.empty();
   if (!writes_entries && !has_old_entries()) return commit;
-  // Entries below this one may be removed. If no entry is written, the newest one stays whatever it holds, since an empty ledger
-  // would be taken for that of a new cluster.
+  // Entries below `max_first_needed` may be removed. If the commit writes no entry, the newest stored entry stays even if it is not
+  // needed, since an empty ledger would be taken for that of a new cluster.
   const auto max_first_needed = writes_entries ? commit.entries.front().number : stored_.next_number - 1;
   const auto first_needed = std::min(compactor_.first_needed_entry(stored_.next_number), max_first_needed);
   LedgerTrimmer(commit, stored_, format_version_, limits.max_changes).trim(first_needed);
@@ -139,9 +139,10 @@
 
 void LedgerWriter::add_conditions(PendingCommit& commit) const {
   const bool writes_open_entry = commit.entries.front().number < stored_.next_number;
-  // A new entry is conditional on the previous entry as well. The transaction may be applied late, after newer ones of the same
-  // leader removed its entry again. The entry's key then does not exist, as expected, so the entry would reappear, and in versions
-  // 2 and 3 nobody could read the ledger. Entries are removed oldest first, so the previous entry no longer exists by then.
+  // A new entry is conditional on the previous entry as well. The transaction may be applied late, after newer transactions of the
+  // same leader wrote the same entry and removed it again. The entry's key then does not exist, as expected, so the entry would
+  // reappear, and in versions 2 and 3 nobody could read the ledger. Entries are removed oldest first, so the previous entry no longer
+  // exists by then.
   if (!writes_open_entry && !stored_.slots.empty()) {
     const LedgerSlot& newest = stored_.slots.rbegin()->second;
     commit.conditions.push_back({entry_key(newest.key_number), newest.mod_revision});
--- a/src/ledger/ledger_writer.hpp
+++ b/src/ledger/ledger_writer.hpp
@@ -56,9 +56,9 @@
   // Prepares the next commit: first some rewritten records, then as many queued records as fit, which are removed from the queue.
   // If there is nothing to write, the commit has no changes.
   PendingCommit prepare_commit(const ClusterState& cluster_state, std::deque<QueuedRecord>& queue, const Limits& limits) const;
-  // Records that the commit was applied at this revision. The caller then applies the batch's records to the cluster state.
+  // Updates the writer after the commit was applied at this revision. The caller then applies the batch's records to the cluster state.
   void record_committed(const PendingCommit& commit, std::uint64_t mod_revision);
-  // Records that this entry holds the first record of a job, or a singleton; see LedgerCompactor.
+  // Registers that this entry holds the first record of a job, or a singleton; see LedgerCompactor.
   void record_first_entry(std::uint64_t entry, JobIndex job) { compactor_.record_first_entry(entry, job); }
 
  private:
--- a/src/ledger/pending_commit.hpp
+++ b/src/ledger/pending_commit.hpp
@@ -35,9 +35,9 @@
 struct PendingCommit {
   std::vector<PendingEntry> entries;               // those that the transaction writes
   std::vector<LedgerCompactor::Rewrite> rewrites;  // records that the compactor wants to rewrite
-  std::vector<std::uint64_t> rewrite_entries;      // by rewrite: its entry or an earlier one; shorter if not all were written
+  std::vector<std::uint64_t> rewrite_entries;      // for each rewrite: its entry or an earlier one; shorter if not all were written
   std::vector<QueuedRecord> batch;                 // records taken from the queue
-  std::vector<std::uint64_t> batch_entries;        // by record of the batch: the entry it is in
+  std::vector<std::uint64_t> batch_entries;        // for each record of the batch: the entry that holds it
   std::vector<std::string> too_large;              // sizes and beginnings of records that fit into no entry
   std::uint64_t seq = 0;                           // sequence number of the commit
   std::uint64_t first_number = 0;                  // number of the oldest entry that is kept after the commit
--- a/src/ledger/record_queue.hpp
+++ b/src/ledger/record_queue.hpp
@@ -11,7 +11,7 @@
 // A record that waits for its commit.
 struct QueuedRecord {
   Record record;
-  std::uint64_t ticket = 0;  // by which the controller identifies the request that waits for the commit
+  std::uint64_t ticket = 0;  // increases with each queued record; a request waits until the record with its ticket is applied
 };
 
 // Merges a record of completed tasks into a queued one of the same job, provided that no other record of that job is queued after
--- a/src/ledger/write_rate_limiter.hpp
+++ b/src/ledger/write_rate_limiter.hpp
@@ -14,8 +14,8 @@
 
   // Changes per second that the leader may make.
   [[nodiscard]] double rate() const { return rate_; }
-  // Maximum length of the ledger, in entries per entry that a snapshot of the cluster state would take. A longer ledger takes the
-  // next leader longer to read. A shorter one is compacted more often, which is expensive if few writes are allowed: at 15 changes
+  // Maximum length of the ledger, as a multiple of the entries that a snapshot of the cluster state would take. A longer ledger takes
+  // the next leader longer to read. A shorter one is compacted more often, which is expensive if few writes are allowed: at 15 changes
   // of 2 KiB per second, compaction wrote as much as the new records. `entry_bytes`: capacity of an entry.
   [[nodiscard]] double length_factor(std::size_t entry_bytes) const {
     const double bytes_per_s = rate_ * static_cast<double>(entry_bytes);
--- a/src/model/heartbeat.hpp
+++ b/src/model/heartbeat.hpp
@@ -16,7 +16,7 @@
   std::uint64_t agent_incarnation = 0;      ///< increases each time the node's lease expires
   std::uint64_t serial = 0;                 ///< increases with each heartbeat of an incarnation
   std::uint64_t fencing_token = 0;          ///< highest one that the agent has seen
-  std::optional<double> interruption_in_s;  ///< set if the spot instance has an interruption notice: time left
+  std::optional<double> interruption_in_s;  ///< time until the spot instance is reclaimed; set only after an interruption notice
   std::vector<TaskReport> tasks;
   /// Not on the wire: serial of an earlier heartbeat of the same incarnation that differs from this one in its serial alone.
   /// Not set if the reader knows of no such heartbeat.
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -13,8 +13,7 @@
 inline constexpr const char* kMachineTypesPath = "/flavors";     ///< GET: list machine types
 inline constexpr const char* kRentPath = "/rentals";             ///< GET: list instances; POST: rent instances
 inline constexpr const char* kReleasePath = "/rentals/release";  ///< POST: release instances
-/// Path of a page of the list of instances: at most `page_size` of them, starting at `first_name`, or at the first of all if
-/// `first_name` is empty.
+/// Path of a page of the list of instances: at most `page_size` instances from `first_name` on. Empty `first_name`: the first page.
 std::string instances_path(const std::string& first_name, unsigned page_size);
 
 /// Parses the list of machine types; throws ProtocolError.
--- a/src/protocol/job_spec_json.hpp
+++ b/src/protocol/job_spec_json.hpp
@@ -10,7 +10,7 @@
 /// Whether a job id is well formed: "j-" and 1 to 30 digits.
 bool is_uid(std::string_view uid);
 
-/// Encodes a job's description; fields at their defaults are left out.
+/// Encodes a job's description. Most optional fields are left out if they have their default value.
 nlohmann::json job_spec_json(const JobSpec& spec);
 /// Parses and validates a job's description; throws ProtocolError.
 JobSpec parse_job_spec(const nlohmann::json& object);
--- a/src/protocol/ledger_format.cpp
+++ b/src/protocol/ledger_format.cpp
@@ -104,7 +104,7 @@
 EntryPage parse_entries(std::string_view body) {
   const json object = parse_object(body);
   EntryPage page;
-  // Without the revision, changes since this page was read cannot be detected.
+  // If the page has no revision, changes since it was read cannot be detected.
   if (const json* revision = find_member(object, "ledgerRev")) page.revision = as_count(*revision, "ledgerRev");
   page.truncated = read_flag_or(object, "truncated", false);
   for (const auto& row : read_list(object, "rows")) page.rows.push_back(parse_entry_row(row));
--- a/src/protocol/ledger_record_json.cpp
+++ b/src/protocol/ledger_record_json.cpp
@@ -20,7 +20,7 @@
 
 // ---- writing
 
-// Flat array: first, last, first, last, ...
+// Flat array of the bounds of half-open ranges: first, end, first, end, ...
 json ranges_json(const TaskRanges& ranges) {
   json numbers = json::array();
   for (const auto& range : ranges) {
@@ -177,7 +177,7 @@
   return record;
 }
 
-// Early builds wrote fewer items: `from` and `more` were added together, `suspect` later.
+// Early builds wrote fewer items: `first_task` and `has_more` were added together, `suspect` later.
 Record parse_job_snapshot(const RecordItems& items) {
   JobSnapshotRecord record;
   record.accepted = parse_accept(items.at(1));
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -27,9 +27,10 @@
 struct PeerHeartbeat {
   std::string label;
   std::uint64_t fencing_token = 0, takeover_token = 0;  ///< of the leader: now, and at its takeover
-  /// `process` and `clock_ms` of the peer's latest acknowledgement. Set only while the leader may decide.
-  std::uint64_t echoed_process = 0, echoed_clock_ms = 0;  ///< 0: none echoed
-  std::uint32_t oldest_cancellation_age_ms = 0;           ///< of the oldest cancellation that is not yet complete in the peer's zone
+  /// `process` and `clock_ms` of the peer's latest acknowledgement; 0: none. They grant the peer a partition lease, so they are set only
+  /// while the leader is certain to lead and no cancellation in the peer's zone has reached its time limit.
+  std::uint64_t echoed_process = 0, echoed_clock_ms = 0;
+  std::uint32_t oldest_cancellation_age_ms = 0;  ///< of the oldest cancellation that is not yet complete in the peer's zone
 };
 /// The peer's acknowledgement of a PeerHeartbeat.
 struct PeerHeartbeatAck {
--- a/src/protocol/relay_messages.hpp
+++ b/src/protocol/relay_messages.hpp
@@ -24,7 +24,7 @@
   enum class Kind : std::uint8_t {
     full = 1,    ///< the complete heartbeat
     difference,  ///< tasks or their states differ from those of the heartbeat with `base_serial`
-    unchanged,   ///< differs from that heartbeat only in serial, fencing token and `interruption_in_s`
+    unchanged,   ///< differs from the heartbeat with `base_serial` only in serial, fencing token and `interruption_in_s`
   };
   Kind kind = Kind::full;
   std::string node;
@@ -61,7 +61,7 @@
 /// The leader's answer to a batch.
 struct HeartbeatBatchAnswer {
   std::uint64_t takeover_token = 0, fencing_token = 0;  ///< of the leader that sent the answer
-  std::uint32_t redirect_count = 0;                     ///< agents that the relay must redirect; 0 unless it serves too many
+  std::uint32_t redirect_count = 0;                     ///< agents that the relay must redirect; 0 unless the relay serves too many
   std::string redirect_target;                          ///< label of the controller to redirect them to
   std::vector<HeartbeatAnswer> answers;                 ///< one per heartbeat, in the order of the batch
 };
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -21,7 +21,7 @@
 constexpr double kMaxAmount = 1e9;  // for numbers without a limit of their own
 constexpr double kMaxControllers = 1e6;
 constexpr double kMaxValueKb = 1e6;
-constexpr double kMinCpu = 0.0001, kMaxCpu = 1e6;
+constexpr double kMinCpu = 0.0001, kMaxCpu = 1e6;  // processor cores
 constexpr double kMinCloudRps = 0.01;
 constexpr std::int64_t kMinTxnOps = 4;  // activating a format version changes four keys in one transaction
 constexpr std::int64_t kMaxTxnOps = 1000000;
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -59,7 +59,7 @@
   std::uint64_t max_txn_ops = 0;  ///< changes in one transaction
   double cloud_rps = 0;           ///< requests per second that the cloud's API accepts
   double list_lag_s = 0;          ///< maximum delay before the cloud's list of instances shows a change
-  double cpu = 0, memory_mb = 0;  ///< limits of this process
+  double cpu = 0, memory_mb = 0;  ///< limits of this process; `cpu` in processor cores
   std::uint64_t max_sockets = 0;  ///< limit of this process
 };
 
--- a/src/protocol/store_messages.hpp
+++ b/src/protocol/store_messages.hpp
@@ -25,7 +25,7 @@
 
 /// Path that reads one key.
 std::string store_path(const std::string& key);
-/// Path of a page of the keys with this prefix, starting at `first_key`, or at the first of them if `first_key` is empty.
+/// Path of a page of the keys with this prefix, from `first_key` on. Empty `first_key`: the first page.
 std::string list_path(const std::string& prefix, const std::string& first_key);
 /// Path of a watch: waits at most `max_wait_ms` for changes to keys with this prefix from a revision on.
 std::string watch_path(const std::string& prefix, std::uint64_t from_revision, unsigned max_wait_ms);
--- a/src/protocol/user_messages.hpp
+++ b/src/protocol/user_messages.hpp
@@ -1,5 +1,5 @@
-// Requests of users and replies to them: HTTP routes and JSON bodies. Called by the request handler, which decides whether a
-// request may be served; this file must not.
+// Requests of users and replies to them: HTTP routes and JSON bodies. Called by the request handler. Whether a request may be served
+// is decided only there.
 #pragma once
 #include <cstdint>
 #include <string>
--- a/src/protocol/version_messages.hpp
+++ b/src/protocol/version_messages.hpp
@@ -42,7 +42,7 @@
 
 // Keys of the store. The leader holds kLeaderKeyV1 at format version 1 and kLeaderKeyV2 from version 2 on. From version 2 on,
 // kLeaderKeyV1 exists without a session lease, so that a build older than format versions never becomes leader.
-inline constexpr const char* kLeadershipPrefix = "lead";           ///< common prefix of the leader's keys and the next two keys
+inline constexpr const char* kLeadershipPrefix = "lead";           ///< prefix of kLeaderKeyV1 and of the next three keys
 inline constexpr const char* kLeaderKeyV2 = "lead";                ///< LeaderValue, from version 2 on
 inline constexpr const char* kActiveVersionKey = "lead-level";     ///< ActiveVersion
 inline constexpr const char* kVersionReadinessKey = "lead-ready";  ///< VersionReadiness
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -1,5 +1,5 @@
-// Messages between controllers and agents: heartbeats, commands and redirects. Called by the heartbeat handler, which decides
-// whether a heartbeat is current (this file must not), and by the command sender.
+// Messages between controllers and agents: heartbeats, commands and redirects. Called by the heartbeat handler and the command
+// sender. Whether a heartbeat is current is decided only by the heartbeat handler.
 #pragma once
 #include <cstdint>
 #include <string>
--- a/src/rollout/format_versions.cpp
+++ b/src/rollout/format_versions.cpp
@@ -55,7 +55,7 @@
   [[nodiscard]] Step upgrade(double wall_s, double soak_s) const;
 
  private:
-  // The highest version that all controllers support and allow, and a controller that prevents the next one.
+  // The highest version that all controllers support and allow, and a controller that prevents a higher one.
   struct CommonVersion {
     std::uint32_t format_version = kMaxFormatVersion;
     std::string blocking_controller;  // as text for Step::blocked_by; empty: none
@@ -89,8 +89,8 @@
   return std::nullopt;
 }
 
-// Only controllers that support the active version count; one that does not says nothing about what the others allow. A single
-// controller with a forgotten flag prevents an upgrade but does not cause a downgrade.
+// Only controllers that support the active version count: what an older build allows says nothing about what the others allow. A
+// single controller with a forgotten flag prevents an upgrade but does not cause a downgrade.
 std::optional<std::uint32_t> StepPlanner::downgrade_target() const {
   if (active_.format_version <= kMinFormatVersion) return std::nullopt;
   std::size_t controllers_below = 0;
--- a/src/rollout/format_versions.hpp
+++ b/src/rollout/format_versions.hpp
@@ -53,7 +53,7 @@
 struct Step {
   enum class Kind {
     none,
-    update_registry,     // writes a registry record: the controller's own, or a peer's that its reply contradicts
+    update_registry,     // writes a registry record: the controller's own, or that of a peer whose reply contradicts it
     record_readiness,    // all controllers support a higher version: starts the soak time
     withdraw_readiness,  // some controller no longer supports it
     activate,            // activates the higher version, with a new fencing token
@@ -90,12 +90,12 @@
 Step next_step(const LeadershipSnapshot& snapshot, const ControllerRegistry& registry, const std::vector<std::string>& expected_labels,
                const std::map<std::string, SupportedVersions>& peer_replies, const LeaderState& leader, double wall_s, double soak_s);
 
-// Writes a controller's own registry record at its start. Kind::none if `stored`, the record in the registry, is up to date.
-// `stored` is null if there is no record.
+// Writes a controller's own registry record at its start. The step is Kind::none if the record is up to date. `stored`: the record
+// in the registry; null if there is none.
 Step registration_step(const std::string& label, const SupportedVersions& supported_versions, const RegisteredController* stored);
 
-// Acquires leadership if there is no leader and the active version is still that of the snapshot. Nothing if a build that supports
-// these versions must not lead.
+// Acquires leadership if there is no leader and the active version is still that of the snapshot. Returns nothing if a build that
+// supports these versions must not lead.
 std::optional<Step> acquire_leadership_step(const LeadershipSnapshot& snapshot, const SupportedVersions& supported_versions,
                                             const LeaderValue& value, std::uint64_t session_lease);
 // Removes the leader's key if it is still that of the snapshot. Only for callers that know that the leader's process has ended.
--- a/tests/format_versions_test.cpp
+++ b/tests/format_versions_test.cpp
@@ -191,7 +191,7 @@
     for (std::uint32_t format_version = 1; format_version <= kMaxFormatVersion; ++format_version)
       if (transaction.acquires_leadership && before.has_entries_of(format_version) && format_version > supported_versions.max_version)
         return "a build leads that cannot read the ledger";
-    // It may still write its own record in the registry.
+    // Such a build may still write its own record in the registry.
     if (step.kind != Step::Kind::update_registry && before.snapshot().active.format_version > supported_versions.max_version)
       return "a build wrote while a format version that it does not support was active";
     if (step.kind == Step::Kind::activate)
