--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -159,7 +159,7 @@
   return out;
 }
 
-// An agent whose heartbeats are relayed has not tried to reach this controller; whether commands reach it is the only evidence.
+// An agent whose heartbeats are relayed has not tried to reach this controller. It counts as in direct contact while commands reach it.
 void HeartbeatHandler::record_direct_contact(Node& node, Route route, bool stale, double now) const {
   const double failing_since = shared_.term->commands_failing_since;
   const bool commands_arrive = !node.commands.last_command_failed && (failing_since == 0 || now - failing_since < kCommandsLostAfterS);
@@ -182,7 +182,7 @@
   out.takeover_token = batch->takeover_token;
   out.fencing_token = term.fencing_token;
   const double now = steady_now();
-  term.balancer.record_agent_count(batch->sender, batch->worker_count, now);
+  term.balancer.record_agent_count(batch->sender, batch->agent_count, now);
   if (shared_.may_decide()) {
     const auto redirection = term.balancer.redirect_from_relay(batch->sender, now);
     out.redirect_count = redirection.count;
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -149,7 +149,7 @@
   std::lock_guard lock(mutex_);
   batch.sender = label_;
   batch.takeover_token = leader.takeover_token;
-  batch.worker_count = count_agents(steady_now());
+  batch.agent_count = count_agents(steady_now());
   std::vector<WaitingHeartbeat*> out;
   std::size_t bytes = 0;
   while (!waiting_.empty() && out.size() < kMaxHeartbeatsInBatch && bytes < kMaxBatchBytes) {
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -68,7 +68,7 @@
     double oldest_s = 0;         // waiting time of the oldest
   };
   [[nodiscard]] Backlog backlog() const;
-  // The controller that the calling agent is to be redirected to, while this relay serves more than its share of the agents. Each call
+  // The controller that the calling agent is to be redirected to, while this relay serves more than its fair share of the agents. Each call
   // consumes one of the redirections that the leader asked for.
   std::optional<std::string> take_redirect_target();
 
@@ -89,7 +89,8 @@
   void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Leader& leader);
   // Called when the leader answers.
   void record_contact();
-  // Called when the leader does not answer a call sent at `sent_at`. If that lasts although it still leads, agents are redirected to it.
+  // Called when the leader does not answer a call sent at `sent_at`. If no call is answered for kMaxLeaderFailureS although the leader
+  // still leads, agents are redirected to it.
   void record_failure(double sent_at);
   void finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome);
   // Queues the heartbeat for a later batch, unless it has expired.
--- a/src/heartbeat_relay/agent_balancer.cpp
+++ b/src/heartbeat_relay/agent_balancer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kMaxMessageAgeS = 3.0;  // of an active relay; relays send a message at least_loaded once a second
+constexpr double kMaxMessageAgeS = 3.0;  // of an active relay; relays send a message at least once a second
 constexpr double kLeaderWeight = 0.5;    // the leader's fair share relative to a relay's, because the leader has other work as well
 // A controller redirects agents only if it serves more than kToleranceFactor times its fair share plus kToleranceAgents.
 constexpr double kToleranceFactor = 1.2;
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -145,7 +145,7 @@
 
 Frame pack(const HeartbeatBatch& batch) {
   Packer out;
-  out.integer(kRelayMessageVersion).text(batch.sender).integer(batch.takeover_token).integer(batch.worker_count);
+  out.integer(kRelayMessageVersion).text(batch.sender).integer(batch.takeover_token).integer(batch.agent_count);
   out.integer(static_cast<std::uint32_t>(batch.heartbeats.size()));
   for (const auto& heartbeat : batch.heartbeats) write(out, heartbeat);
   return make_frame(PeerFrameKind::heartbeat_batch, out);
@@ -173,7 +173,7 @@
   HeartbeatBatch batch;
   batch.sender = in.text();
   batch.takeover_token = in.integer<std::uint64_t>();
-  batch.worker_count = in.integer<std::uint32_t>();
+  batch.agent_count = in.integer<std::uint32_t>();
   for (auto remaining = read_count(in, kMaxHeartbeatsInBatch, valid); remaining > 0 && valid && in.ok(); --remaining)
     batch.heartbeats.push_back(read_delta(in, valid));
   if (!valid || !in.is_fully_read()) return std::nullopt;
--- a/src/protocol/relay_messages.hpp
+++ b/src/protocol/relay_messages.hpp
@@ -41,7 +41,7 @@
 struct HeartbeatBatch {
   std::string sender;                ///< label of the relay
   std::uint64_t takeover_token = 0;  ///< of the leader to which the batch is addressed
-  std::uint32_t worker_count = 0;    ///< agents from which the relay has recently received heartbeats
+  std::uint32_t agent_count = 0;     ///< agents from which the relay has recently received heartbeats
   std::vector<HeartbeatDelta> heartbeats;
 };
 
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1569,7 +1569,7 @@
   HeartbeatBatch batch;
   batch.sender = "host-2";
   batch.takeover_token = 7;
-  batch.worker_count = 300;
+  batch.agent_count = 300;
   batch.heartbeats = heartbeats;
   return batch;
 }
@@ -1607,7 +1607,7 @@
   ASSERT_TRUE(batch);
   EXPECT_EQ(batch->sender, "host-2");
   EXPECT_EQ(batch->takeover_token, 7u);
-  EXPECT_EQ(batch->worker_count, 300u);
+  EXPECT_EQ(batch->agent_count, 300u);
   EXPECT_TRUE(batch->heartbeats.empty());
 }
 
