--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -20,7 +20,8 @@
 struct DelayedRequest {
   const char* name;
   bool job_accepted;  // the job is accepted before the request
-  // `method` null: a submission. `path`: after the job's path. `body`: of a submission, after the uid; null: a valid job.
+  // `method`: null for a submission. `path`: appended to the job's path. `body`: the submission's text after the uid; null for a valid
+  // job.
   const char *method, *path, *body;
   friend std::ostream& operator<<(std::ostream& out, const DelayedRequest& request) { return out << request.name; }
 };
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -225,8 +225,8 @@
   EXPECT_TRUE(all_tasks_run());
 }
 
-// Copies of heartbeats arrive at any controller after newer heartbeats of the same agent.
-TEST_P(HeartbeatRelayTest, DelayedCopiesOfHeartbeatsThroughOtherRelaysHaveNoEffect) {
+// Copies of some heartbeats arrive at a random controller, up to three leases later, after newer heartbeats of the same agent.
+TEST_P(HeartbeatRelayTest, NoLeaseExpiresAndAllTasksRunWhenCopiesOfHeartbeatsArriveLate) {
   start_cluster_with_running_jobs();
   for (auto& worker : workers) worker->duplicate_heartbeats(true);
   wait(3 * kTimes.lease_s);
