--- a/src/controller/agent_messages.hpp
+++ b/src/controller/agent_messages.hpp
@@ -13,7 +13,7 @@
 
 // How an agent's message reached the leader. Both kinds have the content of a heartbeat.
 enum class MessageKind {
-  heartbeat,       // the agent has executed or dropped all answers to earlier heartbeats
+  heartbeat,       // sent only after the agent has executed or dropped the replies to all earlier heartbeats
   command_answer,  // the answer to a direct command or to a status probe
 };
 
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -45,7 +45,7 @@
     if (status.is_leading) refresh(cloud);
     if (status.may_decide) {
       service_monitor_.observe();
-      releaser_.check_worker_reachability();
+      releaser_.check_agent_reachability();
       releaser_.release_silent_nodes(cloud, stop);
       releaser_.release_unneeded_nodes(cloud);
       scale_out_.run(cloud);
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -117,12 +117,12 @@
   if (request->has_start) shared_.term->cluster_state->node(item.node).commands.in_flight_token = request->fencing_token;
   lock.unlock();
   bool unacknowledged = false;
-  const auto report = post(*client, *request, has_slot, unacknowledged);
+  const auto reply = post(*client, *request, has_slot, unacknowledged);
   lock.lock();
   if (!shared_.is_term(term)) return;
   connections_.release(request->address, std::move(client));
-  record_outcome(*request, report.has_value(), unacknowledged);
-  if (report) apply_reply(lock, *request, *report);
+  record_outcome(*request, reply.has_value(), unacknowledged);
+  if (reply) apply_reply(lock, *request, *reply);
 }
 
 std::optional<CommandSender::Request> CommandSender::make_request(const CommandQueue::Item& item) {
@@ -158,7 +158,7 @@
   }
 }
 
-void CommandSender::record_outcome(const Request& request, bool understood, bool unacknowledged) {
+void CommandSender::record_outcome(const Request& request, bool has_valid_reply, bool unacknowledged) {
   Term& term = *shared_.term;
   Node& node = term.cluster_state->node(request.node);
   node.commands.in_flight_token = 0;
@@ -168,8 +168,8 @@
     shared_.request_pass();
     spdlog::debug("node {}: start command unacknowledged", node.name);
   }
-  node.commands.last_command_failed = !understood;
-  if (understood) {
+  node.commands.last_command_failed = !has_valid_reply;
+  if (has_valid_reply) {
     term.commands_failing_since = 0;
     queue_.complete(request.node);
     return;
@@ -178,16 +178,16 @@
   queue_.back_off(request.node, steady_now() + kFailureBackoffS);
 }
 
-void CommandSender::apply_reply(const Lock& lock, const Request& request, const Heartbeat& report) {
+void CommandSender::apply_reply(const Lock& lock, const Request& request, const Heartbeat& reply) {
   Term& term = *shared_.term;
-  if (report.fencing_token > term.fencing_token) {
+  if (reply.fencing_token > term.fencing_token) {
     shared_.step_down(lock, "a worker reports a higher fencing token");
     return;
   }
   Node& node = term.cluster_state->node(request.node);
-  if (report.node != node.name) return;
+  if (reply.node != node.name) return;
   node.agent.last_direct_contact_at = steady_now();
-  agent_messages_.apply(report, MessageKind::command_answer);
+  agent_messages_.apply(reply, MessageKind::command_answer);
 }
 
 }  // namespace thistlefront
--- a/src/controller/command_sender.hpp
+++ b/src/controller/command_sender.hpp
@@ -27,7 +27,7 @@
   CommandSender(const CommandSender&) = delete;
   CommandSender& operator=(const CommandSender&) = delete;
 
-  // Queues a node that has commands due. `announce`: sends this leader's fencing token to the agent even if no commands are due.
+  // Queues a node that has commands due. `announce_leader`: sends this leader's fencing token to the agent even if no commands are due.
   void enqueue(NodeIndex node, bool announce_leader = false);
   // Queues all nodes with placed tasks of the job.
   void enqueue_nodes_of(const Job& job);
@@ -59,8 +59,8 @@
   // Returns the heartbeat in the agent's reply; nullopt if there was no reply or it was malformed. `unacknowledged`: the request may
   // have been executed, or may be later.
   std::optional<Heartbeat> post(HttpClient& client, const Request& request, bool& has_slot, bool& unacknowledged);
-  void record_outcome(const Request& request, bool understood, bool unacknowledged);
-  void apply_reply(const Lock& lock, const Request& request, const Heartbeat& report);
+  void record_outcome(const Request& request, bool has_valid_reply, bool unacknowledged);
+  void apply_reply(const Lock& lock, const Request& request, const Heartbeat& reply);
 
   SharedState& shared_;
   AgentMessages& agent_messages_;
--- a/src/controller/commit_queue.cpp
+++ b/src/controller/commit_queue.cpp
@@ -11,9 +11,9 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kDeferralInWrites = 2.5;  // a deferrable record waits for the duration of this many writes at the allowed rate
-constexpr double kMinValueKb = 1;
-constexpr std::size_t kMinChanges = 4;        // in one transaction
+constexpr double kDeferralInWrites = 2.5;     // a deferrable record waits for the duration of this many writes at the allowed rate
+constexpr double kMinValueKb = 1;             // the size limit of a value is not shrunk below this
+constexpr std::size_t kMinChanges = 4;        // the limit of changes in one transaction is not shrunk below this
 constexpr std::size_t kMaxPuts = 6;           // entries written in one transaction
 constexpr double kUsableValueFraction = 0.9;  // of the store's size limit for a value
 constexpr double kBytesPerKb = 1024;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,4 +1,5 @@
-// A controller process: owns and connects the shared state and the components, runs the duties, and serves clients and peers.
+// A controller process: owns and connects the shared state and the components, runs the long-lived threads (duties), and serves clients
+// and peers.
 // docs/architecture.md shows how the parts work together.
 #pragma once
 #include <memory>
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -88,17 +88,17 @@
   return HttpReply{200, heartbeat_response_body(shared_.partition_lease.fencing_token(), {})};
 }
 
-// An agent is taken to be unable to reach the leader if it knows the leader's fencing token, so that it was connected to the leader and
-// left, or if it returns soon after a redirect. Redirected again, it would wait for another time-out, and its lease could expire.
+// An agent counts as unable to reach the leader if it knows the leader's fencing token (it was connected to the leader and left), or if
+// it returns soon after a redirect. If it were redirected again, it would wait for another time-out, and its lease could expire.
 bool HeartbeatHandler::should_redirect(const Heartbeat& heartbeat, bool relaying, double now) {
   const auto& settings = shared_.config.settings;
   const KnownLeader& leader = shared_.known_leader;
   auto& redirect = shared_.redirects[heartbeat.node];
-  // The token proves nothing shortly after a takeover, when it probably came with a command and the agent has not tried to reach the
-  // leader yet, nor while heartbeats are relayed, when the agent received it through this controller.
-  const bool was_with_leader = !relaying && heartbeat.fencing_token >= leader.takeover_token &&
-                               now - leader.known_since > kCommandAnnouncementLeaseFraction * settings.lease_s;
-  const bool left_leader = was_with_leader || now - redirect.redirected_at < kRedirectWindowS;
+  // Shortly after a takeover the token proves nothing: it probably came with a command, and the agent has not tried to reach the leader
+  // yet. Nor does it while heartbeats are relayed: the agent received it through this controller.
+  const bool was_connected_to_leader = !relaying && heartbeat.fencing_token >= leader.takeover_token &&
+                                       now - leader.known_since > kCommandAnnouncementLeaseFraction * settings.lease_s;
+  const bool left_leader = was_connected_to_leader || now - redirect.redirected_at < kRedirectWindowS;
   if (now < redirect.forward_until) return false;
   if (!left_leader || redirect.forward_until > 0) {
     redirect = {now, 0};
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -124,8 +124,8 @@
     reason = Reason::late;
     return true;
   }
-  // The instance list shows it running for long, but it never sent a heartbeat. If no node of its zone is in contact, the reason may be
-  // a partition.
+  // The instance has been listed as running for long, but its agent never sent a heartbeat. If no node of its zone is in contact, the
+  // reason may be a partition.
   const bool never_reported = !node.agent.has_reported && node.placed.empty() && node.instance.status == Instance::Status::running;
   const bool long_running = fleet.now - node.instance.running_since > kFirstHeartbeatLeases * shared_.config.settings.lease_s;
   if (never_reported && long_running && fleet.zones_in_contact.contains(node.zone)) {
@@ -162,10 +162,10 @@
   if (!response.ok()) return;
   target.answered = true;
   try {
-    const auto report = parse_heartbeat(response.body);
+    const auto status = parse_heartbeat(response.body);
     Lock lock(shared_.mutex);
-    if (shared_.role != Role::leading || report.node != target.name) return;
-    agent_messages_.apply(report, MessageKind::command_answer);
+    if (shared_.role != Role::leading || status.node != target.name) return;
+    agent_messages_.apply(status, MessageKind::command_answer);
     ClusterState& cluster_state = *shared_.term->cluster_state;
     Node& node = cluster_state.node(cluster_state.find_or_add_node(target.name));
     node.agent.last_direct_contact_at = steady_now();
@@ -179,7 +179,7 @@
 // A leader that is partitioned only from the agents keeps its leader lease and its peers: heartbeats reach it through the peers, its
 // commands fail, and healthy nodes look dead to it. It probes a few agents before it hands over, because agents may also use other
 // controllers without need.
-void InstanceReleaser::check_worker_reachability() {
+void InstanceReleaser::check_agent_reachability() {
   std::vector<Probe> probes = probes_of_relayed_nodes();
   probe_agents(probes);
   if (probes.empty() || std::any_of(probes.begin(), probes.end(), [](const Probe& p) { return p.answered; })) return;
--- a/src/controller/instance_releaser.hpp
+++ b/src/controller/instance_releaser.hpp
@@ -24,7 +24,7 @@
   // Releases nodes that are silent while others of their zones are not, and that do not answer a probe.
   void release_silent_nodes(HttpClient& cloud, std::stop_token stop);
   // Hands over leadership if most agents reach only other controllers and none of the probed ones answers this controller.
-  void check_worker_reachability();
+  void check_agent_reachability();
 
  private:
   // Why an instance is released, in the order in which releases are sent. `never_reported`: no heartbeat since it began to run.
@@ -45,11 +45,11 @@
 
   Releases choose_releases();
   [[nodiscard]] FleetSummary summarize_fleet() const;
-  // Returns whether to release the node, and sets `reason`. Marks a node that is still running as being released.
+  // Returns whether to release the node, and sets `reason`. Sets release_requested of a faulty or idle node.
   bool should_release(NodeIndex index, const FleetSummary& fleet, Reason& reason);
   [[nodiscard]] bool is_unused(NodeIndex index) const;
   void release(HttpClient& cloud, const std::vector<std::string>& names, Reason reason);
-  // Asks all agents for their status in parallel.
+  // Asks the agents of all probes for their status, in parallel.
   void probe_agents(std::vector<Probe>& probes);
   void probe_agent(Probe& target);
   // Returns the suspiciously silent nodes; none if too few nodes contact this leader directly for it to judge.
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned kWatchTimeoutMs = 10000;
 constexpr double kStoreRetryPauseS = 0.3;     // after the key-value store did not answer
 constexpr double kMalformedKeysPauseS = 1.0;  // after the leadership keys could not be parsed
-constexpr double kRecheckPauseS = 0.3;
+constexpr double kRecheckPauseS = 0.3;        // before the leadership keys are read again
 constexpr double kLeaseRetryPauseS = 0.2;
 constexpr double kIsolationBackoffS = 4.0;  // of an isolated leader that handed over, before it campaigns again
 constexpr double kMaxVacancyS = 3.0;        // without any leader for this long, a controller campaigns despite its backoff
@@ -162,7 +162,7 @@
   return std::nullopt;
 }
 
-double LeaderElection::lease_valid_until(double requested_at) const {
+double LeaderElection::session_lease_valid_until(double requested_at) const {
   const double lease_s = shared_.config.options.leader_lease_ms / 1000.0;
   return requested_at + lease_s * (1 - kClockDrift) - kLeaseMarginS;
 }
@@ -177,7 +177,7 @@
   term->active_version = snapshot.active;
   term->version_mod_revision = snapshot.active_mod_revision;
   term->taken_over_at = steady_now();
-  term->lease_valid_until = lease_valid_until(lease.requested_at);
+  term->session_lease_valid_until = session_lease_valid_until(lease.requested_at);
   term->quorum = QuorumTracker(shared_.peers.size(), term->taken_over_at, quorum_grace_s(settings.cancel_s, settings.lease_s));
   return term;
 }
@@ -196,7 +196,7 @@
   ++shared_.term_number;
   shared_.role = Role::recovering;
   shared_.observe_leader(lease.fencing_token, config.settings.label);
-  // Continues the relay mode of the earlier leader, so that agents keep their controllers.
+  // Continues the relay mode of the earlier leader, so that agents stay connected to their controllers.
   term.accepts_heartbeat_batches = config.options.relay_mode != RelayMode::off && relay_.is_in_use();
   relay_.fail_waiting();
   spdlog::info("leader: this controller takes over, fencing token {}", lease.fencing_token);
@@ -214,9 +214,9 @@
   leadership_uncertain_ = false;
   const double period = shared_.config.options.leader_lease_ms / 1000.0 / kRenewalsPerLease;
   for (double sleep_started_at = steady_now(); pause_for(stop, period); sleep_started_at = steady_now()) {
-    const double late = std::max(0.0, steady_now() - sleep_started_at - period);
+    const double wake_up_lag_s = std::max(0.0, steady_now() - sleep_started_at - period);
     auto& lag = metrics_.counters.renewal_lag_s;
-    lag = late + kLagSmoothing * (lag - late);
+    lag = wake_up_lag_s + kLagSmoothing * (lag - wake_up_lag_s);
     if (!renew_lease(store, session_lease, term, sleep_started_at)) break;
   }
   if (stop.stop_requested()) release_on_stop(session_lease, term);
@@ -234,10 +234,11 @@
   const double answered_at = steady_now();
   Lock lock(shared_.mutex);
   const double period = shared_.config.options.leader_lease_ms / 1000.0 / kRenewalsPerLease;
-  const double late = woken_at - sleep_started_at - period;
-  if (const double whole = steady_now() - sleep_started_at - period; whole > period)
-    spdlog::debug("leader: lease renewal {:.0f} ms late: wake-up {:.0f}, lock {:.0f}, answer {:.0f}, lock {:.0f}", whole * 1000,
-                  late * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000, (steady_now() - answered_at) * 1000);
+  const double wake_up_lag_s = woken_at - sleep_started_at - period;
+  if (const double total_lag_s = steady_now() - sleep_started_at - period; total_lag_s > period)
+    spdlog::debug("leader: lease renewal {:.0f} ms late: wake-up {:.0f}, lock {:.0f}, answer {:.0f}, lock {:.0f}", total_lag_s * 1000,
+                  wake_up_lag_s * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000,
+                  (steady_now() - answered_at) * 1000);
   if (is_over()) return false;
   return apply_renewal_result(lock, store, session_lease, status, requested_at);
 }
@@ -251,14 +252,14 @@
     return false;
   }
   if (status != StoreStatus::ok) {
-    if (leadership_uncertain_ || steady_now() < term.lease_valid_until) return true;
+    if (leadership_uncertain_ || steady_now() < term.session_lease_valid_until) return true;
     // Either the store has an outage or it is out of reach of this controller alone; the controller cannot tell which. It goes on
     // replying to agents under its token, so that their leases do not expire, and makes no decisions until a renewal succeeds.
     leadership_uncertain_ = true;
     spdlog::info("leader: lease could not be renewed, leadership uncertain");
     return true;
   }
-  term.lease_valid_until = lease_valid_until(requested_at);
+  term.session_lease_valid_until = session_lease_valid_until(requested_at);
   if (shared_.role == Role::leading) {
     const double oldest_cancellation_s = oldest_pending_cancellation_s(*term.cluster_state, settings.site, steady_now(), settings.cancel_s);
     shared_.partition_lease.grant(term.fencing_token, requested_at, oldest_cancellation_s);
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -50,7 +50,7 @@
   std::optional<std::uint64_t> find_own_fencing_token(StoreClient& store, const char* key, std::uint64_t session_lease) const;
   void begin_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<LedgerSnapshot> ledger);
   std::unique_ptr<Term> make_term(const AcquiredLease& lease, const Snapshot& snapshot, std::optional<LedgerSnapshot> ledger) const;
-  [[nodiscard]] double lease_valid_until(double requested_at) const;
+  [[nodiscard]] double session_lease_valid_until(double requested_at) const;
 
   // Renews the lease periodically until leadership ends.
   void hold_leadership(StoreClient& store, std::stop_token stop);
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -27,7 +27,7 @@
   const Term& term = *shared.term;
   LeadershipEvidence evidence;
   evidence.ledger_read = term.cluster_state != nullptr;
-  evidence.session_lease_valid = now < term.lease_valid_until;
+  evidence.session_lease_valid = now < term.session_lease_valid_until;
   evidence.has_quorum = term.quorum.has_quorum(now);
   const bool own_zone = heartbeat.zone == shared.config.settings.site;
   evidence.has_partition_lease =
--- a/src/controller/leadership_conditions.hpp
+++ b/src/controller/leadership_conditions.hpp
@@ -27,7 +27,8 @@
 // Whether the heartbeats of most agents arrive only through other controllers.
 bool are_most_heartbeats_relayed(const SharedState& shared);
 
-// Since when no other controller can have renewed an agent's lease, and for each zone until when one may have.
+// What this leader knows of lease renewals by other controllers: since when no controller renews leases under an earlier token, and
+// for each zone the latest time at which a controller there may have renewed leases under a partition lease.
 FencingState fencing_state(SharedState& shared, double now);
 
 }  // namespace thistlefront
--- a/src/controller/ledger_committer.cpp
+++ b/src/controller/ledger_committer.cpp
@@ -215,7 +215,7 @@
   if (transaction.has_unacknowledged_attempt && transaction.only_leader_key_guards) term.raise_token_requested = true;
   const auto& batch = transaction.pending.batch;
   for (std::size_t i = 0; i < batch.size(); ++i) apply_record(batch[i], transaction.pending.batch_entries[i]);
-  log_failure_verdicts();
+  log_attribution_decisions();
 }
 
 void LedgerCommitter::apply_record(const QueuedRecord& queued, std::uint64_t entry) {
@@ -264,24 +264,24 @@
   shared_.capacity_release_rate.add(released_cores(*shared_.term->cluster_state, completion), steady_now());
 }
 
-void LedgerCommitter::log_failure_verdicts() {
+void LedgerCommitter::log_attribution_decisions() {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  using Kind = FailureAttribution::Decision::Type;
-  for (const auto& verdict : cluster_state.failure_attribution().take_decisions()) {
-    const std::string& uid = cluster_state.job(verdict.job).uid;
-    switch (verdict.type) {
-      case Kind::suspected:
+  using Type = FailureAttribution::Decision::Type;
+  for (const auto& decision : cluster_state.failure_attribution().take_decisions()) {
+    const std::string& uid = cluster_state.job(decision.job).uid;
+    switch (decision.type) {
+      case Type::suspected:
         ++metrics_.counters.suspected;
-        spdlog::info("job {}: suspected, failed on {} nodes and succeeded on none, retried with one task", uid, verdict.count);
+        spdlog::info("job {}: suspected, failed on {} nodes and succeeded on none, retried with one task", uid, decision.count);
         break;
-      case Kind::cleared: spdlog::info("job {}: no longer suspected, one of its tasks succeeded", uid); break;
-      case Kind::cordoned:
+      case Type::cleared: spdlog::info("job {}: no longer suspected, one of its tasks succeeded", uid); break;
+      case Type::cordoned:
         ++metrics_.counters.cordoned;
-        spdlog::info("node {}: cordoned for {:.0f} s, several jobs failed on it, last {}", cluster_state.node(verdict.node).name,
-                     std::max(0.0, verdict.until - wall_now()), uid);
+        spdlog::info("node {}: cordoned for {:.0f} s, several jobs failed on it, last {}", cluster_state.node(decision.node).name,
+                     std::max(0.0, decision.until - wall_now()), uid);
         break;
-      case Kind::uncordoned:
-        spdlog::info("node {}: uncordoned, its failures are attributed to job {}", cluster_state.node(verdict.node).name, uid);
+      case Type::uncordoned:
+        spdlog::info("node {}: uncordoned, its failures are attributed to job {}", cluster_state.node(decision.node).name, uid);
         break;
     }
   }
--- a/src/controller/ledger_committer.hpp
+++ b/src/controller/ledger_committer.hpp
@@ -35,7 +35,7 @@
     std::string body, leader_key;
     std::string last_key;                     // of the last entry that it writes; the leader's key if it writes no entry
     std::size_t largest_value = 0;            // bytes
-    bool only_leader_key_guards = false;      // no condition but the leader's key names an existing revision: the first entry ever
+    bool only_leader_key_guards = false;      // all other conditions only require keys to be absent: the first entry ever
     bool has_unacknowledged_attempt = false;  // the outcome of some attempt is unknown
   };
   // Outcomes of a transaction.
@@ -54,7 +54,7 @@
   // Waits until a write is due. Returns false if the term has ended or the thread has to stop.
   bool wait_for_due_work(Lock& lock, std::stop_token stop, std::uint64_t term);
   [[nodiscard]] bool has_urgent_change(std::uint64_t term) const;
-  // Whether entries of another format version are to be rewritten, which goes on while no record is queued.
+  // Whether it is time to rewrite entries of another format version. They are rewritten even if no record is queued.
   [[nodiscard]] bool is_rewrite_due() const;
   [[nodiscard]] double rewrite_period_s() const;
 
@@ -76,14 +76,15 @@
   // Raises the fencing token within the term: an agent that has seen the new token refuses commands sent under the old one. Returns
   // false if the token has not been raised.
   bool raise_fencing_token(StoreClient& store, std::stop_token stop, Lock& lock);
-  // Reads the leader's key after a conflict. Sets `token` if this process raised it, `deposed` if the key is not this process's.
+  // Reads the leader's key after a conflict. Sets `token` if this process has raised it, else `deposed`; sets neither if the store does
+  // not answer.
   void read_back_raised_token(StoreClient& store, const std::string& key, std::uint64_t old_token, std::optional<std::uint64_t>& token,
                               bool& deposed) const;
 
   void record_task_start(const TasksStartedRecord& start);
   void record_task_completion(const TasksCompletedRecord& completion);
   // Logs the jobs and nodes that failures were attributed to.
-  void log_failure_verdicts();
+  void log_attribution_decisions();
   void charge_writes(std::size_t changes);
 
   SharedState& shared_;
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -14,7 +14,7 @@
 namespace {
 constexpr double kRereadPauseS = 1.0;
 constexpr double kRetryPauseS = 0.1;          // after the key-value store did not answer
-constexpr double kUnreadableHandOverS = 8.0;  // a leader hands over this long after taking over an unreadable ledger
+constexpr double kUnreadableHandOverS = 8.0;  // from the takeover to the hand-over, if the ledger was known to be unreadable
 
 std::vector<Team> configured_teams(const Settings& settings) {
   std::vector<Team> teams;
@@ -129,8 +129,8 @@
   const double now = steady_now();
   const bool known_unreadable = shared_.ledger_unreadable_since != 0;
   if (!known_unreadable) shared_.ledger_unreadable_since = now;
-  // Hands over at the first failure, so that another controller tries. If no leader could read the ledger before either, keeps
-  // leadership for a while to renew the agents' leases.
+  // Hands over at the first failure, so that another controller tries. If the ledger was already known to be unreadable, keeps
+  // leadership for kUnreadableHandOverS to renew the agents' leases.
   if (known_unreadable && now < shared_.term->taken_over_at + kUnreadableHandOverS) return;
   shared_.term->hand_over_reason = "ledger unreadable";
 }
--- a/src/controller/ledger_recovery.hpp
+++ b/src/controller/ledger_recovery.hpp
@@ -35,7 +35,8 @@
   bool recover(StoreClient& store, std::stop_token stop, std::uint64_t term);
 
  private:
-  // Returns the ledger that was read before the takeover, if it has not changed since. Sets `aborted` if that is not known.
+  // Returns the ledger that was read before the takeover, if it has not changed since. Sets `aborted` if the term ended or
+  // a stop was requested before the store answered.
   std::optional<LedgerSnapshot> unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted);
   void begin_leading(LedgerSnapshot ledger, double started_at);
   void handle_unreadable(const std::string& reason);
--- a/src/controller/peer_link.hpp
+++ b/src/controller/peer_link.hpp
@@ -12,8 +12,9 @@
 
 struct PeerLink {
   Settings::Peer peer;
-  std::unique_ptr<FrameConnectionPool> calls;       // forwarded requests and heartbeats, while the peer leads
-  std::unique_ptr<FrameConnectionPool> heartbeats;  // between controllers
+  // For requests and agents' heartbeats that are forwarded or relayed to the peer while it leads, and for RolloutManager's queries.
+  std::unique_ptr<FrameConnectionPool> calls;
+  std::unique_ptr<FrameConnectionPool> heartbeats;  // for heartbeats between controllers
 
   // Used on the leader, for the current term:
   PartitionLeaseGrant partition_lease;  // granted to the peer
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -71,7 +71,7 @@
     return;
   }
   const double now = steady_now();
-  term.quorum.record_ack(peer, ack.process, sent_at, ack.fencing_token, now < term.lease_valid_until);
+  term.quorum.record_ack(peer, ack.process, sent_at, ack.fencing_token, now < term.session_lease_valid_until);
   term.quorum.sole_leader_since(term.takeover_token, now);
   auto& link = shared_.peers[peer];
   link.partition_lease.record_ack(outgoing.echoed_sent_at, steady_now(), ack.last_renewal_age_ms / kMsPerSecond);
@@ -84,7 +84,8 @@
 // lease is valid no other controller can lead, and the ledger is not written before the key has been read again.
 bool PeerMonitor::is_own_raised_token(const PeerHeartbeatAck& ack) const {
   const Term& term = *shared_.term;
-  return term.leader_key_update_unacknowledged && ack.leader == shared_.config.settings.label && steady_now() < term.lease_valid_until;
+  return term.leader_key_update_unacknowledged && ack.leader == shared_.config.settings.label &&
+         steady_now() < term.session_lease_valid_until;
 }
 
 PeerHeartbeatAck PeerMonitor::receive_heartbeat(const PeerHeartbeat& heartbeat) {
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -49,10 +49,10 @@
     ++metrics_.counters.unavailable;
     spdlog::debug("request: answered 503, {}", shared_.may_decide() ? "ledger not writable" : "leadership uncertain");
   } else if (!answer.is_final) {
-    // The reply is valid only until another controller could lead: delivered later, it could reach a user who asks several
-    // controllers after a newer answer of that controller. kReplyLifetimeS bounds it further, because a leader that gives up its
-    // lease early first waits until all its replies have expired.
-    reply.valid_until = std::min(shared_.term->lease_valid_until, steady_now() + kReplyLifetimeS);
+    // The reply is valid only until another controller could lead. If it were delivered later, a user who asks several controllers could
+    // receive it after a newer answer of that controller. kReplyLifetimeS is a second bound, because a leader that gives up its lease early
+    // first waits until all its replies have expired.
+    reply.valid_until = std::min(shared_.term->session_lease_valid_until, steady_now() + kReplyLifetimeS);
     shared_.replies_valid_until = std::max(shared_.replies_valid_until, reply.valid_until);
   }
   return reply;
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -65,7 +65,7 @@
   std::set<InstanceOffer> refused;
   for (const auto& [offer, until] : term.refused_offers) refused.insert(offer);
   ScaleOutInput input{cluster_state, {}, refused, now, kMaxInstancesPerRequest};
-  // Only work that has no slot before a new instance would have booted.
+  // Instances are requested only for units without a slot before a new instance would have booted.
   for (const auto& unserved : term.unserved)
     if (unserved.after_horizon > 0 && needs_scale_out(cluster_state.job(unserved.job), wall_now()))
       input.unmet_demands.push_back({unserved.job, unserved.after_horizon});
--- a/src/controller/scale_out_manager.hpp
+++ b/src/controller/scale_out_manager.hpp
@@ -14,7 +14,7 @@
 class ScaleOutManager {
  public:
   explicit ScaleOutManager(SharedState& shared) : shared_(shared) {}
-  // Sends requests while there is unmet demand, up to the share of the cloud's rate limit for one round.
+  // Sends requests while there is unmet demand, as many as a fraction of the cloud's rate limit allows, at least one.
   void run(HttpClient& cloud);
 
  private:
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -53,7 +53,7 @@
     PassCost cost;
     if (shared_.may_decide()) cost = run_pass(lock);
     lock.unlock();
-    // The rest lets heartbeats and submissions proceed: a pass holds the mutex that they wait for, and uses CPU time.
+    // The pause lets heartbeats and submissions proceed: a pass holds the mutex that they wait for, and uses CPU time.
     if (!pause_for(stop, rest_after_pass(cost, pacing))) return;
     lock.lock();
   }
@@ -92,13 +92,13 @@
   return out;
 }
 
-void SchedulingLoop::expire_leases(double steady) {
+void SchedulingLoop::expire_leases(double now) {
   ClusterState& cluster_state = *shared_.term->cluster_state;
-  const FencingState fencing = fencing_state(shared_, steady);
+  const FencingState fencing = fencing_state(shared_, now);
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     Node& node = cluster_state.node(NodeIndex{i});
     if (node.lease_expired || node.terminated) continue;
-    if (!is_lease_expired(node, fencing, shared_.config.settings.lease_s, steady)) continue;
+    if (!is_lease_expired(node, fencing, shared_.config.settings.lease_s, now)) continue;
     node.lease_expired = true;
     if (node.placed.empty()) continue;
     spdlog::info("node {}: lease expired, {} tasks requeued", node.name, node.placed.size());
@@ -106,9 +106,9 @@
   }
 }
 
-void SchedulingLoop::fence_unacknowledged_starts(double steady) {
+void SchedulingLoop::fence_unacknowledged_starts(double now) {
   Term& term = *shared_.term;
-  if (steady - term.token_raised_at <= kMinTokenRaiseIntervalS) return;
+  if (now - term.token_raised_at <= kMinTokenRaiseIntervalS) return;
   const ClusterState& cluster_state = *term.cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
     const Node& node = cluster_state.node(NodeIndex{i});
@@ -130,7 +130,7 @@
       if (placement.stopping) nodes_with_commands.insert(placement.node);
 }
 
-void SchedulingLoop::update_idle_times(double steady) {
+void SchedulingLoop::update_idle_times(double now) {
   Term& term = *shared_.term;
   ClusterState& cluster_state = *term.cluster_state;
   for (std::uint32_t i = 0; i < cluster_state.node_count(); ++i) {
@@ -141,12 +141,12 @@
     if (!idle) {
       node.idle_since = 0;
     } else if (node.idle_since == 0) {
-      node.idle_since = steady;
+      node.idle_since = now;
     }
   }
   for (const JobIndex index : cluster_state.live()) {
     const Job& job = cluster_state.job(index);
-    if (job.pending > 0 || job.spec.job_type != JobType::service) term.last_work_at = steady;
+    if (job.pending > 0 || job.spec.job_type != JobType::service) term.last_work_at = now;
   }
 }
 
@@ -158,7 +158,7 @@
   out.input = plan_input_builder_.build(cluster_state, context, term.within_guarantee);
   out.promoted_jobs = promote_starving_jobs(out.input, cluster_state, term.starvation_guard,
                                             shared_.capacity_release_rate.rate(context.steady_now), context, term.within_guarantee);
-  // Units with a later slot count as late: a node requested now could be up by then.
+  // Units whose slot starts after the horizon are late: an instance requested now could have booted by then.
   out.input.horizon = context.wall_now + shortest_boot_s(cluster_state);
   out.plan = make_plan(out.input);
   term.unserved = out.plan.unserved;
@@ -180,9 +180,10 @@
                                          classes_with_start_targets_,
                                          term.starvation_guard.protected_jobs()};
   const PreemptionPlan preemption = choose_victims(preemption_input);
-  for (const auto& waived : preemption.cancelled_starts)
-    std::erase_if(plan.starts,
-                  [&](const Slot& slot) { return slot.job == waived.job && slot.node == waived.node && slot.start_at == waived.start_at; });
+  for (const auto& cancelled : preemption.cancelled_starts)
+    std::erase_if(plan.starts, [&](const Slot& slot) {
+      return slot.job == cancelled.job && slot.node == cancelled.node && slot.start_at == cancelled.start_at;
+    });
   for (const auto& victim : preemption.victims) {
     Placement* placement = cluster_state.placement(victim.ref);
     mark_for_stop(*placement, victim.grace_period_s);
@@ -215,7 +216,7 @@
   return cost;
 }
 
-bool SchedulingLoop::commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double steady) {
+bool SchedulingLoop::commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double now) {
   if (starts.records.empty()) return true;
   const auto term = shared_.term_number;
   std::vector<Record> records;
@@ -227,7 +228,7 @@
     }
   }
   for (const auto& slot : slots) shared_.term->starting_nodes.insert(slot.node);
-  shared_.start_stall_detector.record_planned(steady);
+  shared_.start_stall_detector.record_planned(now);
   const auto ticket = commit_queue_.enqueue(std::move(records));
   while (!commit_queue_.wait_applied(lock, ticket, kStartCommitTimeoutS))
     if (!shared_.is_term(term)) return false;
--- a/src/controller/scheduling_loop.hpp
+++ b/src/controller/scheduling_loop.hpp
@@ -35,18 +35,18 @@
   // Makes one plan and commits its starts. Returns the cost of making the plan.
   PassCost run_pass(Lock& lock);
   PassContext make_pass_context() const;
-  void expire_leases(double steady);
+  void expire_leases(double now);
   // Requests a higher fencing token if start commands are unacknowledged; at most one token a second, which fences off all of them.
-  void fence_unacknowledged_starts(double steady);
+  void fence_unacknowledged_starts(double now);
   // Marks the tasks that have to stop regardless of the plan, and adds their nodes to `nodes_with_commands`.
   void mark_tasks_to_stop(const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
-  void update_idle_times(double steady);
+  void update_idle_times(double now);
   Decision make_decision(const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
   // Preempts running tasks and returns how many.
   std::size_t preempt_tasks(const PlanInput& input, Plan& plan, const PassContext& context, std::set<NodeIndex>& nodes_with_commands);
   void charge_promoted_jobs(const Decision& decision);
   // Returns true once the starts are committed, or if there are none; false if the term has ended.
-  bool commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double steady);
+  bool commit_starts(Lock& lock, const PlannedStarts& starts, const std::vector<Slot>& slots, double now);
   PassCost record_pass_cost(const Decision& decision, double started_at, double processor_before);
 
   SharedState& shared_;
--- a/src/controller/shared_state.cpp
+++ b/src/controller/shared_state.cpp
@@ -22,7 +22,7 @@
 }
 
 bool SharedState::may_decide() const {
-  return role == Role::leading && !term->hand_over_reason && steady_now() < term->lease_valid_until;
+  return role == Role::leading && !term->hand_over_reason && steady_now() < term->session_lease_valid_until;
 }
 
 void SharedState::observe_leader(std::uint64_t fencing_token, const std::string& label) {
--- a/src/controller/shared_state.hpp
+++ b/src/controller/shared_state.hpp
@@ -1,8 +1,8 @@
 // State shared by the components of a controller: its role, its term, the known leader, and the mutex that guards them.
 //
 // Locking: there is one mutex. All members here, and all members of components marked "guarded by SharedState::mutex", are accessed
-// only while it is held. Methods without a `Lock` argument are called with it held. It is never held across I/O. HeartbeatRelay has
-// a mutex of its own, which is never held while this one is acquired.
+// only while it is held. Methods of SharedState and of these components are called with it held; a `Lock` argument is that lock. The
+// mutex is never held across I/O. HeartbeatRelay has a mutex of its own, which is never held while this one is acquired.
 #pragma once
 #include <condition_variable>
 #include <cstdint>
@@ -34,14 +34,14 @@
 struct KnownLeader {
   std::string label;  // empty: not known
   std::uint64_t fencing_token = 0;
-  std::uint64_t takeover_token = UINT64_MAX;
-  std::uint64_t change_count = 0;  // leader changes that this controller learned of, including a new term of the same leader
+  std::uint64_t takeover_token = UINT64_MAX;  // UINT64_MAX: not known
+  std::uint64_t change_count = 0;             // leader changes that this controller learned of, including a new term of the same leader
   double known_since = 0;
   double last_heartbeat_at = 0;
 };
 
 // What a follower remembers of an agent that it redirected to the leader. Times are steady seconds.
-struct WorkerRedirect {
+struct AgentRedirect {
   double redirected_at = -1e9;
   double forward_until = 0;
 };
@@ -59,13 +59,14 @@
   std::condition_variable_any role_changed;
 
   KnownLeader known_leader;
-  std::vector<PeerLink> peers;                                // in the order of the settings; never resized
-  PartitionLease partition_lease;                             // allows this controller to renew agents' leases in a partition
-  std::unordered_map<std::string, WorkerRedirect> redirects;  // by node name; to the known leader
+  std::vector<PeerLink> peers;                               // in the order of the settings; never resized
+  PartitionLease partition_lease;                            // allows this controller to renew agents' leases in a partition
+  std::unordered_map<std::string, AgentRedirect> redirects;  // to the known leader, by node name
 
   // Steady seconds at which the last reply of this controller that may become outdated expires.
   double replies_valid_until = 0;
-  // Steady seconds since which no leader is known to have read the ledger; 0: the known leader has read it.
+  // Steady seconds at which this controller, as the leader, first failed to read the ledger since a leader last read it; 0: it has not
+  // failed.
   double ledger_unreadable_since = 0;
   StartStallDetector start_stall_detector;
   CapacityReleaseRate capacity_release_rate;  // cores released by completed tasks
@@ -85,7 +86,8 @@
 
   // Ends the term, if there is one.
   void step_down(const Lock& lock, const char* reason);
-  // Adds a listener that step_down calls with the mutex held, so that components discard what they keep for the term.
+  // Adds a listener that step_down calls with the mutex held, so that components discard what they keep for the term. Called
+  // only by constructors, before any thread is started.
   void add_step_down_listener(std::function<void()> listener) { step_down_listeners_.push_back(std::move(listener)); }
 
   // Requests a pass of the scheduling loop.
--- a/src/controller/store_client.hpp
+++ b/src/controller/store_client.hpp
@@ -24,7 +24,8 @@
   explicit StoreClient(const std::string& address) : http_(address) {}
 
   StoreStatus get(const std::string& key, Row& out);
-  // Reads all rows under a prefix, in pages; `out.revision` is that of the first page, so later changes are newer.
+  // Reads all rows under a prefix, in pages; `out.revision` is that of the first page, so that a watch from it
+  // reports all later changes.
   StoreStatus list(const std::string& prefix, Rows& out);
   StoreStatus list_entries(const std::string& prefix, const std::string& from, EntryPage& out);
   // Executes a compare-and-swap transaction. On ok, `revision` is that of its changes; on conflict, `failed` names the keys whose
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -28,7 +28,7 @@
   std::uint64_t takeover_token = 0;        // fencing token at the start of the term
   std::uint64_t fencing_token = 0;         // current; raised to fence off unacknowledged commands
   std::uint64_t session_lease = 0;         // of the key-value store; the leader's key is attached to it
-  double lease_valid_until = 0;            // steady seconds; no other controller can lead before then
+  double session_lease_valid_until = 0;    // steady seconds; no other controller can lead before then
   double taken_over_at = 0;                // steady seconds
   QuorumTracker quorum;                    // the peers' acknowledgements in this term
   const char* hand_over_reason = nullptr;  // not null: leadership is to be handed over, and no decisions are made any more
@@ -62,7 +62,7 @@
   HeartbeatDeltaDecoder relayed_heartbeats;
   bool accepts_heartbeat_batches = false;  // from relaying peers; never reset within the term
   AgentBalancer balancer;
-  double commands_failing_since = 0;    // steady seconds; no direct command has been answered since. 0: the latest one was answered
+  double commands_failing_since = 0;    // steady seconds since when direct commands remain unanswered; 0: the latest one was answered
   std::size_t direct_agent_count = 0;   // agents that send heartbeats to this controller itself, as of the latest count
   double direct_agents_counted_at = 0;  // steady seconds
 
