--- a/src/worker_control/lease_renewal_policy.hpp
+++ b/src/worker_control/lease_renewal_policy.hpp
@@ -17,7 +17,8 @@
 //   no           either of the two            -                |  kills only if the agent runs no task, else no reply
 //   any other combination                                      |  no reply
 //
-// docs/design.md, "Who may renew a lease in doubt", has the proof; tests/lease_renewal_policy_test.cpp explores it exhaustively.
+// docs/design.md, "Who may renew a lease while leadership is uncertain", has the proof; tests/lease_renewal_policy_test.cpp explores it
+// exhaustively.
 #pragma once
 
 #include "cluster_state/cluster_state.hpp"
--- a/tests/cancellation_during_outage_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -1,6 +1,6 @@
 // A leader whose leadership is uncertain renews agents' leases during a store outage, although cancellations have been confirmed to users.
 // The checker fails if a task is on a node for longer than cancel_s after the cancellation of its job was confirmed.
-// docs/design.md, "Who may renew a lease in doubt".
+// docs/design.md, "Who may renew a lease while leadership is uncertain".
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -1,6 +1,6 @@
 // Users poll all controllers within milliseconds, and repeat the submission, right after a job was accepted, has ended or was cancelled.
 // No controller may reply with an older state than another controller replied before the request was sent, nor deliver a delayed reply
-// after another leader could have given a newer one. docs/design.md, "What a freeze just there does".
+// after another leader could have given a newer one. docs/design.md, "Outdated answers".
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
