--- a/testbed/checker.cpp
+++ b/testbed/checker.cpp
@@ -5,7 +5,7 @@
 namespace thistlefront::testbed {
 
 namespace {
-// How long all polls of a job may fail while those of other jobs succeed or after all faults have ended.
+// How long all polls of a job may fail while polls of other jobs succeed, or after all faults have ended.
 constexpr double kMaxFailingPollsS = 75.0;
 constexpr double kCoresTolerance = 1e-6;  // rounding errors of summed cores
 constexpr const char* kUnknown = "unknown";
@@ -66,7 +66,7 @@
     job.unknown_sent_at = std::max(job.unknown_sent_at, sent_at);
     return;
   }
-  last_reply_at_ = now;
+  last_known_status_at_ = now;
   job.polls_fail_since = 0;
   if (!job.accepted) {
     job.accepted_at = now;
@@ -85,12 +85,12 @@
 void Checker::check_order_of_replies(const std::string& uid, Job& job, double now) {
   if (job.accepted && job.unknown_sent_at > job.accepted_at) {
     const auto delay_s = std::to_string(job.unknown_sent_at - job.accepted_at);
-    add_violation("forgotten", uid + " was unknown or refused in a request sent " + delay_s + " s after it was accepted", now);
+    add_violation("forgotten", uid + " was unknown or refused in the reply to a request sent " + delay_s + " s after its acceptance", now);
     job.unknown_sent_at = 0;
   }
   if (job.ended_at > 0 && job.unfinished_sent_at > job.ended_at) {
     const auto delay_s = std::to_string(job.unfinished_sent_at - job.ended_at);
-    add_violation("went_back", uid + " was " + job.final_status + " and then not, in a request sent " + delay_s + " s later", now);
+    add_violation("went_back", uid + " was " + job.final_status + ", but not in the reply to a request sent " + delay_s + " s later", now);
     job.unfinished_sent_at = 0;
   }
 }
@@ -100,7 +100,8 @@
     const double cancelled_at = earliest_cancellation(uid);
     if (cancelled_at > 0 && sent_at > cancelled_at + cancel_s_) add_violation("orphaned", uid + " is " + status, now);
   }
-  if (status == kAborted && !is_cancellation_requested(uid)) add_violation("went_back", uid + " is aborted, but no user requested it", now);
+  if (status == kAborted && !is_cancellation_requested(uid))
+    add_violation("went_back", uid + " is aborted, but no user requested its cancellation", now);
 }
 
 void Checker::record_failed_poll(const std::string& uid, double now) {
@@ -108,7 +109,7 @@
   Job& job = jobs_[uid];
   if (job.polls_fail_since == 0) job.polls_fail_since = now;
   if (job.accepted && now - job.polls_fail_since > kMaxFailingPollsS &&
-      (now - last_reply_at_ < 1 || (faults_ended_at_ > 0 && now - faults_ended_at_ > kMaxFailingPollsS))) {
+      (now - last_known_status_at_ < 1 || (faults_ended_at_ > 0 && now - faults_ended_at_ > kMaxFailingPollsS))) {
     add_violation("forgotten", uid + ": polls fail", now);
     job.polls_fail_since = now;
   }
--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -21,6 +21,7 @@
 
 class Checker {
  public:
+  // `limits`: cores by team. `cancel_s`: how long tasks may run after their job's cancellation was confirmed.
   Checker(std::map<std::string, double> limits, double cancel_s) : limits_(std::move(limits)), cancel_s_(cancel_s) {}
 
   // Sets the limit of a team from now on; while the controllers' settings differ, callers pass the highest one.
@@ -42,7 +43,7 @@
   void record_task_end(const std::string& uid, std::uint32_t task, const std::string& node, bool completed, double now);
   // Checks the rules that are broken by the passage of time alone.
   void check_deadlines(double now);
-  // All faults have ended: from now on the polls of each job must succeed, whether or not those of other jobs do.
+  // All faults have ended: from now on, polls of a job that keep failing are a violation even if the polls of all jobs fail.
   void record_faults_ended(double now);
 
   // All violations, each as "rule: details".
@@ -70,7 +71,7 @@
     bool accepted = false, withdrawal_requested = false;
     std::string final_status;                                // "done" or "aborted"; empty until a reply contains it
     double accepted_at = 0, ended_at = 0, cancelled_at = 0;  // when the earliest reply with such a status was received
-    double polls_fail_since = 0;                             // first failed poll since the last known status; 0: none
+    double polls_fail_since = 0;                             // first failed poll since a reply last had a status; 0: none
     // When the latest request was sent whose reply was "unknown" or "refused", or a status that is not final.
     double unknown_sent_at = 0, unfinished_sent_at = 0;
     std::set<std::uint32_t> completed_tasks;
@@ -87,8 +88,8 @@
   void add_violation(const std::string& rule, const std::string& details, double now);
 
   mutable std::mutex mutex_;
-  std::map<std::string, double> limits_, used_;
-  double cancel_s_, last_reply_at_ = 0, started_at_ = 0, faults_ended_at_ = 0;
+  std::map<std::string, double> limits_, used_;  // cores by team
+  double cancel_s_, last_known_status_at_ = 0, started_at_ = 0, faults_ended_at_ = 0;
   std::map<std::string, Job> jobs_;
   std::vector<double> acceptance_times_;
   std::vector<std::string> violations_;
--- a/testbed/fake_state_store.hpp
+++ b/testbed/fake_state_store.hpp
@@ -54,8 +54,9 @@
     // Set by the store when that request arrives. The test resets it after it has killed the controller.
     std::atomic<bool> crash_reached{false};
 
-    // Makes two takeovers overlap: the next transaction that takes the leader key gets no reply and is executed just before the one after
-    // it, with its session lease renewed as after an outage. Until then session leases can't be deleted. Resets itself.
+    // Makes two takeovers overlap. The next transaction that takes the leader key is held back and gets no reply. When another one takes
+    // the leader key, the store renews the session lease of the first one, as after an outage, and executes both, the first one first.
+    // Until then session leases can't be deleted. Resets itself.
     std::atomic<bool> delays_takeover{false};
 
     // Loses the reply to the next successful transaction that sets or removes a key with this prefix: it is executed at once, but its reply
@@ -79,9 +80,10 @@
   [[nodiscard]] std::size_t oversized_transactions() const { return oversized_transactions_; }
   // Expires all session leases early, as if an outage had lost their renewals.
   void expire_session_leases();
-  // Starts or ends an outage. When an outage ends, every session lease gets its full duration again.
+  // Starts or ends an outage: sets or clears `rejects_requests` of all endpoints. When an outage ends, every session lease gets its full
+  // duration again.
   void set_outage(bool is_out);
-  // Starts an outage when a controller next takes the leader key: it leads but can read nothing.
+  // Starts an outage when a controller next takes the leader key: that controller leads but can read nothing.
   std::atomic<bool> outage_at_takeover{false};
   // Starts an outage when a controller next reads the ledger.
   std::atomic<bool> outage_at_ledger_read{false};
--- a/testbed/fault_run.cpp
+++ b/testbed/fault_run.cpp
@@ -67,10 +67,10 @@
 
 void FaultRun::end_faults() {
   for (auto& worker : cluster.workers) worker->lose_replies_until(0);
-  cluster.state.set_outage(false);
+  cluster.store.set_outage(false);
   for (std::size_t i = 0; i < controllers(); ++i) {
     cluster.set_partitioned(i, false, false);
-    auto& endpoint = cluster.state.endpoint(i);
+    auto& endpoint = cluster.store.endpoint(i);
     endpoint.rejects_requests = false;
     endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
   }
@@ -81,7 +81,7 @@
 bool FaultRun::wait_for_format_version(std::uint32_t format_version, double within_s) {
   const auto expected_value = active_version_value({format_version, 0});
   for (const double until = steady_now() + within_s; steady_now() < until; wait(0.1))
-    if (cluster.state.value(kActiveVersionKey) == expected_value) return true;
+    if (cluster.store.value(kActiveVersionKey) == expected_value) return true;
   return false;
 }
 
@@ -116,8 +116,8 @@
   report.longest_acceptance_gap_after_faults_s =
       cluster.checker.longest_acceptance_gap(faults_ended_at_, faults_ended_at_ + kHealthyPeriodS);
   report.scenario_figures = scenario_figures;
-  report.unfenced_writes = cluster.state.unfenced_writes();
-  report.oversized_transactions = cluster.state.oversized_transactions();
+  report.unfenced_writes = cluster.store.unfenced_writes();
+  report.oversized_transactions = cluster.store.oversized_transactions();
   report.dependent_jobs = cluster.checker.dependent_jobs();
   report.first_dependent_after_s = report.dependent_jobs.first_accepted_at - all_newer_at;
   report.fault_pairs = fault_pairs_;
@@ -174,7 +174,7 @@
 
 void FaultRun::inject(Fault fault) {
   const auto any = draw(controllers()), leader = leader_or_last();
-  auto& endpoint = cluster.state.endpoint(any);
+  auto& endpoint = cluster.store.endpoint(any);
   ++events;
   switch (fault) {
     case Fault::leader_killed: kill_leader(leader); break;
@@ -231,20 +231,20 @@
 
 void FaultRun::inject_outage() {
   log_event("outage of the store");
-  cluster.state.set_outage(true);
+  cluster.store.set_outage(true);
   wait_during_fault(1 + static_cast<double>(draw(4)));
-  cluster.state.set_outage(false);
+  cluster.store.set_outage(false);
 }
 
 // The store rejects the leader's requests, then those of all controllers: the outage meets the successor during or just before its
 // takeover. Some outages last longer than cancel_s.
 void FaultRun::reject_leader_then_all(std::size_t leader) {
   log_event("store rejects the leader's requests, then all requests");
-  cluster.state.endpoint(leader).rejects_requests = true;
+  cluster.store.endpoint(leader).rejects_requests = true;
   wait(1.3 + 0.1 * static_cast<double>(draw(12)));
-  cluster.state.set_outage(true);
+  cluster.store.set_outage(true);
   wait_during_fault(draw(3) != 0 ? 8 : 26);
-  cluster.state.set_outage(false);
+  cluster.store.set_outage(false);
 }
 
 // Partitions the leader or a random controller from its peers and mostly from the store; its workers and users still reach it.
--- a/testbed/fault_run.hpp
+++ b/testbed/fault_run.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "testbed/cluster.hpp"
+#include "testbed/fault_test_cluster.hpp"
 #include "testbed/run_report.hpp"
 
 namespace thistlefront::testbed {
@@ -20,7 +20,7 @@
 inline constexpr const char* kRelayDrawn = "drawn";  // random at each start of a controller
 
 struct ScenarioOptions {
-  Cluster::Options cluster;
+  FaultTestCluster::Options cluster;
   std::string older_program, newer_program;
   double faults_s = 40;         // duration of fault injection
   double settle_s = 60;         // maximum time until the format version is active
@@ -63,7 +63,7 @@
   std::size_t draw(std::size_t bound) { return random() % bound; }
 
   const ScenarioOptions options;
-  Cluster cluster;
+  FaultTestCluster cluster;
   std::mt19937 random;
   std::size_t events = 0;
   double all_newer_at = 0;  // when all controllers ran the newer build, steady seconds
--- a/testbed/cluster.cpp
+++ b/testbed/fault_test_cluster.cpp
@@ -1,4 +1,4 @@
-#include "testbed/cluster.hpp"
+#include "testbed/fault_test_cluster.hpp"
 
 #include <unistd.h>
 
@@ -22,9 +22,9 @@
 constexpr int kRamGb = 64;
 }  // namespace
 
-Cluster::Cluster(const Options& options)
+FaultTestCluster::FaultTestCluster(const Options& options)
     : checker(kLimits, ProtocolTimes{}.cancel_s),
-      state(options.controllers, options.seed),
+      store(options.controllers, options.seed),
       options_(options),
       directory_((std::filesystem::temp_directory_path() / ("thistlefront-fault-test-" + std::to_string(::getpid()))).string()),
       cloud_address_(test_support::free_address()) {
@@ -53,7 +53,7 @@
         [this, seed = options.seed * 100 + static_cast<unsigned>(i)](const std::stop_token& stop) { User(*this, seed).run(stop); });
 }
 
-Cluster::~Cluster() {
+FaultTestCluster::~FaultTestCluster() {
   users_.clear();
   for (std::size_t i = 0; i < processes_.size(); ++i) kill_controller(i);
   workers.clear();
@@ -61,7 +61,7 @@
   std::filesystem::remove_all(directory_);
 }
 
-void Cluster::write_settings(std::size_t i, const std::map<std::string, double>& limits) {
+void FaultTestCluster::write_settings(std::size_t i, const std::map<std::string, double>& limits) {
   ControllerSettings settings;
   settings.controller = i;
   settings.controllers = settings_files_.size();
@@ -69,7 +69,7 @@
   settings.client_address = addresses_[i];
   settings.peer_address = peer_addresses_[i];
   settings.cloud_address = cloud_address_;
-  settings.store_address = state.endpoint(i).address;
+  settings.store_address = store.endpoint(i).address;
   for (std::size_t k = 0; k < settings_files_.size(); ++k)
     if (k != i) settings.peers.push_back({k, network_relays_.at({i, k})->address()});
   for (const auto& [team, limit] : limits) settings.teams.push_back({team, limit / 2, limit});
@@ -89,32 +89,32 @@
   std::ofstream(settings_files_[i]) << to_toml(settings);
 }
 
-void Cluster::start_controller(std::size_t i, const std::string& program, const std::vector<std::string>& flags) {
+void FaultTestCluster::start_controller(std::size_t i, const std::string& program, const std::vector<std::string>& flags) {
   std::vector<std::string> arguments = flags;
   arguments.insert(arguments.end(), {"--config", settings_files_[i]});
   const auto log = options_.logs.empty() ? "/dev/null" : options_.logs + "/" + controller_label(i) + ".log";
   processes_[i].start(program, arguments, log);
 }
 
-void Cluster::kill_controller(std::size_t i) {
+void FaultTestCluster::kill_controller(std::size_t i) {
   processes_[i].kill();
 }
 
-void Cluster::set_frozen(std::size_t i, bool frozen) {
+void FaultTestCluster::set_frozen(std::size_t i, bool frozen) {
   processes_[i].set_frozen(frozen);
 }
 
-void Cluster::set_partitioned(std::size_t i, bool partitioned, bool store_too) {
+void FaultTestCluster::set_partitioned(std::size_t i, bool partitioned, bool store_too) {
   for (auto& [controllers, relay] : network_relays_)
     if (controllers.first == i || controllers.second == i) relay->set_partitioned(partitioned);
-  if (store_too || !partitioned) state.endpoint(i).rejects_requests = partitioned;
+  if (store_too || !partitioned) store.endpoint(i).rejects_requests = partitioned;
 }
 
-std::size_t Cluster::leader() {
-  return find_controller(state.leader(), processes_.size());
+std::size_t FaultTestCluster::leader() {
+  return find_controller(store.leader(), processes_.size());
 }
 
-HttpReply Cluster::handle_cloud_request(const HttpCall& call) const {
+HttpReply FaultTestCluster::handle_cloud_request(const HttpCall& call) const {
   if (call.target == "/flavors") return {200, machine_types(kNodeCores, kRamGb, kZones).dump()};
   // Injected fault: instances can be neither rented nor released.
   if (call.method != "GET") return {503, R"({"error":"no capacity"})"};
@@ -124,7 +124,7 @@
   return {200, instance_list(instances, false).dump()};
 }
 
-HttpResult Cluster::call(const std::string& method, const std::string& path, const std::string& body, unsigned& random) const {
+HttpResult FaultTestCluster::call(const std::string& method, const std::string& path, const std::string& body, unsigned& random) const {
   HttpResult result;
   for (std::size_t k = 0; k < addresses_.size(); ++k) {
     random = random * 1664525u + 1013904223u;
@@ -135,7 +135,7 @@
   return result;
 }
 
-void Cluster::record_reply(const std::string& uid, const HttpResult& reply, double sent_at) {
+void FaultTestCluster::record_reply(const std::string& uid, const HttpResult& reply, double sent_at) {
   const double now = steady_now();
   if (sent_at == 0) sent_at = now;
   if (reply.is(200) || reply.is(201)) {
@@ -150,7 +150,7 @@
   }
 }
 
-void Cluster::poll_all_controllers(const std::string& uid, const std::string& submission) {
+void FaultTestCluster::poll_all_controllers(const std::string& uid, const std::string& submission) {
   std::vector<std::jthread> callers;
   callers.reserve(addresses_.size());
   for (const auto& address : addresses_) {
--- a/testbed/cluster.hpp
+++ b/testbed/fault_test_cluster.hpp
@@ -23,7 +23,7 @@
 inline const std::map<std::string, double> kLimits{{"red", 60}, {"blue", 25}};
 inline const std::vector<std::string> kZones{"x", "y"};
 
-class Cluster {
+class FaultTestCluster {
  public:
   struct Options {
     std::size_t controllers = 3, workers = 40, users = 6;
@@ -31,10 +31,10 @@
     std::string logs;  // directory for the logs of the controllers; empty: they are discarded
   };
   // Starts workers and users, but no controllers.
-  explicit Cluster(const Options& options);
-  ~Cluster();
-  Cluster(const Cluster&) = delete;
-  Cluster& operator=(const Cluster&) = delete;
+  explicit FaultTestCluster(const Options& options);
+  ~FaultTestCluster();
+  FaultTestCluster(const FaultTestCluster&) = delete;
+  FaultTestCluster& operator=(const FaultTestCluster&) = delete;
 
   // Writes a controller's settings file with these team limits in cores. The controller reads it at its next start.
   void write_settings(std::size_t i, const std::map<std::string, double>& limits);
@@ -42,12 +42,13 @@
   void start_controller(std::size_t i, const std::string& program, const std::vector<std::string>& flags);
   void kill_controller(std::size_t i);
   void set_frozen(std::size_t i, bool frozen);
-  // Starts or ends a partition of a controller from its peers, and from the store if `store_too`. Its workers and users still reach it.
+  // Starts or ends a partition of a controller from its peers. Starting it also partitions the controller from the store if `store_too`;
+  // ending it always reconnects the controller to the store. Workers and users still reach the controller.
   void set_partitioned(std::size_t i, bool partitioned, bool store_too);
   // Index of the leader, or the number of controllers while there is no leader.
   [[nodiscard]] std::size_t leader();
 
-  // Calls randomly chosen controllers until the request could be sent to one.
+  // Calls random controllers until the request could be sent to one; makes at most as many tries as there are controllers.
   HttpResult call(const std::string& method, const std::string& path, const std::string& body, unsigned& random) const;
   // Reports a reply about a job to the checker. `sent_at`: when the request was sent (steady seconds), for users with concurrent requests;
   // 0: the user sends one request after the other.
@@ -57,7 +58,7 @@
   void stop_users() { users_.clear(); }
 
   Checker checker;
-  test_support::FakeStateStore state;
+  test_support::FakeStateStore store;
   std::atomic<bool> dependent_jobs{false};  // whether users submit jobs with dependencies
   std::list<std::unique_ptr<Worker>> workers;
 
--- a/testbed/load_test/load_test_run.hpp
+++ b/testbed/load_test/load_test_run.hpp
@@ -20,10 +20,10 @@
   std::string log_directory;                  // for the controllers' logs; empty: discarded
   std::string label;                          // repeated in the result
   std::size_t controllers = 3, workers = 500, threads = 2, teams = 20;
-  std::size_t running_tasks = 0;  // 0: 20 per worker
-  double starts_per_s = 0;        // 0: 0.28 per worker
+  std::size_t running_tasks = 0;  // target; 0: 20 per worker
+  double starts_per_s = 0;        // target; 0: 0.28 per worker
   std::size_t tasks_per_job = 40;
-  double max_ramp_s = 60;  // until the tasks run
+  double max_ramp_s = 60;  // maximum time until the target number of tasks runs
   double settle_s = 5, measure_s = 20;
   double heartbeat_interval_s = 3, lease_s = 22, cancel_s = 42;
   double store_rps = 2000, store_write_rps = 200, store_value_kb = 64;
--- a/testbed/load_test/simulated_fleet.hpp
+++ b/testbed/load_test/simulated_fleet.hpp
@@ -17,7 +17,7 @@
 
 class Checker;
 
-// All but the image pull as in the controllers' settings.
+// Durations of the protocol. All but `image_pull_s` have the same values as in the controllers' settings.
 struct FleetTimings {
   double heartbeat_interval_s = 3, lease_s = 22, cancel_s = 42, image_pull_s = 0.2;
 };
--- a/testbed/load_test/simulated_worker.cpp
+++ b/testbed/load_test/simulated_worker.cpp
@@ -22,7 +22,7 @@
 using nlohmann::json;
 
 namespace {
-constexpr double kMinHeartbeatIntervalS = 0.5;  // limits the heartbeats on change
+constexpr double kMinHeartbeatIntervalS = 0.5;  // between heartbeats that are sent early because of a change
 constexpr int kReplyTimeoutS = 4;
 constexpr double kRetryDelayS = 1;      // after a heartbeat that failed or was refused
 constexpr double kRunTimeSpread = 0.5;  // largest deviation from the job's run time, as a fraction of it
--- a/testbed/scenarios.cpp
+++ b/testbed/scenarios.cpp
@@ -14,7 +14,7 @@
 
 // Lowers the store's limits to those that the settings announce as the next ones.
 void shrink_store_limits(FaultRun& run) {
-  run.cluster.state.set_limits(kSmallValueBytes, kSmallTransactionChanges);
+  run.cluster.store.set_limits(kSmallValueBytes, kSmallTransactionChanges);
 }
 
 // ---- rollout
@@ -147,7 +147,7 @@
 }
 
 void RestartScenario::kill_one(std::size_t i) {
-  auto& endpoint = run_.cluster.state.endpoint(i);
+  auto& endpoint = run_.cluster.store.endpoint(i);
   const auto requests_before_crash = static_cast<int>(run_.draw(12));
   if (run_.draw(3) != 0) {
     endpoint.executes_last_request = run_.draw(2) == 0;
--- a/testbed/user.hpp
+++ b/testbed/user.hpp
@@ -8,14 +8,14 @@
 #include <vector>
 
 #include "testbed/checker.hpp"
-#include "testbed/cluster.hpp"
+#include "testbed/fault_test_cluster.hpp"
 
 namespace thistlefront::testbed {
 
 class User {
  public:
   // `seed` is also part of the job identifiers, so that they are unique.
-  User(Cluster& cluster, unsigned seed) : cluster_(cluster), seed_(seed), random_(seed), address_random_(seed) {}
+  User(FaultTestCluster& cluster, unsigned seed) : cluster_(cluster), seed_(seed), random_(seed), address_random_(seed) {}
   // Runs until stop is requested.
   void run(const std::stop_token& stop);
 
@@ -27,7 +27,7 @@
   void poll_unknown_job();
   void poll_job();
 
-  Cluster& cluster_;
+  FaultTestCluster& cluster_;
   const unsigned seed_;
   std::mt19937 random_;
   unsigned address_random_;        // selects the controllers to call
--- a/testbed/worker.cpp
+++ b/testbed/worker.cpp
@@ -14,7 +14,7 @@
 namespace {
 constexpr double kPollIntervalS = 0.1;
 constexpr double kReplyTimeoutS = 4;            // replies that arrive later are dropped
-constexpr double kMinHeartbeatIntervalS = 0.5;  // for heartbeats that are sent early because of a change
+constexpr double kMinHeartbeatIntervalS = 0.5;  // between heartbeats that are sent early because of a change
 constexpr double kRetryPauseS = 1;
 constexpr int kServerConnections = 20;
 // Longer than a controller waits for the reply to a command.
@@ -113,7 +113,7 @@
   advance_to(steady_now());
   const auto body = json::parse(reply.body, nullptr, false);
   const auto fencing_token = body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
-  // Drops a reply with a lower token, one to an earlier incarnation, and one that came late because the agent hung.
+  // Drops a reply with a lower token, a reply to an earlier incarnation, and a reply that is late because the agent hung.
   if (fencing_token < fencing_token_ || agent_incarnation != agent_incarnation_ || steady_now() > sent_at + kReplyTimeoutS || terminated_)
     return;
   changed_ |= fencing_token > fencing_token_;
--- a/testbed/worker.hpp
+++ b/testbed/worker.hpp
@@ -44,7 +44,7 @@
   void lose_replies_until(double until) { loses_replies_until_ = until; }
   // While set, direct commands do not reach the agent; replies to its heartbeats do.
   void drop_commands(bool drops) { drops_commands_ = drops; }
-  // While set, one in eight heartbeats arrives a second time, up to three leases late, at a random controller.
+  // While set, one in eight heartbeats arrives a second time, up to three lease durations late, at a random controller.
   void duplicate_heartbeats(bool duplicates) { duplicates_heartbeats_ = duplicates; }
   // Incremented each time the lease expires.
   [[nodiscard]] std::uint64_t agent_incarnation() {
@@ -102,7 +102,7 @@
   void kill_task(Task& task, double now);
   [[nodiscard]] double used_cores() const;
   std::string heartbeat_body();
-  // Starts and completes tasks that are due, and ends the incarnation if the lease has expired.
+  // Starts and completes the tasks that are due. If the lease has expired, removes all tasks and begins a new incarnation.
   void advance_to(double now);
   void remove_all_tasks(double now);
 
--- a/tests/cancellation_during_outage_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -10,8 +10,8 @@
 
 using test_support::wait;
 
-constexpr testbed::ProtocolTimes kTimes{0.5, 4, 8, 0.1};  // heartbeat, lease, cancel, pull
-constexpr double kOutageS = 13;                           // longer than cancel_s and the time until a reply
+constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.5, .lease_s = 4, .cancel_s = 8, .image_pull_s = 0.1};
+constexpr double kOutageS = 13;  // longer than cancel_s and the time until a reply
 
 class CancellationDuringOutage : public test_support::ClusterFixture {
  protected:
@@ -35,12 +35,12 @@
     return r.is(200);
   }
 
-  std::size_t first = 0;
+  std::size_t first = 0;  // index of the first leader
 };
 
 // The store refuses the first leader, whose successor is partitioned from the majority that the first leader still reaches. The first
-// leader goes on renewing leases without knowing of the cancellation. The successor may confirm it only once that majority knows of the
-// successor.
+// leader continues to renew leases without knowing of the cancellation. The successor may confirm the cancellation only once that
+// majority knows of the successor.
 class CancellationDuringOutageOf : public CancellationDuringOutage, public testing::WithParamInterface<std::size_t> {};
 TEST_P(CancellationDuringOutageOf, IsNotConfirmedWhileAMajorityMayFollowAnEarlierLeader) {
   const std::size_t n = GetParam();
@@ -50,16 +50,16 @@
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k)
       if (is_with_next(i) != is_with_next(k)) set_partition(i, k, true);
-  for (std::size_t i = 0; i < n; ++i) cluster->state.endpoint(i).rejects_requests = i != next;
+  for (std::size_t i = 0; i < n; ++i) cluster->store.endpoint(i).rejects_requests = i != next;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() == next; }));
   bool confirmed = false;
   for (const double until = steady_now() + 2; steady_now() < until; wait(0.1)) confirmed = withdraw(next, "j-1") || confirmed;
-  cluster->state.set_outage(true);
+  cluster->store.set_outage(true);
   wait(kOutageS);
-  EXPECT_FALSE(confirmed) << "the other controllers may go on renewing leases without knowing of it";
+  EXPECT_FALSE(confirmed) << "the other controllers may continue to renew leases without knowing of the cancellation";
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t k = 0; k < i; ++k) set_partition(i, k, false);
-  cluster->state.set_outage(false);
+  cluster->store.set_outage(false);
   EXPECT_TRUE(cluster->eventually(20, [&] { return withdraw(cluster->leader(), "j-1"); }));
   wait(kTimes.cancel_s + 0.5);
   EXPECT_EQ(count_running_tasks("j-2"), 2u);
@@ -76,9 +76,9 @@
     wait(0.7);
     freeze_agents(2);
     ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(cluster->leader(), uid); }));
-    cluster->state.set_outage(true);
+    cluster->store.set_outage(true);
     wait(kOutageS);
-    cluster->state.set_outage(false);
+    cluster->store.set_outage(false);
     ASSERT_TRUE(cluster->eventually(10, [&] { return count_running_tasks(uid) == 0; }));
     if (uid == std::string("j-1")) {
       EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; }));
@@ -90,54 +90,54 @@
 // A cancellation is confirmed just before the leader stops. The next leader cannot read the ledger during the outage, so it does not know
 // which jobs are cancelled nor since when. Runs with the controllers in the nodes' zone and in another zone.
 class CancellationDuringOutageIn : public CancellationDuringOutage, public testing::WithParamInterface<const char*> {};
-TEST_P(CancellationDuringOutageIn, LetsLeasesExpireWhileTheLedgerIsNotRead) {
+TEST_P(CancellationDuringOutageIn, NewLeaderLetsLeasesExpireWhileItCannotReadTheLedger) {
   start_cluster(3, GetParam());
   for (auto& worker : workers) worker->drop_commands(true);
   wait(0.7);
   freeze_agents(1.5);
   ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(first, "j-1"); }));
-  cluster->state.outage_at_takeover = true;
+  cluster->store.outage_at_takeover = true;
   cluster->stop(first);
   wait(kOutageS);
-  cluster->state.set_outage(false);
+  cluster->store.set_outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; })) << "the tasks were not restarted";
 }
 INSTANTIATE_TEST_SUITE_P(Zones, CancellationDuringOutageIn, testing::Values("", "x"));
 
-// The outage begins while the next controller reads the ledger before taking over. The first leader, which knows the cancelled jobs, goes
-// on renewing leases.
-TEST_F(CancellationDuringOutage, KeepsLeasesWhenItBeginsBeforeTheTakeover) {
+// The outage begins while the next controller reads the ledger before its takeover. The first leader, which knows the cancelled jobs,
+// continues to renew leases.
+TEST_F(CancellationDuringOutage, KeepsLeasesWhenTheOutageBeginsBeforeTheTakeover) {
   start_cluster(3);
   for (auto& worker : workers) worker->drop_commands(true);
   wait(0.7);
   freeze_agents(1.5);
   ASSERT_TRUE(cluster->eventually(5, [&] { return withdraw(first, "j-1"); }));
-  cluster->state.outage_at_ledger_read = true;
-  cluster->state.endpoint(first).rejects_requests = true;
+  cluster->store.outage_at_ledger_read = true;
+  cluster->store.endpoint(first).rejects_requests = true;
   wait(1.5 + kOutageS);
-  EXPECT_FALSE(cluster->state.outage_at_ledger_read) << "the ledger was not read";
-  cluster->state.set_outage(false);
+  EXPECT_FALSE(cluster->store.outage_at_ledger_read) << "the ledger was not read";
+  cluster->store.set_outage(false);
   EXPECT_TRUE(cluster->eventually(10, [&] { return count_running_tasks("j-2") == 2; }));
   EXPECT_EQ(workers[0]->agent_incarnation() + workers[1]->agent_incarnation(), 2u) << "a lease expired during the outage";
 }
 
 // The successor confirms a cancellation, is restarted during the outage and does not lead afterwards. Agents send heartbeats to any
 // controller that they reach.
-TEST_F(CancellationDuringOutage, HoldsWhenTheSuccessorRestarts) {
+TEST_F(CancellationDuringOutage, RemainsConfirmedWhenTheSuccessorRestarts) {
   start_cluster(3, "x");
   for (auto& worker : workers) worker->drop_commands(true);
-  cluster->state.endpoint(first).rejects_requests = true;
-  ASSERT_TRUE(cluster->eventually(20, [&] { return !cluster->state.leader().empty() && cluster->leader() != first; }));
+  cluster->store.endpoint(first).rejects_requests = true;
+  ASSERT_TRUE(cluster->eventually(20, [&] { return !cluster->store.leader().empty() && cluster->leader() != first; }));
   const auto next = cluster->leader();
   freeze_agents(2);
   ASSERT_TRUE(cluster->eventually(10, [&] { return withdraw(next, "j-1"); }));
-  cluster->state.set_outage(true);
+  cluster->store.set_outage(true);
   wait(1.5);
   cluster->stop(next);
   wait(0.2);
   cluster->start(next, test_support::fixed_version_options());
   wait(kOutageS);
-  cluster->state.set_outage(false);
+  cluster->store.set_outage(false);
   EXPECT_TRUE(cluster->eventually(20, [&] { return count_running_tasks("j-2") == 2; }));
 }
 
--- a/tests/cluster.hpp
+++ b/tests/cluster.hpp
@@ -50,10 +50,10 @@
 class Cluster {
  public:
   // `options`: by controller; the last element applies to all further controllers. `change_settings` is called before any controller
-  // starts. `cloud`: replaces the cloud without capacity.
+  // starts. `cloud`: handler of the fake cloud; empty: no instances and no capacity.
   explicit Cluster(std::size_t n, unsigned seed = 1, const std::vector<Options>& options = {fixed_version_options()},
                    const std::function<void(std::vector<Settings>&)>& change_settings = {}, const HttpServer::Handler& cloud = {})
-      : state(n, seed), cloud_address_(free_address()), cloud_(cloud_address_, 20, [cloud](const HttpCall& c) -> HttpReply {
+      : store(n, seed), cloud_address_(free_address()), cloud_(cloud_address_, 20, [cloud](const HttpCall& c) -> HttpReply {
           if (cloud) return cloud(c);
           if (c.target == kMachineTypesPath) return {200, kMachineTypes};
           if (c.method == "GET") return {200, R"({"hosts":[],"truncated":false})"};
@@ -66,7 +66,7 @@
       s.label = "host-" + std::to_string(i);
       s.client_listen = free_address();
       s.peer_listen = free_address();
-      s.store_address = state.endpoint(i).address;
+      s.store_address = store.endpoint(i).address;
       s.cloud_address = cloud_address_;
       s.teams = {{"red", {}, {}}};
       s.heartbeat_interval_s = 1, s.lease_s = 5, s.gang_wait_s = 20, s.gang_peer_s = 3, s.cancel_s = 20;
@@ -76,7 +76,7 @@
     for (std::size_t i = 0; i < n; ++i) {
       for (std::size_t k = 0; k < n; ++k)
         if (k != i) settings_[i].peers.push_back({settings_[k].label, "x", settings_[k].peer_listen});
-      users.push_back(settings_[i].client_listen);
+      client_addresses.push_back(settings_[i].client_listen);
     }
     if (change_settings) change_settings(settings_);
     controllers_.resize(n);
@@ -85,8 +85,8 @@
   ~Cluster() { stop_all(); }
   // Ends the faults of the store and stops all controllers at the same time.
   void stop_all() {
-    for (std::size_t i = 0; i < users.size(); ++i) {
-      auto& endpoint = state.endpoint(i);
+    for (std::size_t i = 0; i < client_addresses.size(); ++i) {
+      auto& endpoint = store.endpoint(i);
       endpoint.rejects_requests = endpoint.holds_replies = false;
       endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
     }
@@ -111,17 +111,17 @@
   }
   // The settings that apply from the controller's next start.
   Settings& settings(std::size_t i) { return settings_[i]; }
-  std::string format_version() { return state.value(kActiveVersionKey); }
+  std::string format_version() { return store.value(kActiveVersionKey); }
 
   HttpResult ask(std::size_t controller, const std::string& method, const std::string& path, const std::string& body = "") const {
-    HttpClient client(users[controller]);
+    HttpClient client(client_addresses[controller]);
     return client.call(method, path, body, 5);
   }
   HttpResult submit(std::size_t controller, const std::string& uid) const { return ask(controller, "POST", "/v1/jobs", job_body(uid)); }
   // Submits until some controller accepts the job. Returns false if none does in time.
   bool submit_until(const std::string& uid, double within_s) const {
     for (const double until = steady_now() + within_s; steady_now() < until;) {
-      for (std::size_t i = 0; i < users.size(); ++i) {
+      for (std::size_t i = 0; i < client_addresses.size(); ++i) {
         const auto reply = submit(i, uid);
         if (reply.is(201) || reply.is(200)) return true;
       }
@@ -132,8 +132,8 @@
   // Waits until there is a leader and returns its index.
   std::size_t leader() {
     for (const double until = steady_now() + 20; steady_now() < until;) {
-      const auto label = state.leader();
-      for (std::size_t i = 0; i < users.size(); ++i)
+      const auto label = store.leader();
+      for (std::size_t i = 0; i < client_addresses.size(); ++i)
         if (label == "host-" + std::to_string(i)) return i;
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
@@ -151,14 +151,14 @@
   // By job: the number of acceptance records in the ledger, which must be one.
   std::map<std::string, int> acceptances_in_ledger() {
     std::map<std::string, int> out;
-    for (const auto& [key, value] : state.ledger_entries())
+    for (const auto& [key, value] : store.ledger_entries())
       for (const auto& record : parse_entry(value).records)
         if (const auto* accepted = std::get_if<JobAcceptedRecord>(&record)) ++out[accepted->job.uid];
     return out;
   }
 
-  FakeStateStore state;
-  std::vector<std::string> users;  // client addresses, by controller
+  FakeStateStore store;
+  std::vector<std::string> client_addresses;  // by controller
 
  private:
   std::string cloud_address_;
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -37,21 +37,21 @@
         },
         cloud);
     for (std::size_t i = 0; i < node_count; ++i)
-      workers.push_back(
-          std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->users, checker, times, static_cast<unsigned>(7 + i)));
+      workers.push_back(std::make_unique<testbed::Worker>("m-" + std::to_string(i), "x", cluster->client_addresses, checker, times,
+                                                          static_cast<unsigned>(7 + i)));
     checker_thread = std::jthread([this](const std::stop_token& stop) {
       while (pause_for(stop, 0.02)) checker.check_deadlines(steady_now());
     });
   }
   void TearDown() override {
     checker_thread = {};
-    if (cluster) cluster->state.set_outage(false);
+    if (cluster) cluster->store.set_outage(false);
     // Stops the controllers first: while they run, they may call the cloud, whose handler accesses the workers.
     if (cluster) cluster->stop_all();
     workers.clear();
     cluster.reset();
     network_relays.clear();
-    EXPECT_TRUE(checker.violations().empty()) << checker.violations().size() << " broken, first " << checker.violations().front();
+    EXPECT_TRUE(checker.violations().empty()) << checker.violations().size() << " violations, first: " << checker.violations().front();
   }
   // Makes a user's call about this job, reports the status in the reply to the checker, and returns it.
   template <class Call>
@@ -82,14 +82,14 @@
   }
   // Starts or ends a partition between one controller and all others.
   void set_partition(std::size_t a, bool partitioned) {
-    for (std::size_t k = 0; k < cluster->users.size(); ++k)
+    for (std::size_t k = 0; k < cluster->client_addresses.size(); ++k)
       if (k != a) set_partition(a, k, partitioned);
   }
   void freeze_agents(double for_s) {
     for (auto& worker : workers) worker->hang_until(steady_now() + for_s);
   }
 
-  HttpServer::Handler cloud;  // replaces the cloud without capacity
+  HttpServer::Handler cloud;  // handler of the fake cloud; empty: no instances and no capacity
   const testbed::ProtocolTimes times;
   testbed::Checker checker;
   std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<testbed::NetworkRelay>> network_relays;  // by calling and called controller
--- a/tests/concurrent_leaders_test.cpp
+++ b/tests/concurrent_leaders_test.cpp
@@ -1,7 +1,7 @@
-// Explores exhaustively two controllers that may both believe that they lead: two teams with a quota of one core each, three jobs, two
-// nodes, and every interleaving, up to a number of events, of decisions, transactions that are delayed, lost or applied without an
-// answer, commands that are delayed or lost, task exits, heartbeats, expired session leases and takeovers. Cluster state, quota
-// accounts and reconciliation are those of the service. The tasks that the nodes run must stay within the quotas.
+// Two controllers may both believe that they lead. There are two teams with a quota of one core each, three jobs and two nodes. The test
+// explores every interleaving, up to a number of events, of decisions, transactions that are delayed, lost or applied without a reply,
+// commands that are delayed or lost, task exits, heartbeats, expired session leases and takeovers. Cluster state, quota accounts and
+// reconciliation are those of the service. The tasks that the nodes run must stay within the quotas.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -23,6 +23,8 @@
 
 struct Transaction {
   std::size_t sender = 0;  // index of the controller
+  // `fencing_token`: condition on the leader key. `term`: the sender's fencing token when it sent the transaction; in a later term, the
+  // sender ignores the reply.
   std::uint64_t fencing_token = 0, term = 0;
   Record record;
 };
@@ -174,17 +176,17 @@
     for (std::size_t i = 0; i < state.controllers.size(); ++i) controller_events(state, i, visit);
   }
 
-  // The transaction is applied or refused, and its sender receives the answer or not; or the transaction is lost.
+  // The transaction is applied or refused, and its sender receives the reply or not; or the transaction is lost.
   template <class Visit>
   void transaction_events(const SystemState& state, std::size_t transaction_index, const Visit& visit) {
-    for (const bool answered : {true, false}) {
+    for (const bool replied : {true, false}) {
       SystemState next = state;
       const Transaction transaction = next.transactions[transaction_index];
       next.transactions.erase(next.transactions.begin() + static_cast<long>(transaction_index));
       ControllerView& controller = next.controllers[transaction.sender];
       const bool committed = transaction.fencing_token == next.leader_token || removed_ == RemovedGuard::mod_revision_check;
       if (committed) next.ledger.push_back(transaction.record);
-      if (answered && controller.leads && controller.fencing_token == transaction.term) {
+      if (replied && controller.leads && controller.fencing_token == transaction.term) {
         controller.awaits_transaction = false;
         if (!committed) controller.leads = false;
         if (committed && removed_ != RemovedGuard::durability_before_commands) controller.applied.emplace_back(transaction.record);
@@ -332,8 +334,8 @@
   return state;
 }
 
-// Each team is at its quota: one job of each team runs, both on one node, and another job of the first team waits. Either of two
-// controllers that believe they lead cancels the running job of that team; commands and answers are delayed or lost.
+// Each team is at its quota: one job of each team runs, both on the same node, and another job of the first team is pending. Both
+// controllers believe that they lead, and either may cancel the running job of the first team. Commands and replies are delayed or lost.
 SystemState quotas_used_up() {
   SystemState state = accepted_jobs();
   state.users_cancel = true;
--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -54,10 +54,10 @@
       answered_at = steady_now();
     });
     wait(0.1);
-    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = true;
+    cluster->store.endpoint(leader).rejects_requests = cluster->store.endpoint(follower).rejects_requests = true;
     std::string newer_status;
     cluster->eventually(1.4, [&] {
-      if (cluster->state.leader() != "host-" + std::to_string(next)) return false;
+      if (cluster->store.leader() != "host-" + std::to_string(next)) return false;
       newer_status = status_of(request.job_accepted || !request.method ? cluster->ask(next, "POST", "/v1/jobs/" + uid + "/withdraw")
                                                                        : cluster->submit(next, uid));
       if (newer_status == "unknown") newer_status = status_of(cluster->submit(next, uid));  // the delayed submission was refused
@@ -72,7 +72,7 @@
     if (delayed_past_takeover) {
       EXPECT_TRUE(answer.is(503)) << request.name << ": " << answer.status << " " << answer.body << " after " << newer_status;
     }
-    cluster->state.endpoint(leader).rejects_requests = cluster->state.endpoint(follower).rejects_requests = false;
+    cluster->store.endpoint(leader).rejects_requests = cluster->store.endpoint(follower).rejects_requests = false;
     network_relays.at({next, follower})->set_partitioned(false);
   }
   EXPECT_TRUE(delayed_past_takeover) << "in no round was the answer delayed until another controller led";
@@ -98,7 +98,7 @@
   // Calls all controllers at the same time, each four times: two polls and two submissions.
   void call_all_controllers(const std::string& uid) {
     std::vector<std::jthread> users;
-    for (std::size_t i = 0; i < cluster->users.size(); ++i) {
+    for (std::size_t i = 0; i < cluster->client_addresses.size(); ++i) {
       users.emplace_back([this, uid, i] {
         for (int k = 0; k < 4; ++k) poll_or_submit(uid, i, k % 2 == 1);
       });
@@ -113,7 +113,7 @@
       const bool cancels = random() % 3 == 0;
       if (cancels) checker.record_withdrawal(uid);
       const auto accepted = [&] {
-        const auto status = submit(random() % cluster->users.size(), uid);
+        const auto status = submit(random() % cluster->client_addresses.size(), uid);
         return !status.empty() && status != "refused";
       };
       while (!stop_users && !accepted()) wait(0.05);
@@ -121,7 +121,7 @@
       newer_answer_given = true;
       if (!cancels || random() % 2) call_all_controllers(uid);
       for (const double until = steady_now() + 6; steady_now() < until && !stop_users; wait(0.02)) {
-        const auto controller = random() % cluster->users.size();
+        const auto controller = random() % cluster->client_addresses.size();
         const auto status = cancels ? withdraw(controller, uid) : poll(controller, uid);
         if (status != "done" && status != "aborted") continue;
         call_all_controllers(uid);
@@ -148,7 +148,7 @@
   const auto depose = [&](std::size_t leader, double for_s, std::size_t min_calls, const std::function<void(bool)>& set_fault) {
     set_fault(true);
     EXPECT_TRUE(cluster->eventually(10, [&] {
-      const auto current = cluster->state.leader();
+      const auto current = cluster->store.leader();
       return !current.empty() && current != "host-" + std::to_string(leader);
     }));
     newer_answer_given = false;  // only answers given from now on count
@@ -162,19 +162,19 @@
     wait(1);
   };
   auto leader = cluster->leader();
-  depose(leader, 1, 0, [&](bool faulty) { cluster->state.endpoint(leader).rejects_requests = faulty; });
+  depose(leader, 1, 0, [&](bool faulty) { cluster->store.endpoint(leader).rejects_requests = faulty; });
   leader = cluster->leader();
   // The leader reaches only its agents and users.
   depose(leader, 3, kSufficientCalls + 1, [&](bool faulty) {
     set_partition(leader, faulty);
-    cluster->state.endpoint(leader).rejects_requests = faulty;
+    cluster->store.endpoint(leader).rejects_requests = faulty;
   });
   EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that is partitioned";
   leader = cluster->leader();
   // The leader reaches only its agents and users; the store executes its requests but does not answer.
   depose(leader, 2, kSufficientCalls + 1, [&](bool faulty) {
     set_partition(leader, faulty);
-    cluster->state.endpoint(leader).holds_replies = faulty;
+    cluster->store.endpoint(leader).holds_replies = faulty;
   });
   EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that gets no answers from the store";
   for (const double pause : {0.05, 0.0}) {
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -1,6 +1,6 @@
 // Jobs are cancelled around a hand-over: before, during and after the last commit of the first leader, so that the record is queued, sent,
 // in the ledger, or already read by the successor. A confirmed cancellation must hold; a user without a confirmation repeats the request
-// and gets it from the successor.
+// and gets the confirmation from the successor.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -15,7 +15,7 @@
 
 using test_support::wait;
 
-constexpr testbed::ProtocolTimes kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
+constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.3, .lease_s = 4, .cancel_s = 8, .image_pull_s = 0.05};
 constexpr int kUsers = 6, kJobsPerUser = 40, kNodes = 3, kRelayedNodes = 10;
 constexpr double kCancelIntervalS = 0.2;  // between two cancellations of a user, before the hand-over
 
@@ -28,7 +28,7 @@
     bool confirmed = false;
   };
   static std::string uid_of(int user, int job) { return "j-" + std::to_string(user * 100 + job); }
-  bool leads(std::size_t controller) { return cluster->state.leader() == "host-" + std::to_string(controller); }
+  bool leads(std::size_t controller) { return cluster->store.leader() == "host-" + std::to_string(controller); }
 
   void submit_jobs() {
     for (int u = 0; u < kUsers; ++u) {
@@ -45,7 +45,7 @@
     for (std::uint64_t serial = 1; pause_for(stop, 0.2); ++serial) {
       for (int w = 0; w < kRelayedNodes && leads(first); ++w)
         cluster->ask(other, "POST", "/v1/report",
-                     test_support::heartbeat_body("p-" + std::to_string(w), "127.0.0.1:1", serial, cluster->state.fencing_token()));
+                     test_support::heartbeat_body("p-" + std::to_string(w), "127.0.0.1:1", serial, cluster->store.fencing_token()));
     }
   }
   void wait_for_hand_over() {
@@ -54,7 +54,7 @@
       handed_over_at = steady_now();
       return true;
     });
-    cluster->state.endpoint(first).reply_loss_probability = 0;
+    cluster->store.endpoint(first).reply_loss_probability = 0;
   }
   // Cancels the user's jobs one after the other, and repeats each request until the cancellation is confirmed.
   void cancel_jobs(int user) {
@@ -84,7 +84,7 @@
   }
   // Expects confirmed cancellations shortly before and after the hand-over, and refused ones around it.
   void expect_cancellations_around_hand_over() {
-    const double window_s = GetParam() > 0 ? 8 : 1.5;  // a lost response takes over a second
+    const double window_s = GetParam() > 0 ? 8 : 1.5;  // a lost reply costs more than a second
     std::size_t before = 0, refused = 0, after = 0, across = 0;
     for (const auto& request : requests) {
       before += request.confirmed && request.answered_at < handed_over_at && request.answered_at > handed_over_at - window_s;
@@ -116,7 +116,7 @@
   std::vector<CancelRequest> requests;
 };
 
-// The parameter is the fraction of executed transactions whose responses from the store are lost.
+// The parameter is the probability that the store's reply to an executed transaction is lost.
 TEST_P(HandOver, KeepsCancellationsConfirmedAroundIt) {
   start_cluster(3, kNodes);
   ASSERT_NO_FATAL_FAILURE(submit_jobs());
@@ -124,7 +124,7 @@
   const auto other = (first + 1) % 3;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->metric(first, "placed_tasks") == "thistlefront_placed_tasks 24"; }));
   for (auto& w : workers) w->drop_commands(true);  // the leader probes some agents, and none answers
-  cluster->state.endpoint(first).reply_loss_probability = GetParam();
+  cluster->store.endpoint(first).reply_loss_probability = GetParam();
   std::jthread heartbeats([&](const std::stop_token& stop) { send_heartbeats_through(other, stop); });
   std::jthread watch([&] { wait_for_hand_over(); });
   std::vector<std::jthread> users;
@@ -138,7 +138,7 @@
   ASSERT_NO_FATAL_FAILURE(poll_all_jobs());
   wait(kTimes.cancel_s + 0.5);  // the checker fails if a cancelled task still runs
 }
-INSTANTIATE_TEST_SUITE_P(LostStoreResponses, HandOver, testing::Values(0.0, 0.3));
+INSTANTIATE_TEST_SUITE_P(LostStoreReplies, HandOver, testing::Values(0.0, 0.3));
 
 }  // namespace
 }  // namespace thistlefront
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -153,12 +153,12 @@
   const auto relay = (cluster->leader() + 1) % GetParam();
   ASSERT_TRUE(cluster->eventually(20, [&] { return metric(relay, "reports_passed_on_total") > 3; }));
   set_partition(relay, true);
-  cluster->state.endpoint(relay).rejects_requests = true;
+  cluster->store.endpoint(relay).rejects_requests = true;
   EXPECT_TRUE(cluster->eventually(6, [&] { return metric(relay, "kept_in_cuts_total") > 0; }));
   wait(2 * kTimes.lease_s);
   expect_no_lease_expired("during the partition");
   set_partition(relay, false);
-  cluster->state.endpoint(relay).rejects_requests = false;
+  cluster->store.endpoint(relay).rejects_requests = false;
   wait(kTimes.lease_s);
   expect_no_lease_expired("after the partition");
   EXPECT_TRUE(cluster->eventually(20, [&] { return all_tasks_run(); }));
@@ -169,13 +169,13 @@
   start_cluster_with_running_jobs();
   const auto first = cluster->leader();
   set_partition(first, true);
-  cluster->state.endpoint(first).rejects_requests = true;
+  cluster->store.endpoint(first).rejects_requests = true;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->leader() != first; }));
   checker.record_withdrawal("j-1");
   const auto next = cluster->leader();
   wait(1);
   set_partition(first, false);
-  cluster->state.endpoint(first).rejects_requests = false;
+  cluster->store.endpoint(first).rejects_requests = false;
   ASSERT_TRUE(cluster->eventually(20, [&] { return withdraw(next, "j-1") == "aborted"; }));
   wait(kTimes.lease_s + 1);
   EXPECT_TRUE(cluster->eventually(10, [&] {
--- a/tests/in_memory_ledger.hpp
+++ b/tests/in_memory_ledger.hpp
@@ -107,7 +107,8 @@
         return c.mod_revision == (entries.contains(c.key) && it != mod_revisions_.end() ? it->second : 0);
       });
       if (!conditions_hold) continue;
-      // A removed entry that reappears is readable only directly before the oldest entry. From version 4 on it is marked as not needed.
+      // Below version 4, a removed entry that reappears is readable only directly before the oldest entry, so no such entry may be written.
+      // From version 4 on, readers recognize it as not needed.
       if (!reuses_keys(ledger_writer.format_version())) {
         ASSERT_TRUE(late.puts.empty()) << late.puts.front().key << " would be written again";
       }
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -21,15 +21,15 @@
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).rejects_requests = true;
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
+  c.store.endpoint(first).rejects_requests = true;
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.store.leader().empty() && c.leader() != first; }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
   // The earlier leader still accepts requests and forwards them.
   EXPECT_TRUE(c.eventually(20, [&] { return c.submit(first, "j-3").is(201) || c.submit(first, "j-3").is(200); }));
   for (const auto* uid : {"j-1", "j-2", "j-3"})
     for (std::size_t i = 0; i < 3; ++i)
       EXPECT_TRUE(c.eventually(10, [&] { return c.ask(i, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
 // A leader is suspended between checking its lease and sending a transaction. When the transaction arrives, the session lease has
@@ -38,16 +38,16 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).delay_probability = 1;
+  c.store.endpoint(first).delay_probability = 1;
   std::jthread user([&] { c.submit(first, "j-2"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  c.state.endpoint(first).rejects_requests = true;
-  c.state.expire_session_leases();
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
+  c.store.endpoint(first).rejects_requests = true;
+  c.store.expire_session_leases();
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.store.leader().empty() && c.leader() != first; }));
   ASSERT_TRUE(c.submit_until("j-3", 20));
-  ASSERT_TRUE(c.eventually(10, [&] { return c.state.delayed_executions() > 0; })) << "the late transaction was not executed";
+  ASSERT_TRUE(c.eventually(10, [&] { return c.store.delayed_executions() > 0; })) << "the late transaction was not executed";
   user.join();
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
   EXPECT_FALSE(c.acceptances_in_ledger().contains("j-2"));
   EXPECT_TRUE(c.submit_until("j-2", 20)) << "the user submits again";
 }
@@ -56,11 +56,11 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).reply_loss_probability = 0.5;
-  c.state.endpoint(first).duplicate_probability = 0.5;
+  c.store.endpoint(first).reply_loss_probability = 0.5;
+  c.store.endpoint(first).duplicate_probability = 0.5;
   for (int i = 1; i <= 6; ++i) EXPECT_TRUE(c.submit_until("j-" + std::to_string(i), 30)) << i;
-  c.state.endpoint(first).reply_loss_probability = 0;
-  c.state.endpoint(first).duplicate_probability = 0;
+  c.store.endpoint(first).reply_loss_probability = 0;
+  c.store.endpoint(first).duplicate_probability = 0;
   ASSERT_TRUE(c.submit_until("j-7", 20));
   const auto accepted = c.acceptances_in_ledger();
   for (int i = 0; i <= 7; ++i) {
@@ -68,7 +68,7 @@
     ASSERT_NE(it, accepted.end()) << i;
     EXPECT_EQ(it->second, 1) << i;
   }
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
 // The store's responses, including those to lease renewals, are delayed for longer than the session lease. The leader's replies must not
@@ -77,8 +77,8 @@
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
-  c.state.endpoint(first).holds_replies = true;
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.leader().empty() && c.leader() != first; }));
+  c.store.endpoint(first).holds_replies = true;
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.store.leader().empty() && c.leader() != first; }));
   const auto next = c.leader();
   ASSERT_TRUE(c.eventually(20, [&] { return c.ask(next, "POST", "/v1/jobs/j-1/withdraw").is(200); }));
   for (int i = 0; i < 20; ++i) {
@@ -88,12 +88,12 @@
     }
     EXPECT_FALSE(r.is(404));
   }
-  c.state.endpoint(first).holds_replies = false;
+  c.store.endpoint(first).holds_replies = false;
   EXPECT_TRUE(c.eventually(20, [&] {
     const auto r = c.ask(first, "GET", "/v1/jobs/j-1");
     return r.is(200) && r.body.find("aborted") != std::string::npos;
   }));
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
 // An agent that accepts commands without replying leaves task starts unacknowledged. The leader raises its fencing token while users'
@@ -102,7 +102,7 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-0", 20));
   const auto first = c.leader();
-  const auto before = c.state.fencing_token();
+  const auto before = c.store.fencing_token();
   const auto address = free_address();
   std::atomic<bool> stopping{false};
   std::atomic<int> commands{0};
@@ -117,13 +117,13 @@
   EXPECT_TRUE(c.eventually(20, [&] {
     heartbeat();
     accepted += c.submit_until("j-1" + std::to_string(serial), 10);
-    return commands > 0 && c.state.fencing_token() > before;
+    return commands > 0 && c.store.fencing_token() > before;
   }));
   EXPECT_GT(accepted, 0);
   EXPECT_EQ(c.leader(), first) << "the same leader, with a higher fencing token";
   const auto in_ledger = c.acceptances_in_ledger();
   for (std::uint64_t i = 1; i <= serial; ++i) EXPECT_TRUE(in_ledger.contains("j-1" + std::to_string(i)));
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
   stopping = true;
 }
 
@@ -139,9 +139,9 @@
     ++serial;
     for (int w = 0; w < 4; ++w) {
       c.ask(other, "POST", "/v1/report",
-            test_support::heartbeat_body("m-" + std::to_string(w), "127.0.0.1:1", serial, c.state.fencing_token()));
+            test_support::heartbeat_body("m-" + std::to_string(w), "127.0.0.1:1", serial, c.store.fencing_token()));
     }
-    return c.state.leader() == "host-" + std::to_string(other);
+    return c.store.leader() == "host-" + std::to_string(other);
   }));
   EXPECT_NE(c.ask(first, "GET", "/metrics").body.find("thistlefront_handed_over_total 1"), std::string::npos);
   EXPECT_TRUE(c.submit_until("j-2", 20));
@@ -154,20 +154,20 @@
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto restart_with_leader_key_of = [&](const std::string& label) {
     for (std::size_t i = 0; i < 3; ++i) c.stop(i);
-    c.state.put(c.state.leader_key_name(), R"({"label":")" + label + R"(","incarnation":7})");
-    const auto token_of_key = c.state.fencing_token();
+    c.store.put(c.store.leader_key_name(), R"({"label":")" + label + R"(","incarnation":7})");
+    const auto token_of_key = c.store.fencing_token();
     for (std::size_t i = 0; i < 3; ++i) c.start(i, {});
     return token_of_key;
   };
   const auto own_token = restart_with_leader_key_of("host-1");
-  EXPECT_TRUE(c.eventually(10, [&] { return c.state.fencing_token() > own_token && !c.state.leader().empty(); }));
+  EXPECT_TRUE(c.eventually(10, [&] { return c.store.fencing_token() > own_token && !c.store.leader().empty(); }));
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 
   const auto other_token = restart_with_leader_key_of("host-7");
-  EXPECT_FALSE(c.eventually(2, [&] { return c.state.fencing_token() != other_token; }));
+  EXPECT_FALSE(c.eventually(2, [&] { return c.store.fencing_token() != other_token; }));
   EXPECT_TRUE(c.submit(0, "j-3").is(503));
-  c.state.remove(c.state.leader_key_name());
+  c.store.remove(c.store.leader_key_name());
   EXPECT_TRUE(c.submit_until("j-3", 20));
 }
 
@@ -178,17 +178,17 @@
   Cluster c(2);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader(), other = 1 - first;
-  c.state.endpoint(other).delays_takeover = true;
+  c.store.endpoint(other).delays_takeover = true;
   c.stop(first);
-  ASSERT_TRUE(c.eventually(20, [&] { return !c.state.endpoint(other).delays_takeover; }));
+  ASSERT_TRUE(c.eventually(20, [&] { return !c.store.endpoint(other).delays_takeover; }));
   for (const double until = steady_now() + 6; steady_now() < until;) {
-    const bool held_before = c.state.leader() == "host-" + std::to_string(other);
+    const bool held_before = c.store.leader() == "host-" + std::to_string(other);
     const auto r = c.ask(other, "GET", "/v1/jobs/j-999");
-    const bool held_after = c.state.leader() == "host-" + std::to_string(other);
+    const bool held_after = c.store.leader() == "host-" + std::to_string(other);
     EXPECT_FALSE(r.is(404) && !held_before && !held_after) << "a controller without the leader key decided";
   }
   EXPECT_TRUE(c.submit_until("j-2", 20));
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
 // A process that crashes repeatedly must not use up the store's rate limit: in its first second it sends one read and one watch.
@@ -197,7 +197,7 @@
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
-  auto& endpoint = c.state.endpoint(other);
+  auto& endpoint = c.store.endpoint(other);
   endpoint.requests_before_crash = 1;  // the second request gets no response
   c.start(other, {});
   EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.requests_before_crash == 0; })) << "it reads the leader key";
@@ -274,14 +274,14 @@
 void inject_random_faults(Cluster& c, const std::atomic<bool>& over) {
   std::mt19937 random(11);
   while (!over) {
-    auto& endpoint = c.state.endpoint(random() % 3);
+    auto& endpoint = c.store.endpoint(random() % 3);
     switch (random() % 5) {
       case 0: endpoint.rejects_requests = !endpoint.rejects_requests; break;
       case 1: endpoint.reply_loss_probability = endpoint.reply_loss_probability > 0 ? 0 : 0.3; break;
       case 2: endpoint.delay_probability = endpoint.delay_probability > 0 ? 0 : 0.2; break;
       case 3: endpoint.duplicate_probability = endpoint.duplicate_probability > 0 ? 0 : 0.3; break;
       default:
-        if (random() % 3 == 0) c.state.expire_session_leases();
+        if (random() % 3 == 0) c.store.expire_session_leases();
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
   }
@@ -293,7 +293,7 @@
   ASSERT_TRUE(c.submit_until("j-0", 20));
   std::atomic<bool> over{false};
   for (std::size_t i = 0; i < 3; ++i)
-    c.state.endpoint(i).max_delay_s = 6;  // so late that newer transactions of the same controller come first
+    c.store.endpoint(i).max_delay_s = 6;  // so late that newer transactions of the same controller come first
   std::jthread faults([&] { inject_random_faults(c, over); });
   Observations observations;
   std::vector<std::jthread> users;
@@ -303,7 +303,7 @@
   users.clear();
   faults.join();
   for (std::size_t i = 0; i < 3; ++i) {
-    auto& endpoint = c.state.endpoint(i);
+    auto& endpoint = c.store.endpoint(i);
     endpoint.rejects_requests = false;
     endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
   }
@@ -323,7 +323,7 @@
     EXPECT_TRUE(aborted || !observations.cancelled.contains(uid)) << uid << ": " << body;
     EXPECT_TRUE(!aborted || observations.cancel_requested.contains(uid)) << uid << ": " << body;
   }
-  EXPECT_EQ(c.state.unfenced_writes(), 0u);
+  EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
 // With more connections than the process may have threads for, idle connections are closed and nothing else is affected.
@@ -332,14 +332,14 @@
   few_threads.threads = ResourceBudget::kMinThreads;
   Cluster c(1, 1, {few_threads});
   ASSERT_TRUE(c.submit_until("j-0", 20));
-  const auto fencing_token = std::to_string(c.state.fencing_token());
+  const auto fencing_token = std::to_string(c.store.fencing_token());
   std::vector<Socket> idle;
   for (int i = 1; i <= 150; ++i) {
-    idle.push_back(connect_to(c.users[0], 2));
+    idle.push_back(connect_to(c.client_addresses[0], 2));
     if (i % 25 != 0) continue;
     ASSERT_TRUE(c.submit_until("j-" + std::to_string(i), 10)) << i << " idle connections";
   }
-  EXPECT_EQ(c.state.leader(), "host-0");
+  EXPECT_EQ(c.store.leader(), "host-0");
   const auto metrics = c.ask(0, "GET", "/metrics").body;
   EXPECT_NE(metrics.find("thistlefront_epoch " + fencing_token + "\n"), std::string::npos) << "the controller lost leadership";
   const auto line_start = metrics.find("thistlefront_client_connections ");
--- a/tests/new_instances_test.cpp
+++ b/tests/new_instances_test.cpp
@@ -9,9 +9,9 @@
 
 using test_support::wait;
 
-constexpr testbed::ProtocolTimes kTimes{0.3, 4, 8, 0.05};  // heartbeat, lease, cancel, pull
-constexpr double kUnlistedS = 1.0;                         // a new instance is missing in the cloud's list for this long
-constexpr double kListedAsBootingS = 6.0;                  // age until which the list shows an instance as booting
+constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.3, .lease_s = 4, .cancel_s = 8, .image_pull_s = 0.05};
+constexpr double kUnlistedS = 1.0;         // a new instance is missing in the cloud's list for this long
+constexpr double kListedAsBootingS = 6.0;  // age until which the list shows an instance as booting
 
 class NewInstances : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
@@ -52,8 +52,8 @@
     json nodes = json::array();
     for (unsigned k = 0; k < body.at("count").get<unsigned>() && requested_at_by_name.size() < kMaxInstances; ++k) {
       const auto name = "m-" + std::to_string(workers.size());
-      workers.push_back(
-          std::make_unique<testbed::Worker>(name, "x", cluster->users, checker, times, static_cast<unsigned>(70 + workers.size())));
+      workers.push_back(std::make_unique<testbed::Worker>(name, "x", cluster->client_addresses, checker, times,
+                                                          static_cast<unsigned>(70 + workers.size())));
       requested_at_by_name[name] = now;
       nodes.push_back(name);
     }
@@ -66,8 +66,8 @@
   std::size_t released_tasks = 0;                      // tasks on instances at their release
 };
 
-// The leader stops, or is partitioned from the store and its peers. The nodes are frozen when its successor takes over, so that it has
-// not received a heartbeat from them.
+// The leader stops, or is partitioned from the store and its peers. The agents are frozen when the successor takes over, so that the
+// successor has not received a heartbeat from them.
 TEST_P(NewInstances, KeepTheirTasksWhenTheLeaderChanges) {
   start_cluster(3, 0);
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->submit(0, "j-9").is(201); }));
@@ -79,7 +79,7 @@
     checker.record_reply(uid, "queued", steady_now());
   }
   const auto first = cluster->leader();
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).latency_s = 0.3;
+  for (std::size_t i = 0; i < 3; ++i) cluster->store.endpoint(i).latency_s = 0.3;
   const auto count_placed_tasks = [&] {
     std::lock_guard lock(mutex);
     std::size_t n = 0;
@@ -95,20 +95,20 @@
     std::lock_guard lock(mutex);
     for (auto& worker : workers) worker->hang_until(steady_now() + 3.5);
   }
-  const auto fencing_token = cluster->state.fencing_token();
+  const auto fencing_token = cluster->store.fencing_token();
   if (GetParam()) {
     cluster->stop(first);
     cluster->start(first, test_support::fixed_version_options());
   } else {
     set_partition(first, true);
-    cluster->state.endpoint(first).rejects_requests = true;
+    cluster->store.endpoint(first).rejects_requests = true;
   }
-  // The new leader may be the next process of the controller that stopped.
-  ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->state.leader().empty() && cluster->state.fencing_token() != fencing_token; }));
+  // The new leader may be the restarted controller.
+  ASSERT_TRUE(cluster->eventually(10, [&] { return !cluster->store.leader().empty() && cluster->store.fencing_token() != fencing_token; }));
   EXPECT_GT(count_placed_tasks(), 0u) << "no node has tasks when the next leader takes over";
   wait(4);
   set_partition(first, false);
-  for (std::size_t i = 0; i < 3; ++i) cluster->state.endpoint(i).rejects_requests = false, cluster->state.endpoint(i).latency_s = 0;
+  for (std::size_t i = 0; i < 3; ++i) cluster->store.endpoint(i).rejects_requests = false, cluster->store.endpoint(i).latency_s = 0;
   for (int k = 0; k < 8; ++k) {
     const std::string uid = "j-" + std::to_string(k);
     ASSERT_TRUE(cluster->eventually(30, [&] { return poll(cluster->leader(), uid) == "done"; })) << uid;
--- a/tests/old_heartbeats_test.cpp
+++ b/tests/old_heartbeats_test.cpp
@@ -1,7 +1,8 @@
 // A copy of an old heartbeat reaches a leader just after its takeover, when the leader has received nothing else from the node and knows
-// no serial. Explores every history of one node up to a given length: starts, commands, completions, heartbeats, acknowledged exits, a
-// cancellation, expired leases. Then a new leader reads the ledger, receives one or two copies of earlier heartbeats, of the same or an
-// earlier incarnation, sends its commands, and receives current heartbeats of the node. Its records must match the state of the node.
+// no serial of it. The test explores every history of one node up to a given length: starts, commands, completions, heartbeats,
+// acknowledged exits, a cancellation, expired leases. Then a new leader reads the ledger, receives one or two copies of earlier heartbeats,
+// of the same or an earlier incarnation, sends its commands, and receives current heartbeats of the node. Its records must match the state
+// of the node.
 #include <gtest/gtest.h>
 
 #include "heartbeat_builders.hpp"
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -30,7 +30,7 @@
   return out;
 }
 // The current build, without a soak time.
-Options activating_at_once() {
+Options current_build_without_soak_time() {
   Options out;
   out.format_version_soak_s = 0;
   return out;
@@ -40,14 +40,14 @@
 
 void expect_known_to_all_controllers(Cluster& cluster, const std::vector<std::string>& uids) {
   for (const auto& uid : uids)
-    for (std::size_t i = 0; i < cluster.users.size(); ++i)
+    for (std::size_t i = 0; i < cluster.client_addresses.size(); ++i)
       EXPECT_TRUE(cluster.eventually(15, [&] { return cluster.ask(i, "GET", "/v1/jobs/" + uid).is(200); }))
           << uid << " at controller " << i;
 }
 
 // Whether all entries have format version 2, or, if `expected` is false, none has.
 bool is_version_two_in_all_entries(Cluster& cluster, bool expected) {
-  const auto entries = cluster.state.ledger_entries();
+  const auto entries = cluster.store.ledger_entries();
   return !entries.empty() && std::all_of(entries.begin(), entries.end(), [&](const auto& entry) {
     return (entry.second.find("\"level\":2") != std::string::npos) == expected;
   });
@@ -57,7 +57,7 @@
   Cluster cluster(3, 1, {build_of_version_two(0), build_of_version_two(0), build_of_version_one()});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   // The older build may lead, and its registry record states the version that it supports.
-  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.state.value("roster/host-2").empty(); }));
+  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.store.value("roster/host-2").empty(); }));
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(cluster.format_version(), "");
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
@@ -65,27 +65,28 @@
   EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "an older build must be able to read the entries";
   cluster.start(2, build_of_version_two(0));
   ASSERT_TRUE(cluster.eventually(30, [&] { return cluster.format_version() == kVersionTwo; }));
-  EXPECT_NE(cluster.state.value("leader").find("(state level 2)"), std::string::npos)
+  EXPECT_NE(cluster.store.value("leader").find("(state level 2)"), std::string::npos)
       << "a placeholder without a session lease, for builds older than format versions";
   ASSERT_TRUE(cluster.submit_until("j-2", 20));
   EXPECT_TRUE(cluster.eventually(20, [&] { return is_version_two_in_all_entries(cluster, true); })) << "old entries are rewritten";
   expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
   // A new leader keeps the active version.
-  cluster.state.expire_session_leases();
+  cluster.store.expire_session_leases();
   ASSERT_TRUE(cluster.submit_until("j-3", 20));
   expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3"});
-  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
+  EXPECT_EQ(cluster.store.unfenced_writes(), 0u);
 }
 
-// A controller that is down during the whole rollout counts with its last registry record, one that was never seen as an old build.
+// A controller that is down during the whole rollout counts with its last registry record. A controller without a record counts as an old
+// build.
 TEST(Rollout, DoesNotActivateAVersionWhileAControllerIsDownOrUnregistered) {
   Cluster cluster(3, 1, {build_of_version_two(0), build_of_version_two(0), build_of_version_one()});
-  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.state.value("roster/host-2").empty(); }));
+  ASSERT_TRUE(cluster.eventually(20, [&] { return !cluster.store.value("roster/host-2").empty(); }));
   cluster.stop(2);
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   EXPECT_TRUE(cluster.eventually(
       20, [&] { return cluster.metric(cluster.leader(), "state_level_waits_for").find("host-2 (build ") != std::string::npos; }));
-  cluster.state.remove("roster/host-2");
+  cluster.store.remove("roster/host-2");
   EXPECT_TRUE(cluster.eventually(
       20, [&] { return cluster.metric(cluster.leader(), "state_level_waits_for").find("host-2 (never seen)") != std::string::npos; }));
   EXPECT_EQ(cluster.format_version(), "");
@@ -102,7 +103,7 @@
   cluster.stop(0);
   const auto deadline = steady_now() + 4;
   while (steady_now() < deadline) {
-    EXPECT_NE(cluster.state.leader(), "host-1");
+    EXPECT_NE(cluster.store.leader(), "host-1");
     EXPECT_FALSE(cluster.ask(1, "GET", "/v1/jobs/j-1").is(404));
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
@@ -122,11 +123,11 @@
   cluster.start(1, build_of_version_two_allowing(1));
   ASSERT_TRUE(cluster.eventually(40, [&] { return cluster.format_version() == R"({"level":1})"; }));
   EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "entries are rewritten before the lower version is activated";
-  EXPECT_EQ(cluster.state.value("lead"), "");
+  EXPECT_EQ(cluster.store.value("lead"), "");
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, build_of_version_one());
   ASSERT_TRUE(cluster.submit_until("j-4", 20));
   expect_known_to_all_controllers(cluster, {"j-1", "j-2", "j-3", "j-4"});
-  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
+  EXPECT_EQ(cluster.store.unfenced_writes(), 0u);
 }
 
 // Faults during the activation of a version: session leases expire, transactions are late, lost and repeated, controllers restart.
@@ -139,13 +140,13 @@
     const double started_at = steady_now();
     while (steady_now() < started_at + 5 || (accepted.empty() && steady_now() < started_at + 25)) {
       const auto controller = random() % 3;
-      auto& endpoint = cluster.state.endpoint(controller);
+      auto& endpoint = cluster.store.endpoint(controller);
       switch (random() % 6) {
         case 0: endpoint.rejects_requests = !endpoint.rejects_requests; break;
         case 1: endpoint.reply_loss_probability = endpoint.reply_loss_probability > 0 ? 0 : 0.4; break;
         case 2: endpoint.delay_probability = endpoint.delay_probability > 0 ? 0 : 0.3; break;
         case 3: endpoint.duplicate_probability = endpoint.duplicate_probability > 0 ? 0 : 0.4; break;
-        case 4: cluster.state.expire_session_leases(); break;
+        case 4: cluster.store.expire_session_leases(); break;
         default: cluster.start(controller, random() % 2 == 0 ? build_of_version_two(1) : build_of_version_one());
       }
       const std::string uid = "j-" + std::to_string(1000 * seed + accepted.size());
@@ -153,7 +154,7 @@
       // Older builds may not be allowed to lead; then there is no leader for a while.
     }
     for (std::size_t i = 0; i < 3; ++i) {
-      auto& endpoint = cluster.state.endpoint(i);
+      auto& endpoint = cluster.store.endpoint(i);
       endpoint.rejects_requests = false;
       endpoint.reply_loss_probability = endpoint.delay_probability = endpoint.duplicate_probability = 0;
       cluster.start(i, build_of_version_two(0));
@@ -162,14 +163,14 @@
     ASSERT_TRUE(cluster.submit_until("j-9", 30)) << "seed " << seed;
     EXPECT_FALSE(accepted.empty());
     expect_known_to_all_controllers(cluster, accepted);
-    EXPECT_EQ(cluster.state.unfenced_writes(), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.store.unfenced_writes(), 0u) << "seed " << seed;
   }
 }
 
 // The newest quota record of a team in the ledger; nothing if there is none.
 std::optional<TeamQuotaRecord> quota_record_in_ledger(Cluster& cluster, const std::string& name) {
   std::optional<TeamQuotaRecord> out;
-  for (const auto& [key, value] : cluster.state.ledger_entries())
+  for (const auto& [key, value] : cluster.store.ledger_entries())
     for (const auto& record : parse_entry(value).records)
       if (const auto* quota = std::get_if<TeamQuotaRecord>(&record); quota && quota->name == name) out = *quota;
   return out;
@@ -177,7 +178,7 @@
 
 // A settings file with a changed limit and an additional team is rolled out controller by controller, with new leaders in between.
 TEST(Rollout, ChangedQuotasTakeEffectOnceAllControllersHaveThem) {
-  const Options options = activating_at_once();
+  const Options options = current_build_without_soak_time();
   Cluster cluster(3, 1, {options});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   ASSERT_TRUE(cluster.eventually(60, [&] { return quota_record_in_ledger(cluster, "red").has_value(); }));
@@ -197,7 +198,7 @@
   auto green = nlohmann::json::parse(test_support::job_body("j-20"));
   green["owner"] = "green";
   for (int i = 0; i < 2; ++i) {
-    cluster.state.expire_session_leases();
+    cluster.store.expire_session_leases();
     green["uid"] = "j-2" + std::to_string(i);
     EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(2, "POST", "/v1/jobs", green.dump()).is(201); })) << i;
     EXPECT_EQ(quota_record_in_ledger(cluster, "red")->agreed, old_quota);
@@ -217,7 +218,7 @@
   green["owner"] = "blue";
   green["uid"] = "j-40";
   EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(0, "POST", "/v1/jobs", green.dump()).is(422); }));
-  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
+  EXPECT_EQ(cluster.store.unfenced_writes(), 0u);
 }
 
 std::string dependent_job_body(const std::string& uid, const nlohmann::json& depends_on, std::uint32_t tasks = 2) {
@@ -230,7 +231,7 @@
 // Jobs with dependencies get a temporary error until all controllers support the format version. Then, whichever controller is asked and
 // whichever leads, they are accepted, rejected permanently, or cancelled together with the job that they depend on.
 TEST(Rollout, DependentJobsAreAcceptedOnceTheVersionIsActive) {
-  const Options current = activating_at_once();
+  const Options current = current_build_without_soak_time();
   Options older = current;
   older.max_readable_format_version = 3;
   Cluster cluster(3, 1, {current, current, older});
@@ -270,24 +271,24 @@
   EXPECT_TRUE(late.is(201)) << "accepted although a dependency is cancelled";
   EXPECT_NE(late.body.find("aborted"), std::string::npos);
   for (int i = 0; i < 2; ++i) {
-    cluster.state.expire_session_leases();
+    cluster.store.expire_session_leases();
     EXPECT_TRUE(cluster.eventually(20, [&] {
       return has_status_everywhere("j-4", "aborted") && has_status_everywhere("j-5", "aborted") && has_status_everywhere("j-1", "queued");
     }));
   }
-  EXPECT_EQ(cluster.state.unfenced_writes(), 0u);
+  EXPECT_EQ(cluster.store.unfenced_writes(), 0u);
 }
 
 // The store's limits are reduced to a quarter. The ledger then has entries of both sizes, and a large job that still fits is accepted.
 TEST(Rollout, ServiceContinuesWithReducedStoreLimits) {
-  const Options options = activating_at_once();
+  const Options options = current_build_without_soak_time();
   Cluster cluster(3, 1, {options});
   ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-1" + std::to_string(i), 20));
   for (std::size_t i = 0; i < 3; ++i) cluster.settings(i).max_value_kb = 2, cluster.settings(i).max_txn_ops = 4;
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, options);
   ASSERT_TRUE(cluster.submit_until("j-20", 20));
-  cluster.state.set_limits(2048, 4);
+  cluster.store.set_limits(2048, 4);
   nlohmann::json names = nlohmann::json::array();
   for (int i = 0; i < 40; ++i) names.push_back("j-1" + std::to_string(i));
   EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(0, "POST", "/v1/jobs", dependent_job_body("j-30", names)).is(201); }));
@@ -295,24 +296,24 @@
   EXPECT_TRUE(cluster.eventually(20, [&] { return cluster.ask(0, "POST", "/v1/jobs", dependent_job_body("j-31", names)).is(422); }))
       << "rejected as too long, or because it depends on an unknown job";
   for (int i = 0; i < 30; ++i) ASSERT_TRUE(cluster.submit_until("j-4" + std::to_string(i), 20));
-  cluster.state.expire_session_leases();
+  cluster.store.expire_session_leases();
   ASSERT_TRUE(cluster.submit_until("j-50", 20));
   for (const auto* uid : {"j-10", "j-139", "j-30", "j-429"})
     EXPECT_TRUE(cluster.eventually(10, [&] { return cluster.ask(1, "GET", std::string("/v1/jobs/") + uid).is(200); })) << uid;
-  EXPECT_EQ(cluster.state.oversized_transactions(), 0u);
+  EXPECT_EQ(cluster.store.oversized_transactions(), 0u);
 }
 
 // The store accepts less than the settings state. Leaders must detect this and send smaller transactions instead of stepping down one
 // after the other.
 TEST(Rollout, LeaderSendsSmallerTransactionsWhenTheStoreRejectsLargeOnes) {
-  const Options options = activating_at_once();
+  const Options options = current_build_without_soak_time();
   Cluster cluster(2, 1, {options});
   ASSERT_TRUE(cluster.eventually(20, [&] { return cluster.format_version() == R"({"level":4})"; }));
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  cluster.state.set_limits(2048, 4);
+  cluster.store.set_limits(2048, 4);
   for (int i = 0; i < 40; ++i) ASSERT_TRUE(cluster.submit_until("j-2" + std::to_string(i), 20)) << i;
-  EXPECT_GT(cluster.state.oversized_transactions(), 0u);
-  EXPECT_LT(cluster.state.oversized_transactions(), 12u);
+  EXPECT_GT(cluster.store.oversized_transactions(), 0u);
+  EXPECT_LT(cluster.store.oversized_transactions(), 12u);
 }
 
 // The entry with an additional record that no build can read.
@@ -327,7 +328,7 @@
 TEST(Rollout, ControllerThatCannotReadTheLedgerYieldsLeadershipToOneThatCan) {
   Cluster cluster(2, 1, {build_of_version_one(), build_of_version_two_allowing(1)});
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  const auto entries = cluster.state.ledger_entries();
+  const auto entries = cluster.store.ledger_entries();
   auto value = nlohmann::json::parse(entries.begin()->second);
   // An entry of version 2 while version 1 is active: only the newer build can read it.
   const auto entry = parse_entry(entries.begin()->second);
@@ -340,20 +341,20 @@
     text += (text.empty() ? "" : ",") + encoded.text;
     digest = extend_digest_with_record(digest, encoded);
   }
-  cluster.state.put(entries.begin()->first, entry_value({2, 0, entry.seq, 0}, text, digest));
+  cluster.store.put(entries.begin()->first, entry_value({2, 0, entry.seq, 0}, text, digest));
   cluster.start(0, build_of_version_one());
   cluster.start(1, build_of_version_two_allowing(1));
   ASSERT_TRUE(cluster.submit_until("j-2", 15));
-  EXPECT_EQ(cluster.state.leader(), "host-1");
+  EXPECT_EQ(cluster.store.leader(), "host-1");
   expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
 }
 
 TEST(Rollout, LeasesAreRenewedWhileNoControllerCanReadTheLedger) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
-  const auto entry = *cluster.state.ledger_entries().begin();
+  const auto entry = *cluster.store.ledger_entries().begin();
   for (std::size_t i = 0; i < 3; ++i) cluster.stop(i);
-  cluster.state.put(entry.first, with_unknown_record(entry.second));
+  cluster.store.put(entry.first, with_unknown_record(entry.second));
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, Options{});
   std::uint64_t serial = 0;
   std::size_t renewed_leases = 0;
@@ -368,14 +369,14 @@
       ++renewed_leases;
       EXPECT_NE(reply.body.find("\"orders\":[]"), std::string::npos) << reply.body;
     }
-    leaders.insert(cluster.state.leader());
+    leaders.insert(cluster.store.leader());
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   leaders.erase("");
   EXPECT_GT(leaders.size(), 1u) << "each controller becomes leader in turn";
   EXPECT_GT(renewed_leases, 10u);
   // Once the entry is readable again, service resumes without intervention.
-  cluster.state.put(entry.first, entry.second);
+  cluster.store.put(entry.first, entry.second);
   EXPECT_TRUE(cluster.submit_until("j-2", 30));
   expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
 }
--- a/tests/safety_world.cpp
+++ b/tests/safety_world.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// With exhausted quotas: until when new faults occur, and how long the longest fault lasts.
+// In the scenario with exhausted quotas: time of the last new fault, and duration of the longest fault.
 constexpr double kQuotaScenarioLastFaultAtS = 170, kLongestFaultS = 60;
 // Seconds without faults at the end of the other scenarios.
 constexpr double kFaultFreeEndS = 120;
@@ -139,7 +139,7 @@
     const Agent& agent = *std::find_if(agents_.begin(), agents_.end(), [&](const Agent& x) { return x.name == name; });
     const auto it = agent.tasks.find({job.uid, task, p.attempt});
     const bool is_running = it != agent.tasks.end() && it->second.phase != TaskPhase::exited;
-    must_not_persist(!is_running, "kept: " + job.uid + "/" + std::to_string(task) + " attempt " + std::to_string(p.attempt));
+    must_not_persist(!is_running, "stale_placement: " + job.uid + "/" + std::to_string(task) + " attempt " + std::to_string(p.attempt));
   }
 }
 
@@ -167,7 +167,7 @@
   for (std::uint32_t t = 0; t < cluster_state.teams().size(); ++t) {
     const bool is_idle = teams_with_pending_tasks.contains(TeamIndex{t}) && has_room &&
                          cluster_state.quota_accounts().headroom(TeamIndex{t}, 1e9).cores >= 1;
-    must_not_persist(is_idle, "idle: " + cluster_state.teams()[t].name);
+    must_not_persist(is_idle, "idle_resources: " + cluster_state.teams()[t].name);
     idle_checks += teams_with_pending_tasks.contains(TeamIndex{t}) && !is_idle;
   }
 }
--- a/tests/safety_world.hpp
+++ b/tests/safety_world.hpp
@@ -66,8 +66,12 @@
   bool operator<(const Event& other) const { return due_at != other.due_at ? due_at > other.due_at : sequence > other.sequence; }
 };
 
-// One team; one team and network partitions of a zone; several teams whose quotas change; several teams whose quotas are used up.
-enum class Scenario : std::uint8_t { plain, partitions, changing_quotas, exhausted_quotas };
+enum class Scenario : std::uint8_t {
+  plain,             // one team
+  partitions,        // one team, and network partitions of a zone
+  changing_quotas,   // several teams whose quotas change
+  exhausted_quotas,  // several teams whose quotas are used up
+};
 
 class Simulation {
  public:
@@ -82,9 +86,11 @@
               kills_by_deposed_leaders = 0;
   FaultPairCounts fault_pair_counts{};
   // Jobs cancelled while every team was at its quota, a node that ran one of the job's tasks hung or was unreachable, and the leader
-  // failed; those of them with two leader failures within a lease; gangs checkpointed and stopped.
-  std::size_t cancellations_at_quota = 0, cancellations_with_two_failovers = 0, gangs_checkpointed = 0;
-  // Checks, after the last fault, of a team with pending tasks and no resources to run them.
+  // failed.
+  std::size_t cancellations_at_quota = 0;
+  std::size_t cancellations_with_two_failovers = 0;  // those of them with two leader failures within a lease
+  std::size_t gangs_checkpointed = 0;                // and stopped
+  // Checks after the last fault that found a team with pending tasks, but no free resources for them.
   std::size_t idle_checks = 0;
 
  private:
@@ -131,7 +137,8 @@
     std::uint64_t fencing_token, takeover_token;
     double taken_over_at, sole_leader_since = -1, next_pass_at = 0;
     PartitionLeaseGrant follower_lease;
-    // The follower's latest ack: when the follower received the heartbeat (its own clock) and when this leader had sent it.
+    // The follower's latest ack, which requests a partition lease. `requested_at`: when the follower received the acked heartbeat (its own
+    // clock). `acked_heartbeat_sent_at`: when this leader sent that heartbeat.
     double requested_at = 0, acked_heartbeat_sent_at = 0;
     int unwritten_start_records = 0;
     std::map<std::uint32_t, double> next_commands_at;
@@ -163,7 +170,7 @@
   void submit(int i);
   void on_job_accepted(int i, const JobAcceptedRecord& record);
   void cancel(const std::string& uid);
-  // Users poll. Their cancellation is confirmed once no task of the job is placed or no earlier leader still replies to agents.
+  // Called when the user polls. Confirms the cancellation if no task of the job is placed or no earlier leader still replies to agents.
   void confirm_cancellation(const std::string& uid);
   static bool is_faulty_job(const std::string& uid) { return uid == "j-4" || uid == "j-7"; }
   // Cores of the tasks that really run on the nodes.
@@ -175,7 +182,7 @@
   void change_quotas();
 
   // Peers, in safety_leader.cpp.
-  // The age of the oldest confirmed cancellation that is not carried out yet according to the leader.
+  // The age of the oldest confirmed cancellation whose job still has placed tasks according to the leader.
   [[nodiscard]] double oldest_cancellation_age_s() const;
   // Sends a heartbeat from the leader to the follower in the other zone, which acknowledges it. During a partition, the heartbeat is
   // lost or delayed until the partition ends.
@@ -185,6 +192,7 @@
   Heartbeat heartbeat_of(Agent& agent);
   void step(Agent& agent);
   void end_tasks(Agent& agent);
+  // The leader receives a heartbeat, or, if `is_heartbeat` is false, the reply to a command, which has the same content.
   void receive(const Heartbeat& heartbeat, bool is_heartbeat);
   struct Reply {
     std::uint64_t fencing_token = 0;
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -905,11 +905,11 @@
   return record;
 }
 
-TasksCompletedRecord tasks_completed_record(double at) {
+TasksCompletedRecord tasks_completed_record(double completed_at) {
   TasksCompletedRecord record;
   record.uid = "j-1";
   record.tasks = {range(0, 1), range(3, 9)};
-  record.completed_at = at;
+  record.completed_at = completed_at;
   return record;
 }
 
@@ -1902,7 +1902,7 @@
   return load_settings(file.path());
 }
 
-// Error message without the path of the file, with which it must begin.
+// The error message without the file's path at its beginning. Marks a message that lacks the path.
 std::string settings_error(const std::string& text) {
   const SettingsFile file(text);
   const auto error = error_message_of([&] { load_settings(file.path()); });
