--- a/src/cluster_state/node_state.hpp
+++ b/src/cluster_state/node_state.hpp
@@ -49,7 +49,7 @@
 struct InstanceState {
   bool listed = false;
   Instance::Status status = Instance::Status::running;
-  double age_s = 0;          // time since it was rented, as of `listed_at`
+  double age_s = 0;          // time since it was requested, as of `listed_at`
   double listed_at = 0;      // 0: not listed yet
   double requested_at = 0;   // when this leader's request for it was confirmed; 0: another leader requested it
   double running_since = 0;  // when it was first listed as running
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -72,6 +72,8 @@
   }
   const double now = steady_now();
   term.quorum.record_ack(peer, ack.process, sent_at, ack.fencing_token, now < term.session_lease_valid_until);
+  // Called on each acknowledgement for its side effect: the tracker takes the time of the first call that finds the takeover known as
+  // the time since which it is known.
   term.quorum.sole_leader_since(term.takeover_token, now);
   auto& link = shared_.peers[peer];
   link.partition_lease.record_ack(outgoing.echoed_sent_at, steady_now(), ack.last_renewal_age_ms / kMsPerSecond);
--- a/src/leadership/partition_lease.cpp
+++ b/src/leadership/partition_lease.cpp
@@ -43,8 +43,8 @@
   acked_ = true;
   acked_at_ = now;
   renewed_at_ = std::max(renewed_at_, now - last_renewal_age_s);
-  // The heartbeat showed the peer that the leader had received an answer sent after `echoed_sent_at`, so until some time after that the
-  // peer does not regard the leader as silent and renews nothing.
+  // The heartbeat showed the peer that the leader had received an acknowledgement sent after `echoed_sent_at`, so until
+  // kLeaderSilentAfterS after that time the peer does not regard the leader as silent and renews nothing.
   if (echoed_sent_at > 0) no_renewal_before_ = echoed_sent_at + kLeaderSilentAfterS * (1 - kClockDrift);
 }
 
--- a/src/leadership/partition_lease.hpp
+++ b/src/leadership/partition_lease.hpp
@@ -21,23 +21,23 @@
   // `started_at`: when this process started. An earlier process of this controller renewed no lease after that.
   PartitionLease(double max_duration_s, double started_at) : max_duration_s_(max_duration_s), last_renewal_at_(started_at) {}
 
-  // The leader grants a lease in answer to a message that this follower sent at `requested_at`. The lease runs from that time. It is
-  // shortened by the age of the oldest cancellation that is not carried out in this zone yet, so that this cancellation is carried out in
-  // time too.
+  // A heartbeat of the leader grants a lease. The heartbeat echoes an acknowledgement that this follower sent at `requested_at`, and the
+  // lease runs from that time. The lease is shortened by the age of the oldest cancellation that is not carried out in this zone yet, so
+  // that this cancellation is carried out in time too.
   void grant(std::uint64_t fencing_token, double requested_at, double oldest_cancellation_age_s);
   // A message of the leader with this takeover token was received. A grant of an earlier term is revoked, even if the same controller led.
   void observe_leader(std::uint64_t takeover_token);
   // Ends the lease: another controller leads, or this one stepped down or has read the ledger.
   void revoke();
-  // Whether agents' leases may be renewed under it: the leader has been silent for some time and the lease has not expired.
+  // Whether agents' leases may be renewed under this lease: the leader has been silent for some time and this lease has not expired.
   [[nodiscard]] bool is_active(double now) const;
-  // Whether the lease has not expired, whether or not the leader is silent. Agents' leases may be renewed on this condition only by a
-  // controller that has taken over since the grant and has not read the ledger yet.
+  // Whether this lease has not expired, even if the leader is not silent. On this condition alone, agents' leases may be renewed only by
+  // a controller that has taken over since the grant and has not read the ledger yet.
   [[nodiscard]] bool is_unexpired(double now) const { return now < ends_at_; }
   void record_renewal(double now) { last_renewal_at_ = now; }
   // When this controller last renewed an agent's lease under a partition lease.
   [[nodiscard]] double last_renewal_at() const { return last_renewal_at_; }
-  // The token under which it was granted. A higher token that this controller learned elsewhere may belong to another leader.
+  // The token under which this lease was granted. A higher token that this controller learned elsewhere may belong to another leader.
   [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
@@ -54,11 +54,12 @@
   // `taken_over_at`: after this takeover, no earlier leader granted a partition lease.
   PartitionLeaseGrant(double max_duration_s, double taken_over_at) : max_duration_s_(max_duration_s), taken_over_at_(taken_over_at) {}
 
-  // A peer heartbeat is sent that echoes the peer's latest answer. It grants a lease that runs from that answer, however often the
-  // heartbeat is repeated. If the lease ran from the time of sending, a permanently partitioned peer would seem to hold it forever.
+  // A heartbeat that echoes the peer's latest acknowledgement is sent to the peer. The heartbeat grants a lease that runs from that
+  // acknowledgement, however often the heartbeat is repeated. If the lease ran from the time of sending, a permanently partitioned peer
+  // would seem to hold it forever.
   void record_heartbeat_sent() { granted_at_ = acked_at_; }
-  // The peer answered a heartbeat. `echoed_sent_at`: when the earlier heartbeat was sent whose answer this heartbeat echoed; 0 if it
-  // echoed none. `last_renewal_age_s`: time since the peer last renewed an agent's lease under a partition lease.
+  // The peer acknowledged a heartbeat. `echoed_sent_at`: that heartbeat echoed the acknowledgement of an earlier heartbeat, which was sent
+  // at this time; 0 if it echoed none. `last_renewal_age_s`: time since the peer last renewed an agent's lease under a partition lease.
   void record_ack(double echoed_sent_at, double now, double last_renewal_age_s);
   // Returns the latest time at which the peer may have renewed a lease under this leader's token.
   [[nodiscard]] double latest_possible_renewal(double now) const;
--- a/src/leadership/quorum_tracker.hpp
+++ b/src/leadership/quorum_tracker.hpp
@@ -26,7 +26,7 @@
   void record_ack(std::size_t peer, std::uint64_t process, double sent_at, std::uint64_t fencing_token, bool leadership_certain);
   // Returns since when no earlier leader replies to agents, or a negative value if one may still do so. `fencing_token`: of this term's
   // takeover. The time is set once all peers know of the takeover, or enough of them for long enough that an earlier leader has lost
-  // its quorum.
+  // its quorum. Each call records in the tracker what has become known by `now`.
   double sole_leader_since(std::uint64_t fencing_token, double now);
   // Whether so many controllers know of this takeover that the others are no majority. An earlier leader then has a quorum only
   // through answers received before, which count for its grace period. Stays true for the whole term.
--- a/src/ledger/ledger_contents.hpp
+++ b/src/ledger/ledger_contents.hpp
@@ -23,8 +23,8 @@
   std::uint64_t seq = 0;                   // sequence number of the newest commit
   std::uint64_t current_version_from = 0;  // all entries from this number on have `format_version`
   std::uint32_t format_version = 0;        // of the newest entry; 0: the ledger is empty
-  std::uint64_t generation = 0;
-  std::uint64_t newest_link = 0;  // of the newest entry, see link_of(); 0: it has none
+  std::uint64_t generation = 0;            // of the newest entry, see EntryHead
+  std::uint64_t newest_link = 0;           // of the newest entry, see link_of(); 0: it has none
   LedgerCompactor compactor;
 };
 
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -16,12 +16,12 @@
   std::vector<std::string> zones;  ///< where it is offered
 };
 
-/// A rented instance as listed by the cloud.
+/// An instance as listed by the cloud.
 struct Instance {
   std::string name, address, machine_type, zone;
   bool spot = false;
   enum class Status : std::uint8_t { booting, running, failed } status = Status::booting;
-  double age_s = 0;  ///< time since it was rented
+  double age_s = 0;  ///< time since it was requested
 };
 
 }  // namespace thistlefront
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -1,4 +1,4 @@
-// Requests to the cloud's API and its replies: machine types, the list of instances, renting and releasing instances. Called by
+// Requests to the cloud's API and its replies: machine types, the list of instances, requesting and releasing instances. Called by
 // the cloud manager, the scale-out manager and the instance releaser.
 #pragma once
 #include <string>
@@ -11,7 +11,7 @@
 namespace thistlefront {
 
 inline constexpr const char* kMachineTypesPath = "/flavors";     ///< GET: list machine types
-inline constexpr const char* kRentPath = "/rentals";             ///< GET: list instances; POST: rent instances
+inline constexpr const char* kRentPath = "/rentals";             ///< GET: list instances; POST: request instances
 inline constexpr const char* kReleasePath = "/rentals/release";  ///< POST: release instances
 /// Path of a page of the list of instances: at most `page_size` instances from `first_name` on. Empty `first_name`: the first page.
 std::string instances_path(const std::string& first_name, unsigned page_size);
@@ -27,9 +27,9 @@
 /// Parses a page; throws ProtocolError.
 InstancePage parse_instances(std::string_view body);
 
-/// Requests `count` instances of a machine type. `rental_id` makes the request idempotent: repeating it rents nothing more.
+/// Requests `count` instances of a machine type. `rental_id` makes the request idempotent: repeating it adds no instances.
 std::string rent_body(const std::string& rental_id, const std::string& machine_type, const std::string& zone, bool spot, unsigned count);
-/// Parses the names of the rented instances; throws ProtocolError.
+/// Parses the names of the instances that the request added; throws ProtocolError.
 std::vector<std::string> parse_rented_names(std::string_view body);
 /// Whether an error reply means that no such instances are available, rather than a failure of the cloud.
 bool reports_no_capacity(std::string_view body);
--- a/src/protocol/ledger_format.hpp
+++ b/src/protocol/ledger_format.hpp
@@ -20,7 +20,9 @@
 /// The fields of an entry other than its records.
 struct EntryHead {
   std::uint32_t format_version = 1;
-  std::uint64_t generation = 0;     ///< copied from the previous entry; this build never raises it
+  /// Counter that this build only preserves: it is stored, covered by the checksum and copied from the previous entry, and never raised.
+  /// While it is not 0, the format version is not lowered.
+  std::uint64_t generation = 0;
   std::uint64_t seq = 0;            ///< sequence number of the commit that last wrote the entry
   std::uint64_t previous_link = 0;  ///< link of the previous entry; 0: there is none, or it has no link
   std::uint64_t number = 0;         ///< the entry's number, in format versions that reuse keys
--- a/src/scheduling/pass_pacing.hpp
+++ b/src/scheduling/pass_pacing.hpp
@@ -11,12 +11,13 @@
 };
 
 struct PassPacing {
-  double min_rest_s = 0.1;     // the configured pass period
-  double processor_share = 1;  // fraction of a core that this process may use; 0 is unknown and treated as 1
+  double min_rest_s = 0.1;  // the configured pass period
+  // Processor limit of this process. 0 is unknown. It and values above 1 count as one core, because a pass runs on one thread.
+  double processor_limit_cores = 1;
 };
 
 // Seconds to rest before the next pass. Planning is limited to a fixed fraction of the elapsed time and to a fixed fraction of the
-// process's share of a core. The rest never exceeds kMaxPassRestSeconds, unless the pass period is longer, so that planning goes
+// processor limit. The rest never exceeds kMaxPassRestSeconds, unless the pass period is longer, so that planning goes
 // on under any load.
 double rest_after_pass(const PassCost& cost, const PassPacing& pacing);
 
--- a/src/scheduling/plan.hpp
+++ b/src/scheduling/plan.hpp
@@ -56,9 +56,9 @@
   bool allows_spot = false;
   std::uint32_t max_tasks_per_zone = UINT32_MAX;
   std::vector<std::uint32_t> tasks_by_zone;  // placed tasks of the job; filled only where a rule needs the counts
-  std::vector<std::uint32_t> tasks_by_node;  // the same by position in PlanInput::nodes; empty: none
+  std::vector<std::uint32_t> tasks_by_node;  // placed tasks of the job by position in PlanInput::nodes; empty: none
   std::vector<NodeIndex> avoided_nodes;      // nodes on which the job failed recently
-  bool suspect = false;                      // fails wherever it runs: nothing is preempted or rented for it
+  bool suspect = false;                      // fails wherever it runs: causes neither preemption nor scale-out
   double remaining_start_target_s = 0;       // services: time left to meet the last start target; 0: no target, or it is missed
   double max_wait_s = 2;                     // maximum wait for a reserved slot before other work is preempted
 };
--- a/src/scheduling/plan_builder.hpp
+++ b/src/scheduling/plan_builder.hpp
@@ -86,7 +86,7 @@
   void add_slot(PlanJob& job, NodePosition position, std::uint32_t units, double start_at);
   // Counts units with a slot against the team's quota.
   void charge_team(const PlanJob& job, std::uint32_t units, double start_at);
-  // Records units that do not start now, unless the job is suspect: nothing is preempted or rented for suspect jobs.
+  // Records units that do not start now, unless the job is suspect: suspect jobs cause neither preemption nor scale-out.
   void add_unserved(const PlanJob& job, std::uint32_t units, std::uint32_t after_horizon) {
     if (!job.suspect) plan_.unserved.push_back({job.job, units, after_horizon});
   }
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -1,4 +1,4 @@
-// Decides which instances to rent for work that has no slot in time, and which rented instances are still expected to boot. Called
+// Decides which instances to request for work that has no slot in time, and which requested instances are still expected to boot. Called
 // by the leader's cloud duty. Pure: it sends no request itself.
 #pragma once
 #include <map>
--- a/src/worker_control/draining.cpp
+++ b/src/worker_control/draining.cpp
@@ -42,7 +42,8 @@
       stop_if_placed(*placed.placement, grace_period_s, affected_nodes);
       continue;
     }
-    // A gang stops in an orderly way only if all of its tasks are stopped at once.
+    // All tasks of a gang are stopped together. If only some of them stopped, stop_broken_gangs() would then stop the others without
+    // time to write a checkpoint.
     for (auto& [task, placement] : job.placed) stop_if_placed(placement, grace_period_s, affected_nodes);
   }
 }
--- a/testbed/fault_test_cluster.cpp
+++ b/testbed/fault_test_cluster.cpp
@@ -116,7 +116,7 @@
 
 HttpReply FaultTestCluster::handle_cloud_request(const HttpCall& call) const {
   if (call.target == "/flavors") return {200, machine_types(kNodeCores, kRamGb, kZones).dump()};
-  // Injected fault: instances can be neither rented nor released.
+  // Injected fault: instances can be neither requested nor released.
   if (call.method != "GET") return {503, R"({"error":"no capacity"})"};
   std::vector<InstanceDescription> instances;
   if (call.target.find("from=") == std::string_view::npos)
--- a/tests/cancellation_during_outage_test.cpp
+++ b/tests/cancellation_during_outage_test.cpp
@@ -11,7 +11,7 @@
 using test_support::wait;
 
 constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.5, .lease_s = 4, .cancel_s = 8, .image_pull_s = 0.1};
-constexpr double kOutageS = 13;  // longer than cancel_s and the time until a reply
+constexpr double kOutageS = 13;  // longer than cancel_s plus the time until a cancellation is confirmed
 
 class CancellationDuringOutage : public test_support::ClusterFixture {
  protected:
--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -11,8 +11,8 @@
 using test_support::status_of;
 using test_support::wait;
 
-constexpr testbed::ProtocolTimes kTimes{0.5, 4, 8, 0.05};  // seconds: heartbeat interval, lease, cancellation limit, image pull
-constexpr std::size_t kSufficientCalls = 10;               // a deposed leader must receive more calls than this during a fault
+constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.5, .lease_s = 4, .cancel_s = 8, .image_pull_s = 0.05};
+constexpr std::size_t kSufficientCalls = 10;  // a deposed leader must receive more calls than this during a fault
 constexpr double kMaxFaultS = 20;
 
 // The leader's answer to a request forwarded by a follower is delayed until the next leader has given a user a newer answer. The follower
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_EQ(job(cluster_state, "j-900002").status, JobStatus::queued);
   EXPECT_EQ(cluster_state.dependency_graph().counts().blocked, 1u);
   EXPECT_EQ(cluster_state.dependency_graph().counts().cancelled, kDepth + 1u);
-  // A job accepted after one of its dependencies was cancelled, and later one whose dependency is already done.
+  // j-900003 is accepted after one of its dependencies was cancelled, j-900004 after its dependency was done.
   cluster_state.apply(accept_record(job_with_dependencies("j-900003", {"j-900000", "j-1"}), 4));
   EXPECT_EQ(job(cluster_state, "j-900003").status, JobStatus::cancelled);
   cluster_state.apply(start_record("j-900000", 1, {{0, 2}}));
--- a/tests/format_versions_test.cpp
+++ b/tests/format_versions_test.cpp
@@ -380,9 +380,10 @@
   EXPECT_EQ(downgrade.run(state_with_leader(2, Build::supports_two_allows_one, false), 9), "");
   EXPECT_TRUE(downgrade.applied.contains(Step::Kind::begin_downgrade));
   EXPECT_TRUE(downgrade.applied.contains(Step::Kind::finish_downgrade));
-  Explorer undecided({});
-  undecided.builds = {Build::supports_one, Build::supports_two};
-  EXPECT_EQ(undecided.run(state_with_leader(2, Build::supports_two_allows_one, false), 8), "");
+  // Some restarted controllers allow version 2, others only version 1.
+  Explorer mixed_builds({});
+  mixed_builds.builds = {Build::supports_one, Build::supports_two};
+  EXPECT_EQ(mixed_builds.run(state_with_leader(2, Build::supports_two_allows_one, false), 8), "");
   // An upgrade by one version, and one by several versions at once in which controllers may restart with an older build at any time.
   Explorer one_version({}), several_versions({});
   one_version.builds = {Build::supports_three, Build::supports_four};
@@ -395,9 +396,9 @@
   EXPECT_TRUE(several_versions.applied.contains(Step::Kind::activate));
   std::printf("%zu + %zu states\n", one_version.explored_states(), several_versions.explored_states());
   RecordProperty("states", static_cast<int>(upgrade.explored_states() + from_nothing.explored_states() + downgrade.explored_states() +
-                                            undecided.explored_states()));
+                                            mixed_builds.explored_states()));
   std::printf("%zu + %zu + %zu + %zu states\n", upgrade.explored_states(), from_nothing.explored_states(), downgrade.explored_states(),
-              undecided.explored_states());
+              mixed_builds.explored_states());
   EXPECT_GT(upgrade.explored_states(), 10000u);
 }
 
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -15,7 +15,7 @@
 
 using test_support::wait;
 
-constexpr testbed::ProtocolTimes kTimes{0.5, 5, 20, 0.1};  // seconds: heartbeat, lease, cancel, pull
+constexpr testbed::ProtocolTimes kTimes{.heartbeat_interval_s = 0.5, .lease_s = 5, .cancel_s = 20, .image_pull_s = 0.1};
 constexpr std::size_t kNodesPerController = 8, kTasksPerJob = 2;
 
 class HeartbeatRelayTest : public test_support::ClusterFixture, public testing::WithParamInterface<std::size_t> {
--- a/tests/pass_pacing_test.cpp
+++ b/tests/pass_pacing_test.cpp
@@ -14,11 +14,11 @@
   EXPECT_DOUBLE_EQ(rest_after_pass({0.05, 0}, {0.1, 1}), 0.2);
 }
 
-// Guards against late lease renewals: ten passes of 3 ms per second took 0.8 of a processor share of 3.8% of a core.
-TEST(PassPacing, UsesNoMoreThanAQuarterOfTheProcessorShare) {
-  const double processor_s = 0.003, share = 0.038;
-  const double rest_s = rest_after_pass({0, processor_s}, {0.1, share});
-  EXPECT_NEAR(processor_s / rest_s, share / 4, 1e-12);
+// Guards against late lease renewals: ten passes of 3 ms per second took 80% of a processor limit of 3.8% of a core.
+TEST(PassPacing, UsesNoMoreThanAQuarterOfTheProcessorLimit) {
+  const double processor_s = 0.003, limit_cores = 0.038;
+  const double rest_s = rest_after_pass({0, processor_s}, {0.1, limit_cores});
+  EXPECT_NEAR(processor_s / rest_s, limit_cores / 4, 1e-12);
 }
 
 TEST(PassPacing, RestsNoLongerThanASecondUnderAnyLoad) {
@@ -26,7 +26,7 @@
   EXPECT_DOUBLE_EQ(rest_after_pass({9, 9}, {30, 0.001}), 30) << "a longer pass period is kept";
 }
 
-TEST(PassPacing, TreatsAnUnknownProcessorShareAsAWholeCore) {
+TEST(PassPacing, TreatsAnUnknownOrLargerProcessorLimitAsOneCore) {
   EXPECT_DOUBLE_EQ(rest_after_pass({0, 0.05}, {0.1, 0}), rest_after_pass({0, 0.05}, {0.1, 1}));
   EXPECT_DOUBLE_EQ(rest_after_pass({0, 0.05}, {0.1, 8}), rest_after_pass({0, 0.05}, {0.1, 1}));
 }
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -33,7 +33,7 @@
       const Resources demand{1.0 + random_below(4), 0, 2.0 + random_below(8)};
       if (!demand.fits(free)) break;
       free -= demand;
-      // Some are past their estimate, some never end.
+      // Some tasks are past their expected end, some run until they are cancelled.
       node.occupants.push_back({demand, random_below(8) == 0 ? kInfinity : 990.0 + random_below(80)});
     }
     for (std::uint32_t image = 0; image < 12; ++image)
@@ -196,8 +196,8 @@
   }
 }
 
-// Once all reservations are given out, tasks that need at least as much as one for which nothing was free are skipped. Smaller
-// tasks and tasks that may use other nodes are still searched for.
+// Once all reservations are given out, no slot is searched for a task that needs at least as much as an earlier task whose search
+// failed. Smaller tasks and tasks that may use other nodes are still searched for.
 TEST(PlannerScale, SkipsOnlyTasksThatNeedAtLeastAsMuchAfterAFailedSearch) {
   PlanInput in;
   in.now = 100;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -45,8 +45,8 @@
           << uid << " at controller " << i;
 }
 
-// Whether all entries have format version 2, or, if `expected` is false, none has.
-bool is_version_two_in_all_entries(Cluster& cluster, bool expected) {
+// Whether all entries have format version 2 or, if `expected` is false, all have another version. False if there are no entries.
+bool each_entry_has_version_two(Cluster& cluster, bool expected) {
   const auto entries = cluster.store.ledger_entries();
   return !entries.empty() && std::all_of(entries.begin(), entries.end(), [&](const auto& entry) {
     return (entry.second.find("\"level\":2") != std::string::npos) == expected;
@@ -62,13 +62,14 @@
     EXPECT_EQ(cluster.format_version(), "");
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
   }
-  EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "an older build must be able to read the entries";
+  EXPECT_TRUE(each_entry_has_version_two(cluster, /*expected=*/false)) << "an older build must be able to read the entries";
   cluster.start(2, build_of_version_two(0));
   ASSERT_TRUE(cluster.eventually(30, [&] { return cluster.format_version() == kVersionTwo; }));
   EXPECT_NE(cluster.store.value("leader").find("(state level 2)"), std::string::npos)
       << "a placeholder without a session lease, for builds older than format versions";
   ASSERT_TRUE(cluster.submit_until("j-2", 20));
-  EXPECT_TRUE(cluster.eventually(20, [&] { return is_version_two_in_all_entries(cluster, true); })) << "old entries are rewritten";
+  EXPECT_TRUE(cluster.eventually(20, [&] { return each_entry_has_version_two(cluster, /*expected=*/true); }))
+      << "old entries are rewritten";
   expect_known_to_all_controllers(cluster, {"j-1", "j-2"});
   // A new leader keeps the active version.
   cluster.store.expire_session_leases();
@@ -122,7 +123,7 @@
   EXPECT_EQ(cluster.format_version(), kVersionTwo) << "a single controller with a forgotten flag causes no downgrade";
   cluster.start(1, build_of_version_two_allowing(1));
   ASSERT_TRUE(cluster.eventually(40, [&] { return cluster.format_version() == R"({"level":1})"; }));
-  EXPECT_TRUE(is_version_two_in_all_entries(cluster, false)) << "entries are rewritten before the lower version is activated";
+  EXPECT_TRUE(each_entry_has_version_two(cluster, /*expected=*/false)) << "entries are rewritten before the lower version is activated";
   EXPECT_EQ(cluster.store.value("lead"), "");
   for (std::size_t i = 0; i < 3; ++i) cluster.start(i, build_of_version_one());
   ASSERT_TRUE(cluster.submit_until("j-4", 20));
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// Which instances are rented while others boot on time, boot late, or never come up.
+// Which instances are requested while others boot on time, boot late, or never come up.
 #include "scheduling/scale_out.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/short_jobs_test.cpp
+++ b/tests/short_jobs_test.cpp
@@ -1,6 +1,6 @@
-// Four jobs of one task per second for five minutes, a quarter of them cancelled. The key-value store accepts 15 changes of 2 KiB per
-// second and 4 changes per transaction. Measures the ledger changes per job and how long users wait for a reply. Runs the leader's
-// rate limiter, ledger writer and compactor in simulated time.
+// For five minutes, four jobs with one task each are submitted per second, and a quarter of the jobs is cancelled. The key-value store
+// accepts 15 changes of 2 KiB per second and 4 changes per transaction. Measures the ledger changes per job and how long users wait for a
+// reply. Runs the leader's rate limiter, ledger writer and compactor in simulated time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 namespace thistlefront {
 namespace {
 
-constexpr double kJobsPerSecond = 4, kDurationSeconds = 300, kRunSeconds = 12, kCommitSeconds = 0.01, kLingerWrites = 2.5;
+constexpr double kJobsPerSecond = 4, kDurationSeconds = 300, kRunSeconds = 12, kCommitSeconds = 0.01, kDeferralInWrites = 2.5;
 constexpr std::size_t kMaxQueued = 3000;  // bound of the controller's record queue
 
 struct LedgerLoad {
@@ -33,8 +33,8 @@
   bool users_wait = false;
   double commit_at = 0;
 
-  void enqueue(Record record, double now, bool from_user, bool may_linger = false) {
-    const double due_at = now + (may_linger ? kLingerWrites / write_limiter.rate() : 0);
+  void enqueue(Record record, double now, bool from_user, bool deferrable = false) {
+    const double due_at = now + (deferrable ? kDeferralInWrites / write_limiter.rate() : 0);
     commit_at = queue.empty() ? due_at : std::min(commit_at, due_at);
     users_wait = users_wait || from_user;
     if (merge_completions(queue, record)) return;
--- a/tests/starvation_guard_test.cpp
+++ b/tests/starvation_guard_test.cpp
@@ -1,4 +1,5 @@
-// Starving jobs of low priority get a bounded fraction of the released cores.
+// Starving jobs of low priority get a bounded fraction of the released cores. A StarvingJob is {position, job, waited_s, unit_cores,
+// units}.
 #include "scheduling/starvation_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -45,9 +46,9 @@
   EXPECT_EQ(guard.promote({{0, job(1), 90, 1, 100000}}).at(0).units, 100u);
 }
 
-// A cluster of 100 cores runs tasks of 10 s. For ten minutes, twice as much work of a higher priority is submitted as it can do,
-// and one job of the lowest priority every four seconds. Without the guard, none of the low-priority jobs runs; with it, they get the
-// guard's fraction and no more.
+// A cluster of 100 cores runs tasks of 10 s. For ten minutes, the work of a higher priority that is submitted is twice what
+// the cluster can do, and one job of the lowest priority is submitted every four seconds. Without the guard, none of the low-priority jobs
+// runs; with it, they get the guard's fraction and no more.
 TEST(StarvationGuard, ServesTheLowestPriorityUnderLastingOverload) {
   for (const bool guarded : {false, true}) {
     StarvationGuard guard;
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -50,7 +50,7 @@
   ASSERT_TRUE(first.get("/lingers", 2).is(200));
   for (int i = 0; i < 200 && lingering_threads == 0; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   ASSERT_EQ(lingering_threads, 1);
-  // The first connection makes the accept loop remove ended connections. With the fault, later ones were never accepted.
+  // The first of these connections makes the accept loop remove ended connections. With the fault, the others were never accepted.
   for (int i = 0; i < 5; ++i) {
     HttpClient other(address);
     EXPECT_TRUE(other.get("/", 1).is(200)) << i;
