--- a/src/cluster_state/node_state.hpp
+++ b/src/cluster_state/node_state.hpp
@@ -25,7 +25,7 @@
   double last_message_at = 0;
   double last_heartbeat_at = 0;           // of the last message that counts as a sign of life (worker_control/heartbeat_application)
   double last_direct_contact_at = 0;      // when this controller itself last received a message from it, not through a peer
-  double last_answered_heartbeat_at = 0;  // when this leader last replied to a heartbeat and so renewed the lease
+  double last_replied_heartbeat_at = 0;   // when this leader last replied to a heartbeat and so renewed the lease
   double incarnation_since = 0;           // when the first message of its current incarnation was received
   double fenced_at = 0;                   // when its current incarnation was first known to have seen this leader's token
   double unresponsive_since = 0;          // since when replies do not reach it; 0: they do (worker_control/one_way_partition)
@@ -36,7 +36,7 @@
 
 // Commands in flight to a node.
 struct CommandState {
-  bool last_command_failed = false;  // the latest direct command got no valid answer
+  bool last_command_failed = false;  // the latest direct command got no valid reply
   // Serial of the latest heartbeat whose reply contained a run command; 0: none in this incarnation.
   std::uint64_t last_run_serial = 0;
   // Fencing tokens of direct run commands that are in flight, or whose outcome is unknown: until the agent has seen a higher
--- a/src/controller/agent_messages.hpp
+++ b/src/controller/agent_messages.hpp
@@ -13,8 +13,8 @@
 
 // How an agent's message reached the leader. Both kinds have the content of a heartbeat.
 enum class MessageKind {
-  heartbeat,       // sent only after the agent has executed or dropped the replies to all earlier heartbeats
-  command_answer,  // the answer to a direct command or to a status probe
+  heartbeat,      // sent only after the agent has executed or dropped the replies to all earlier heartbeats
+  command_reply,  // the reply to a direct command or to a status probe
 };
 
 class AgentMessages {
--- a/src/controller/cloud_manager.cpp
+++ b/src/controller/cloud_manager.cpp
@@ -72,10 +72,10 @@
 }
 
 bool CloudManager::refresh_machine_types(HttpClient& cloud) {
-  const auto response = cloud.get(kMachineTypesPath, kCloudTimeoutS);
-  if (!response.ok()) return false;
+  const auto reply = cloud.get(kMachineTypesPath, kCloudTimeoutS);
+  if (!reply.ok()) return false;
   try {
-    auto types = parse_machine_types(response.body);
+    auto types = parse_machine_types(reply.body);
     Lock lock(shared_.mutex);
     if (!shared_.may_decide()) return false;
     const auto& known = shared_.term->cluster_state->machine_types();
@@ -103,10 +103,10 @@
   std::vector<Instance> all;
   std::string from;
   for (;;) {
-    const auto response = cloud.get(instances_path(from, kPageSize), kCloudTimeoutS);
-    if (!response.ok()) return false;
+    const auto reply = cloud.get(instances_path(from, kPageSize), kCloudTimeoutS);
+    if (!reply.ok()) return false;
     try {
-      auto page = parse_instances(response.body);
+      auto page = parse_instances(reply.body);
       for (auto& instance : page.instances) all.push_back(std::move(instance));
       if (!page.truncated || page.instances.empty()) break;
       from = all.back().name;
--- a/src/controller/command_sender.cpp
+++ b/src/controller/command_sender.cpp
@@ -187,7 +187,7 @@
   Node& node = term.cluster_state->node(request.node);
   if (reply.node != node.name) return;
   node.agent.last_direct_contact_at = steady_now();
-  agent_messages_.apply(reply, MessageKind::command_answer);
+  agent_messages_.apply(reply, MessageKind::command_reply);
 }
 
 }  // namespace thistlefront
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -140,11 +140,11 @@
   // the call. That was earlier, so the reply never becomes valid for longer, and the time spent on a commit does not shorten it.
   const double received_at = steady_now();
   if (call.target == kSupportedVersionsTarget) return pack(HttpReply{200, pack(config_.supported_versions)}, received_at);
-  if (call.target == kRelaySupportTarget) return pack(heartbeats_.answer_batch_support_query(), received_at);
+  if (call.target == kRelaySupportTarget) return pack(heartbeats_.reply_to_batch_support_query(), received_at);
   if (call.target == kTeamQuotasTarget) return pack(HttpReply{200, pack(config_.team_quotas)}, received_at);
   const UserRoute route = route_of(call.method, call.target);
   const bool is_heartbeat = route.kind == UserRoute::Kind::heartbeat;
-  return pack(is_heartbeat ? heartbeats_.handle_forwarded(call.body) : requests_.answer(route, call.body), received_at);
+  return pack(is_heartbeat ? heartbeats_.handle_forwarded(call.body) : requests_.reply_locally(route, call.body), received_at);
 }
 
 }  // namespace thistlefront
--- a/src/controller/controller_metrics.hpp
+++ b/src/controller/controller_metrics.hpp
@@ -25,8 +25,8 @@
   std::atomic<double> pass_seconds{0}, pass_processor_seconds{0}, commit_seconds{0};
   // Heartbeats. Partition renewals are agents' leases renewed in a partition.
   Count heartbeats{0}, repeated_heartbeats{0}, relayed_heartbeats{0}, partition_renewals{0};
-  // Heartbeats answered while leadership was uncertain, and kills sent with these answers.
-  Count answered_while_uncertain{0}, kills_while_uncertain{0};
+  // Heartbeats replied to while leadership was uncertain, and kills sent with these replies.
+  Count replied_while_uncertain{0}, kills_while_uncertain{0};
   // Nodes.
   Count cordoned{0}, unresponsive{0};
   // Hand-overs of leadership, and corrected quota accounts.
--- a/src/controller/heartbeat_forwarding.cpp
+++ b/src/controller/heartbeat_forwarding.cpp
@@ -53,15 +53,15 @@
   const auto result = relay_.relay(heartbeat, kRelayTimeoutS);
   lock.lock();
   using Outcome = HeartbeatRelay::RelayResult::Outcome;
-  const bool partitioned = result.outcome == Outcome::not_answered && relay_.is_partitioned();
+  const bool partitioned = result.outcome == Outcome::no_reply && relay_.is_partitioned();
   if (result.outcome == Outcome::not_supported || partitioned) return std::nullopt;
-  // Valid only while the leader that answered is still the known one: once this controller has acknowledged a later leader, it sends no
-  // answer under an older fencing token.
-  const bool is_current = result.outcome == Outcome::answered && shared_.role == Role::follower &&
+  // Valid only while the leader that replied is still the known one: once this controller has acknowledged a later leader, it sends no
+  // reply under an older fencing token.
+  const bool is_current = result.outcome == Outcome::replied && shared_.role == Role::follower &&
                           result.leader_change_count == shared_.known_leader.change_count;
-  if (!is_current || result.answer.outcome != HeartbeatAnswer::Outcome::renewed) return redirect_to("");
+  if (!is_current || result.reply.outcome != HeartbeatReply::Outcome::renewed) return redirect_to("");
   ++metrics_.counters.relayed_heartbeats;
-  HttpReply reply{200, heartbeat_response_body(result.fencing_token, result.answer.commands)};
+  HttpReply reply{200, heartbeat_reply_body(result.fencing_token, result.reply.commands)};
   reply.evict_last = !heartbeat.tasks.empty();
   return reply;
 }
@@ -85,7 +85,7 @@
   if (!may_renew_in_partition(shared_, heartbeat, now)) return std::nullopt;
   shared_.partition_lease.record_renewal(now);
   ++metrics_.counters.partition_renewals;
-  return HttpReply{200, heartbeat_response_body(shared_.partition_lease.fencing_token(), {})};
+  return HttpReply{200, heartbeat_reply_body(shared_.partition_lease.fencing_token(), {})};
 }
 
 // An agent counts as unable to reach the leader if it knows the leader's fencing token (it was connected to the leader and left), or if
@@ -113,10 +113,10 @@
   const std::string leader = shared_.known_leader.label;
   lock.unlock();
   if (!pool) return redirect_to("");
-  const auto answer = pool->call(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeoutS);
-  auto reply = answer ? unpack_reply(*answer, received_at) : std::nullopt;
+  const auto reply_frame = pool->call(pack(PeerCall{"POST", "/v1/report", std::string(body)}), kForwardTimeoutS);
+  auto reply = reply_frame ? unpack_reply(*reply_frame, received_at) : std::nullopt;
   lock.lock();
-  // Once this controller has acknowledged a later leader, it sends no answer under an older fencing token.
+  // Once this controller has acknowledged a later leader, it sends no reply under an older fencing token.
   if (reply && reply->status == 200 && shared_.known_leader.label == leader) return *reply;
   return redirect_to("");
 }
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "controller/leadership_conditions.hpp"
-#include "controller/user_answer.hpp"
+#include "controller/user_reply.hpp"
 #include "heartbeat_relay/relay_mode.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_messages.hpp"
@@ -17,7 +17,7 @@
 
 namespace {
 constexpr double kLedgerWaitS = 1.0;             // below the 4 s after which a heartbeat times out on the agent
-constexpr double kCommandsLostAfterS = 2.0;      // if commands are sent but none is answered for this long, they do not reach agents
+constexpr double kCommandsLostAfterS = 2.0;      // if commands are sent but none is replied to for this long, they do not reach agents
 constexpr double kCountPeriodS = 1.0;            // between counts of the agents that are connected directly
 constexpr double kRecentHeartbeatPeriods = 2.5;  // heartbeat intervals within which a received heartbeat is recent
 
@@ -61,7 +61,7 @@
   return handle_as_leader(lock, heartbeat, Route::forwarded);
 }
 
-HttpReply HeartbeatHandler::answer_batch_support_query() {
+HttpReply HeartbeatHandler::reply_to_batch_support_query() {
   Lock lock(shared_.mutex);
   if (shared_.role == Role::follower) return unavailable_reply();
   Term& term = *shared_.term;
@@ -81,9 +81,9 @@
     const double now = steady_now();
     if (const auto other = shared_.term->balancer.redirect_from_leader(count_direct_agents(now), now)) return redirect_to(*other);
   }
-  const auto answered = answer(lock, heartbeat, route);
-  if (answered.outcome != HeartbeatAnswer::Outcome::renewed) return refuse();
-  HttpReply reply{200, heartbeat_response_body(shared_.term->fencing_token, answered.commands)};
+  const auto heartbeat_reply = reply_to_heartbeat(lock, heartbeat, route);
+  if (heartbeat_reply.outcome != HeartbeatReply::Outcome::renewed) return refuse();
+  HttpReply reply{200, heartbeat_reply_body(shared_.term->fencing_token, heartbeat_reply.commands)};
   reply.evict_last = !heartbeat.tasks.empty();
   return reply;
 }
@@ -105,8 +105,8 @@
   return term.direct_agent_count;
 }
 
-HeartbeatAnswer HeartbeatHandler::answer(const Lock& lock, const Heartbeat& heartbeat, Route route) {
-  HeartbeatAnswer refused{HeartbeatAnswer::Outcome::refused, {}};
+HeartbeatReply HeartbeatHandler::reply_to_heartbeat(const Lock& lock, const Heartbeat& heartbeat, Route route) {
+  HeartbeatReply refused{HeartbeatReply::Outcome::refused, {}};
   if (heartbeat.fencing_token > shared_.term->fencing_token) {
     // The agent has received a reply or a command from a later leader.
     shared_.step_down(lock, "a worker reports a higher fencing token");
@@ -132,28 +132,28 @@
   ++metrics_.counters.heartbeats;
   if (!ledger_read) {
     shared_.term->early_reply_times[heartbeat.node] = now;
-    return {HeartbeatAnswer::Outcome::renewed, {}};
+    return {HeartbeatReply::Outcome::renewed, {}};
   }
-  return answer_with_commands(heartbeat, route, now);
+  return reply_with_commands(heartbeat, route, now);
 }
 
-HeartbeatAnswer HeartbeatHandler::answer_with_commands(const Heartbeat& heartbeat, Route route, double now) {
+HeartbeatReply HeartbeatHandler::reply_with_commands(const Heartbeat& heartbeat, Route route, double now) {
   ClusterState& cluster_state = *shared_.term->cluster_state;
   const auto& settings = shared_.config.settings;
   const bool stale = !agent_messages_.apply(heartbeat, MessageKind::heartbeat);
   const NodeIndex index = cluster_state.find_or_add_node(heartbeat.node);
   Node& node = cluster_state.node(index);
   if (may_still_start_cancelled_job(cluster_state, node, now, max_partition_lease_s(settings.cancel_s, settings.lease_s)))
-    return {HeartbeatAnswer::Outcome::refused, {}};
+    return {HeartbeatReply::Outcome::refused, {}};
   record_lease_renewal(node, stale, now);
   record_direct_contact(node, route, stale, now);
-  HeartbeatAnswer out{HeartbeatAnswer::Outcome::renewed, {}};
-  // Each answer that renews a lease carries the kills of cancelled jobs, even if a newer heartbeat has overtaken this one.
+  HeartbeatReply out{HeartbeatReply::Outcome::renewed, {}};
+  // Each reply that renews a lease carries the kills of cancelled jobs, even if a newer heartbeat has overtaken this one.
   const bool newest = node.agent.incarnation == heartbeat.agent_incarnation && node.agent.serial == heartbeat.serial;
   out.commands = newest ? agent_messages_.due_commands(index) : kills_for_cancelled_jobs(cluster_state, index);
   record_commands_sent(node, heartbeat.serial, out.commands);
   if (!shared_.may_decide()) {
-    ++metrics_.counters.answered_while_uncertain;
+    ++metrics_.counters.replied_while_uncertain;
     metrics_.counters.kills_while_uncertain += out.commands.size();
   }
   return out;
@@ -174,8 +174,8 @@
     return pack(error_reply(400, "malformed batch"), steady_now());
   }
   Lock lock(shared_.mutex);
-  HeartbeatBatchAnswer out;
-  // Answers with takeover token 0 if the batch is meant for another term; the sender then looks up the leader again.
+  HeartbeatBatchReply out;
+  // Replies with takeover token 0 if the batch is meant for another term; the sender then looks up the leader again.
   if (shared_.role == Role::follower) return pack(out);
   Term& term = *shared_.term;
   if (!term.accepts_heartbeat_batches || batch->takeover_token != term.takeover_token) return pack(out);
@@ -189,16 +189,16 @@
     out.redirect_target = redirection.target;
   }
   const bool is_reading_ledger = !term.cluster_state && shared_.ledger_unreadable_since == 0;
-  for (const HeartbeatDelta& delta : batch->heartbeats) out.answers.push_back(answer_batched(lock, delta, is_reading_ledger));
+  for (const HeartbeatDelta& delta : batch->heartbeats) out.replies.push_back(reply_to_batched(lock, delta, is_reading_ledger));
   return pack(out);
 }
 
-HeartbeatAnswer HeartbeatHandler::answer_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger) {
-  using Outcome = HeartbeatAnswer::Outcome;
+HeartbeatReply HeartbeatHandler::reply_to_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger) {
+  using Outcome = HeartbeatReply::Outcome;
   if (shared_.role == Role::follower) return {Outcome::refused, {}};
   if (is_reading_ledger) return {Outcome::retry_later, {}};
   const Heartbeat* heartbeat = shared_.term->relayed_heartbeats.decode(delta);
-  return heartbeat ? answer(lock, *heartbeat, Route::relayed) : HeartbeatAnswer{Outcome::full_required, {}};
+  return heartbeat ? reply_to_heartbeat(lock, *heartbeat, Route::relayed) : HeartbeatReply{Outcome::full_required, {}};
 }
 
 }  // namespace thistlefront
--- a/src/controller/heartbeat_handler.hpp
+++ b/src/controller/heartbeat_handler.hpp
@@ -30,8 +30,8 @@
   HttpReply handle_forwarded(std::string_view body);
   // Handles a batch of heartbeats relayed by a peer.
   Frame handle_batch(const Frame& frame);
-  // Answers a peer that asks whether this leader accepts batches.
-  HttpReply answer_batch_support_query();
+  // Replies to a peer that asks whether this leader accepts batches.
+  HttpReply reply_to_batch_support_query();
 
  private:
   // How a heartbeat reached the leader.
@@ -43,10 +43,10 @@
 
   HttpReply handle_as_leader(Lock& lock, const Heartbeat& heartbeat, Route route);
   // Steps down and refuses the agent if the heartbeat has a higher fencing token.
-  HeartbeatAnswer answer(const Lock& lock, const Heartbeat& heartbeat, Route route);
-  HeartbeatAnswer answer_with_commands(const Heartbeat& heartbeat, Route route, double now);
+  HeartbeatReply reply_to_heartbeat(const Lock& lock, const Heartbeat& heartbeat, Route route);
+  HeartbeatReply reply_with_commands(const Heartbeat& heartbeat, Route route, double now);
   void record_direct_contact(Node& node, Route route, bool stale, double now) const;
-  HeartbeatAnswer answer_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger);
+  HeartbeatReply reply_to_batched(const Lock& lock, const HeartbeatDelta& delta, bool is_reading_ledger);
   // Waits up to kLedgerWaitS until the ledger has been read.
   void await_ledger(Lock& lock);
   // The number of agents that send heartbeats directly to this leader.
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 constexpr double kMinBatchPeriodS = 0.05;       // from the start of one batch to the next
-constexpr double kBatchTimeoutS = 1.2;          // for the leader's answer
+constexpr double kBatchTimeoutS = 1.2;          // for the leader's reply
 constexpr double kSupportRecheckPeriodS = 2.0;  // a leader that accepted no batches may accept them later
 constexpr double kAnnouncePeriodS = 1.0;        // without heartbeats, empty batches tell the leader that this relay is available
-// Longer than a takeover takes. A leader that still leads, but has not answered this controller for longer, may be reachable for the
+// Longer than a takeover takes. A leader that still leads, but has not replied to this controller for longer, may be reachable for the
 // agents themselves.
 constexpr double kMaxLeaderFailureS = 2.2;
 constexpr double kFailurePauseS = 0.1;
@@ -111,8 +111,8 @@
 // Older builds, and leaders whose operator has switched the relay off, accept no batches; agents are then redirected to the leader.
 void HeartbeatRelay::query_leader_support(const Leader& leader) {
   const double sent_at = steady_now();
-  const auto answer = leader.pool->call(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
-  const auto reply = answer ? unpack_reply(*answer, sent_at) : std::nullopt;
+  const auto reply_frame = leader.pool->call(pack(PeerCall{"GET", kRelaySupportTarget, ""}), kBatchTimeoutS);
+  const auto reply = reply_frame ? unpack_reply(*reply_frame, sent_at) : std::nullopt;
   if (!reply || reply->status == 503) {
     record_failure(sent_at);
     return;
@@ -130,11 +130,11 @@
   const auto sent = collect_batch(batch, leader);
   const double sent_at = steady_now();
   const auto frame = leader.pool->call(pack(batch), kBatchTimeoutS);
-  const auto answer = frame ? unpack_heartbeat_batch_answer(*frame) : std::nullopt;
-  if (frame && !answer) spdlog::error("heartbeat relay: malformed answer to a batch");
-  const bool accepted = answer && answer->answers.size() == sent.size() && answer->takeover_token == leader.takeover_token;
+  const auto reply = frame ? unpack_heartbeat_batch_reply(*frame) : std::nullopt;
+  if (frame && !reply) spdlog::error("heartbeat relay: malformed answer to a batch");
+  const bool accepted = reply && reply->replies.size() == sent.size() && reply->takeover_token == leader.takeover_token;
   if (accepted) {
-    apply_answer(sent, *answer, leader);
+    apply_reply(sent, *reply, leader);
     return;
   }
   // Outcome unknown: the heartbeats are sent again, in full, to the leader known then.
@@ -156,7 +156,7 @@
     WaitingHeartbeat* next = waiting_.front();
     waiting_.pop_front();
     if (steady_now() >= next->expires_at) {
-      finish(*next, RelayResult::Outcome::not_answered);
+      finish(*next, RelayResult::Outcome::no_reply);
       continue;
     }
     next->in_batch = true;
@@ -167,23 +167,23 @@
   return out;
 }
 
-void HeartbeatRelay::apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Leader& leader) {
+void HeartbeatRelay::apply_reply(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchReply& reply, const Leader& leader) {
   std::lock_guard lock(mutex_);
   record_contact();
-  redirect_count_ = answer.redirect_count;
-  redirect_target_ = answer.redirect_target;
+  redirect_count_ = reply.redirect_count;
+  redirect_target_ = reply.redirect_target;
   for (std::size_t i = 0; i < sent.size(); ++i) {
     WaitingHeartbeat& w = *sent[i];
-    const auto outcome = answer.answers[i].outcome;
-    if (outcome == HeartbeatAnswer::Outcome::full_required) {
+    const auto outcome = reply.replies[i].outcome;
+    if (outcome == HeartbeatReply::Outcome::full_required) {
       encoder_.forget_node(w.heartbeat->node);
       requeue(w);
-    } else if (outcome == HeartbeatAnswer::Outcome::retry_later) {
+    } else if (outcome == HeartbeatReply::Outcome::retry_later) {
       requeue(w);
     } else {
       encoder_.record_acknowledged(*w.heartbeat);
-      w.relay_result = {RelayResult::Outcome::answered, answer.answers[i], answer.fencing_token, leader.change_count};
-      finish(w, RelayResult::Outcome::answered);
+      w.relay_result = {RelayResult::Outcome::replied, reply.replies[i], reply.fencing_token, leader.change_count};
+      finish(w, RelayResult::Outcome::replied);
     }
   }
 }
@@ -191,7 +191,7 @@
 void HeartbeatRelay::requeue(WaitingHeartbeat& waiting) {
   waiting.in_batch = false;
   if (steady_now() >= waiting.expires_at)
-    finish(waiting, RelayResult::Outcome::not_answered);
+    finish(waiting, RelayResult::Outcome::no_reply);
   else
     waiting_.push_back(&waiting);
 }
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -1,4 +1,4 @@
-// Runs on a follower: relays the heartbeats of agents connected to it to the leader, in batches, and returns the leader's answer to
+// Runs on a follower: relays the heartbeats of agents connected to it to the leader, in batches, and returns the leader's reply to
 // each waiting connection. Only one batch is outstanding at a time, so a busy leader receives fewer and larger batches. Thread-safe;
 // its mutex is never held while SharedState::mutex is acquired, nor across I/O.
 #pragma once
@@ -34,31 +34,31 @@
   // The result for one heartbeat.
   struct RelayResult {
     enum class Outcome {
-      answered,       // `answer` is the leader's answer
-      not_answered,   // no answer arrived in time
+      replied,        // `reply` is the leader's reply
+      no_reply,       // no reply arrived in time
       not_supported,  // the leader accepts no batches, or can't be reached from here
     };
-    Outcome outcome = Outcome::not_answered;
-    HeartbeatAnswer answer;
-    std::uint64_t fencing_token = 0;        // of the answer
-    std::uint64_t leader_change_count = 0;  // of the leader that answered
+    Outcome outcome = Outcome::no_reply;
+    HeartbeatReply reply;
+    std::uint64_t fencing_token = 0;        // of the reply
+    std::uint64_t leader_change_count = 0;  // of the leader that replied
   };
 
-  // Whether this controller reaches the key-value store. Called only on the relay's thread, while the leader does not answer.
+  // Whether this controller reaches the key-value store. Called only on the relay's thread, while the leader does not reply.
   using ReachesStore = std::function<bool()>;
 
   HeartbeatRelay(std::string label, FindLeader find_leader, ReachesStore reaches_store)
       : label_(std::move(label)), find_leader_(std::move(find_leader)), reaches_store_(std::move(reaches_store)) {}
 
-  // Relays the heartbeat and waits for the leader's answer. `heartbeat` must outlive the call.
+  // Relays the heartbeat and waits for the leader's reply. `heartbeat` must outlive the call.
   RelayResult relay(const Heartbeat& heartbeat, double timeout_s);
   // Whether this controller reaches neither the leader nor the key-value store. If it reaches the store, the agents may still reach the
   // leader themselves.
   [[nodiscard]] bool is_partitioned() const;
-  // Whether the latest leader that answered accepts batches. If so, heartbeats wait until its successor has answered whether it does.
+  // Whether the latest leader that replied accepts batches. If so, heartbeats wait until its successor has reported whether it does.
   [[nodiscard]] bool is_in_use() const;
   // Called when this controller becomes the leader: ends all waiting relay() calls with not_supported, so that their heartbeats are
-  // answered here.
+  // replied to here.
   void fail_waiting();
   // Sends batches until a stop is requested.
   void run(std::stop_token stop);
@@ -86,10 +86,10 @@
   void query_leader_support(const Leader& leader);
   void send_batch(const Leader& leader);
   std::vector<WaitingHeartbeat*> collect_batch(HeartbeatBatch& batch, const Leader& leader);
-  void apply_answer(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchAnswer& answer, const Leader& leader);
-  // Called when the leader answers.
+  void apply_reply(const std::vector<WaitingHeartbeat*>& sent, const HeartbeatBatchReply& reply, const Leader& leader);
+  // Called when the leader replies.
   void record_contact();
-  // Called when the leader does not answer a call sent at `sent_at`. If no call is answered for kMaxLeaderFailureS although the leader
+  // Called when the leader does not reply to a call sent at `sent_at`. If no call is replied to for kMaxLeaderFailureS although the leader
   // still leads, agents are redirected to it.
   void record_failure(double sent_at);
   void finish(WaitingHeartbeat& waiting, RelayResult::Outcome outcome);
@@ -108,7 +108,7 @@
   std::optional<Leader> leader_;
   LeaderSupport leader_support_ = LeaderSupport::unknown;
   double support_determined_at_ = 0;  // steady seconds of the latest change of leader_support_ to yes or no
-  double failing_since_ = 0;          // steady seconds since which the leader does not answer this controller; 0: it does
+  double failing_since_ = 0;          // steady seconds since which the leader does not reply to this controller; 0: it does
   HeartbeatDeltaEncoder encoder_;
   NameMap<double> last_heartbeat_at_;     // by node name, steady seconds
   double agents_counted_at_ = 0;          // steady seconds
--- a/src/controller/instance_releaser.cpp
+++ b/src/controller/instance_releaser.cpp
@@ -43,8 +43,8 @@
 
 void InstanceReleaser::release(HttpClient& cloud, const std::vector<std::string>& names, Reason reason) {
   if (names.empty()) return;
-  const auto response = cloud.post(kReleasePath, release_body(names), kCloudTimeoutS);
-  if (!response.ok()) return;
+  const auto reply = cloud.post(kReleasePath, release_body(names), kCloudTimeoutS);
+  if (!reply.ok()) return;
   Lock lock(shared_.mutex);
   if (shared_.role != Role::leading) return;
   ClusterState& cluster_state = *shared_.term->cluster_state;
@@ -158,14 +158,14 @@
 
 void InstanceReleaser::probe_agent(Probe& target) {
   HttpClient agent(target.address);
-  const auto response = agent.get(kWorkerStatusPath, kProbeTimeoutS);
-  if (!response.ok()) return;
-  target.answered = true;
+  const auto reply = agent.get(kWorkerStatusPath, kProbeTimeoutS);
+  if (!reply.ok()) return;
+  target.replied = true;
   try {
-    const auto status = parse_heartbeat(response.body);
+    const auto status = parse_heartbeat(reply.body);
     Lock lock(shared_.mutex);
     if (shared_.role != Role::leading || status.node != target.name) return;
-    agent_messages_.apply(status, MessageKind::command_answer);
+    agent_messages_.apply(status, MessageKind::command_reply);
     ClusterState& cluster_state = *shared_.term->cluster_state;
     Node& node = cluster_state.node(cluster_state.find_or_add_node(target.name));
     node.agent.last_direct_contact_at = steady_now();
@@ -182,7 +182,7 @@
 void InstanceReleaser::check_agent_reachability() {
   std::vector<Probe> probes = probes_of_relayed_nodes();
   probe_agents(probes);
-  if (probes.empty() || std::any_of(probes.begin(), probes.end(), [](const Probe& p) { return p.answered; })) return;
+  if (probes.empty() || std::any_of(probes.begin(), probes.end(), [](const Probe& p) { return p.replied; })) return;
   Lock lock(shared_.mutex);
   if (shared_.may_decide()) shared_.term->hand_over_reason = "workers reach other controllers but not this one";
 }
@@ -231,7 +231,7 @@
   std::vector<Probe> probes = probes_of_silent_nodes();
   if (probes.empty()) return;
   probe_agents(probes);
-  std::erase_if(probes, [](const Probe& p) { return p.answered; });
+  std::erase_if(probes, [](const Probe& p) { return p.replied; });
   if (probes.empty()) return;
   // In a partition connections may fail at once. Before the recheck, there must be time for the zone's other nodes to become silent too.
   if (!pause_for(stop, std::max(0.0, started_at + kProbeTimeoutS - steady_now()))) return;
--- a/src/controller/instance_releaser.hpp
+++ b/src/controller/instance_releaser.hpp
@@ -21,9 +21,9 @@
 
   // Releases the instances that the cluster state shows to be of no use.
   void release_unneeded_nodes(HttpClient& cloud);
-  // Releases nodes that are silent while others of their zones are not, and that do not answer a probe.
+  // Releases nodes that are silent while others of their zones are not, and that do not reply to a probe.
   void release_silent_nodes(HttpClient& cloud, std::stop_token stop);
-  // Hands over leadership if most agents reach only other controllers and none of the probed ones answers this controller.
+  // Hands over leadership if most agents reach only other controllers and none of the probed ones replies to this controller.
   void check_agent_reachability();
 
  private:
@@ -40,7 +40,7 @@
   };
   struct Probe {
     std::string name, address;
-    bool answered = false;
+    bool replied = false;
   };
 
   Releases choose_releases();
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -18,7 +18,7 @@
 namespace {
 constexpr double kLeaseMarginS = 0.05;  // safety margin on the lease
 constexpr unsigned kWatchTimeoutMs = 10000;
-constexpr double kStoreRetryPauseS = 0.3;     // after the key-value store did not answer
+constexpr double kStoreRetryPauseS = 0.3;     // after the key-value store did not reply
 constexpr double kMalformedKeysPauseS = 1.0;  // after the leadership keys could not be parsed
 constexpr double kRecheckPauseS = 0.3;        // before the leadership keys are read again
 constexpr double kLeaseRetryPauseS = 0.2;
@@ -231,14 +231,14 @@
   }
   const double requested_at = steady_now();
   const auto status = store.renew_lease(session_lease);
-  const double answered_at = steady_now();
+  const double replied_at = steady_now();
   Lock lock(shared_.mutex);
   const double period = shared_.config.options.leader_lease_ms / 1000.0 / kRenewalsPerLease;
   const double wake_up_lag_s = woken_at - sleep_started_at - period;
   if (const double total_lag_s = steady_now() - sleep_started_at - period; total_lag_s > period)
     spdlog::debug("leader: lease renewal {:.0f} ms late: wake-up {:.0f}, lock {:.0f}, answer {:.0f}, lock {:.0f}", total_lag_s * 1000,
-                  wake_up_lag_s * 1000, (requested_at - woken_at) * 1000, (answered_at - requested_at) * 1000,
-                  (steady_now() - answered_at) * 1000);
+                  wake_up_lag_s * 1000, (requested_at - woken_at) * 1000, (replied_at - requested_at) * 1000,
+                  (steady_now() - replied_at) * 1000);
   if (is_over()) return false;
   return apply_renewal_result(lock, store, session_lease, status, requested_at);
 }
--- a/src/controller/leadership_conditions.cpp
+++ b/src/controller/leadership_conditions.cpp
@@ -8,7 +8,7 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kPeerSilenceLimitS = 3.0;  // the leader counts as isolated if no peer has answered for this long
+constexpr double kPeerSilenceLimitS = 3.0;  // the leader counts as isolated if no peer has sent an acknowledgement for this long
 
 Reachability recent_reachability(const SharedState& shared, double now) {
   return measure_reachability(*shared.term->cluster_state, now, kPeerSilenceLimitS + shared.config.settings.heartbeat_interval_s);
--- a/src/controller/ledger_committer.hpp
+++ b/src/controller/ledger_committer.hpp
@@ -77,7 +77,7 @@
   // false if the token has not been raised.
   bool raise_fencing_token(StoreClient& store, std::stop_token stop, Lock& lock);
   // Reads the leader's key after a conflict. Sets `token` if this process has raised it, else `deposed`; sets neither if the store does
-  // not answer.
+  // not reply.
   void read_back_raised_token(StoreClient& store, const std::string& key, std::uint64_t old_token, std::optional<std::uint64_t>& token,
                               bool& deposed) const;
 
--- a/src/controller/ledger_recovery.cpp
+++ b/src/controller/ledger_recovery.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr double kRereadPauseS = 1.0;
-constexpr double kRetryPauseS = 0.1;          // after the key-value store did not answer
+constexpr double kRetryPauseS = 0.1;          // after the key-value store did not reply
 constexpr double kUnreadableHandOverS = 8.0;  // from the takeover to the hand-over, if the ledger was known to be unreadable
 
 std::vector<Team> configured_teams(const Settings& settings) {
@@ -106,8 +106,8 @@
   term.ledger_writer = LedgerWriter(std::move(ledger.contents), term.active_version.written_version());
   term.cluster_state = std::move(ledger.cluster_state);
   ClusterState& cluster_state = *term.cluster_state;
-  for (const auto& [name, answered_at] : term.early_reply_times)
-    cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_answered_heartbeat_at = answered_at;
+  for (const auto& [name, replied_at] : term.early_reply_times)
+    cluster_state.node(cluster_state.find_or_add_node(name)).agent.last_replied_heartbeat_at = replied_at;
   term.early_reply_times.clear();
   shared_.partition_lease.revoke();
   commit_queue_.clear();
--- a/src/controller/ledger_recovery.hpp
+++ b/src/controller/ledger_recovery.hpp
@@ -19,7 +19,7 @@
 struct UnreadableLedger {
   std::string reason;
 };
-// The key-value store did not answer, or the read was cancelled.
+// The key-value store did not reply, or the read was cancelled.
 struct ReadAborted {};
 
 using LedgerReadResult = std::variant<LedgerSnapshot, UnreadableLedger, ReadAborted>;
@@ -28,7 +28,7 @@
  public:
   LedgerRecovery(SharedState& shared, CommitQueue& commit_queue);
 
-  // Reads the whole ledger. `retry` decides whether to repeat a request that the store did not answer.
+  // Reads the whole ledger. `retry` decides whether to repeat a request that the store did not reply to.
   LedgerReadResult read(StoreClient& store, std::stop_token stop, const std::function<bool()>& retry) const;
   // Builds the cluster state of the given term and makes this controller the deciding leader. Returns false if it could not, or if
   // the term has ended.
@@ -36,7 +36,7 @@
 
  private:
   // Returns the ledger that was read before the takeover, if it has not changed since. Sets `aborted` if the term ended or
-  // a stop was requested before the store answered.
+  // a stop was requested before the store replied.
   std::optional<LedgerSnapshot> unchanged_preread(StoreClient& store, std::stop_token stop, std::uint64_t term, bool& aborted);
   void begin_leading(LedgerSnapshot ledger, double started_at);
   void handle_unreadable(const std::string& reason);
--- a/src/controller/metrics_reporter.cpp
+++ b/src/controller/metrics_reporter.cpp
@@ -104,7 +104,7 @@
   add_line(out, "machines_deaf_total", counters.unresponsive.load());
   add_line(out, "handed_over_total", counters.hand_overs.load());
   add_line(out, "kept_in_cuts_total", counters.partition_renewals.load());
-  add_line(out, "answered_in_doubt_total", counters.answered_while_uncertain.load());
+  add_line(out, "answered_in_doubt_total", counters.replied_while_uncertain.load());
   add_line(out, "kills_in_doubt_total", counters.kills_while_uncertain.load());
   add_line(out, "cancellations_not_confirmed_total", counters.unconfirmed_cancellations.load());
   add_line(out, "ledger_queue", commit_queue_.size());
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -23,8 +23,8 @@
     const auto outgoing = next_heartbeat(stop, link);
     if (!outgoing) return;
     const double sent_at = steady_now();
-    const auto answer = link.heartbeats->call(pack(outgoing->heartbeat), kPeerHeartbeatTimeoutS);
-    const auto ack = answer ? unpack_peer_heartbeat_ack(*answer) : std::nullopt;
+    const auto reply_frame = link.heartbeats->call(pack(outgoing->heartbeat), kPeerHeartbeatTimeoutS);
+    const auto ack = reply_frame ? unpack_peer_heartbeat_ack(*reply_frame) : std::nullopt;
     if (reachable != ack.has_value()) {
       reachable = ack.has_value();
       spdlog::info("peer {}: {}", link.peer.label, reachable ? "reachable" : "not reachable");
@@ -82,7 +82,7 @@
   link.last_acked_sent_at = sent_at;
 }
 
-// If a raise of the token is committed but its response is lost, the peers see the new token first. Ignoring it is safe: while the
+// If a raise of the token is committed but its reply is lost, the peers see the new token first. Ignoring it is safe: while the
 // lease is valid no other controller can lead, and the ledger is not written before the key has been read again.
 bool PeerMonitor::is_own_raised_token(const PeerHeartbeatAck& ack) const {
   const Term& term = *shared_.term;
--- a/src/controller/registry_view.cpp
+++ b/src/controller/registry_view.cpp
@@ -48,8 +48,8 @@
 
 std::optional<HttpReply> RegistryView::call_peer(FrameConnectionPool& peer, const char* target) {
   const double sent_at = steady_now();
-  const auto answer = peer.call(pack(PeerCall{"GET", target, ""}), kPeerCallTimeoutS);
-  return answer ? unpack_reply(*answer, sent_at) : std::nullopt;
+  const auto reply_frame = peer.call(pack(PeerCall{"GET", target, ""}), kPeerCallTimeoutS);
+  return reply_frame ? unpack_reply(*reply_frame, sent_at) : std::nullopt;
 }
 
 std::map<std::string, SupportedVersions> RegistryView::read_peer_versions(std::stop_token stop) const {
@@ -57,7 +57,7 @@
   for (std::size_t i = 0; i < pools_.size() && !stop.stop_requested(); ++i) {
     const auto reply = call_peer(*pools_[i], kSupportedVersionsTarget);
     if (!reply) continue;
-    // A build without format versions answers with another status than 200.
+    // A build without format versions replies with another status than 200.
     const auto supported_versions =
         reply->status == 200 ? unpack_supported_versions(reply->body) : std::optional<SupportedVersions>(SupportedVersions{});
     if (supported_versions) out[settings_.peers[i].label] = *supported_versions;
@@ -91,7 +91,7 @@
 
 std::optional<RegistryView::Observation> RegistryView::observe(StoreClient& store, std::stop_token stop) {
   Rows keys, records;
-  // Reads the registry first and asks the peers afterwards: an answer is newer than the record that it corrects, and the correction
+  // Reads the registry first and asks the peers afterwards: a reply is newer than the record that it corrects, and the correction
   // fails if the record is written in between.
   if (store.list(kLeadershipPrefix, keys) != StoreStatus::ok || store.list(kRegistryPrefix, records) != StoreStatus::ok)
     return std::nullopt;
--- a/src/controller/registry_view.hpp
+++ b/src/controller/registry_view.hpp
@@ -1,4 +1,4 @@
-// Reads what the leader needs for planning a rollout step: the leadership keys, the registry of controllers, and the answers of the
+// Reads what the leader needs for planning a rollout step: the leadership keys, the registry of controllers, and the replies of the
 // peers themselves. Used only by RolloutManager's thread; needs no lock.
 #pragma once
 #include <cstdint>
@@ -29,10 +29,10 @@
   struct Observation {
     rollout::LeadershipSnapshot snapshot;
     rollout::ControllerRegistry registry;
-    std::map<std::string, SupportedVersions> peer_versions;                 // of the peers that answered
+    std::map<std::string, SupportedVersions> peer_versions;                 // of the peers that replied
     std::map<std::string, std::optional<TeamQuotas>> quotas_by_controller;  // from the settings of all controllers; nullopt: not known
   };
-  // Returns nullopt if the key-value store did not answer.
+  // Returns nullopt if the key-value store did not reply.
   std::optional<Observation> observe(StoreClient& store, std::stop_token stop);
   // The labels of all controllers; those that the settings count but do not name get generated labels.
   [[nodiscard]] const std::vector<std::string>& controller_labels() const { return controller_labels_; }
--- a/src/controller/request_handler.cpp
+++ b/src/controller/request_handler.cpp
@@ -11,11 +11,11 @@
 namespace thistlefront {
 
 namespace {
-constexpr double kCommitWaitS = 2.0;      // a change not in the ledger by then is answered with 503
+constexpr double kCommitWaitS = 2.0;      // a change not in the ledger by then is replied to with 503
 constexpr double kForwardTimeoutS = 1.8;  // below the 2 s after which users' polls time out
 constexpr int kMaxForwardAttempts = 2;
-constexpr double kMaxCommitFailureS = 0.5;         // if commits fail for longer, changes are answered with 503 at once
-constexpr std::size_t kMaxQueuedRecords = 3000;    // with more records waiting for the ledger, submissions are answered with 429
+constexpr double kMaxCommitFailureS = 0.5;         // if commits fail for longer, changes are rejected with 503 at once
+constexpr std::size_t kMaxQueuedRecords = 3000;    // with more records waiting for the ledger, submissions are rejected with 429
 constexpr double kSlowCommitS = 0.1;               // slower commits are logged at debug level
 constexpr double kMaxLeaderSilenceS = 2.0;         // four heartbeat intervals of the leader
 constexpr double kMaxHealthyWithoutLeaderS = 6.0;  // a controller without a leader counts as healthy this long
@@ -28,29 +28,29 @@
   Lock lock(shared_.mutex);
   if (shared_.role == Role::follower) return forward(lock, route, call);
   lock.unlock();
-  return answer(route, call.body);
+  return reply_locally(route, call.body);
 }
 
-HttpReply RequestHandler::answer(const UserRoute& route, std::string_view body) {
+HttpReply RequestHandler::reply_locally(const UserRoute& route, std::string_view body) {
   Lock lock(shared_.mutex);
   if (shared_.role != Role::leading) {
     ++metrics_.counters.unavailable;
     return unavailable_reply();
   }
-  UserAnswer answer = error_reply(404, "no such path");
+  UserReply user_reply = error_reply(404, "no such path");
   switch (route.kind) {
-    case UserRoute::Kind::submit: answer = submit(lock, body); break;
-    case UserRoute::Kind::status: answer = poll(route.uid); break;
-    case UserRoute::Kind::cancel: answer = cancel(lock, route.uid); break;
-    default: return answer.reply;
+    case UserRoute::Kind::submit: user_reply = submit(lock, body); break;
+    case UserRoute::Kind::status: user_reply = poll(route.uid); break;
+    case UserRoute::Kind::cancel: user_reply = cancel(lock, route.uid); break;
+    default: return user_reply.reply;
   }
-  HttpReply& reply = answer.reply;
+  HttpReply& reply = user_reply.reply;
   if (reply.status == 503) {
     ++metrics_.counters.unavailable;
     spdlog::debug("request: answered 503, {}", shared_.may_decide() ? "ledger not writable" : "leadership uncertain");
-  } else if (!answer.is_final) {
+  } else if (!user_reply.is_final) {
     // The reply is valid only until another controller could lead. If it were delivered later, a user who asks several controllers could
-    // receive it after a newer answer of that controller. kReplyLifetimeS is a second bound, because a leader that gives up its lease early
+    // receive it after a newer reply of that controller. kReplyLifetimeS is a second bound, because a leader that gives up its lease early
     // first waits until all its replies have expired.
     reply.valid_until = std::min(shared_.term->session_lease_valid_until, steady_now() + kReplyLifetimeS);
     shared_.replies_valid_until = std::max(shared_.replies_valid_until, reply.valid_until);
@@ -70,7 +70,7 @@
 HttpReply RequestHandler::forward(Lock& lock, const UserRoute& route, const HttpCall& call) {
   const double began = steady_now();
   bool sent = false;
-  // All users' requests are safe to repeat: one that a leader did not answer is sent once more, to the next leader, if time remains.
+  // All users' requests are safe to repeat: one that a leader did not reply to is sent once more, to the next leader, if time remains.
   for (int attempts = 0; attempts < kMaxForwardAttempts; ++attempts) {
     // Partitioned from the leader: fails at once instead of after a time-out, so that the user asks another controller.
     if (began - shared_.known_leader.last_heartbeat_at > kMaxLeaderSilenceS && began - shared_.follower_since > kMaxLeaderSilenceS) break;
@@ -81,7 +81,7 @@
     if (result.reply && result.reply->status != 503) return *result.reply;
     if (shared_.role == Role::leading) {
       lock.unlock();
-      return answer(route, call.body);
+      return reply_locally(route, call.body);
     }
     if (shared_.known_leader.change_count == change_count || shared_.known_leader.label.empty()) {
       if (result.reply) return *result.reply;
@@ -101,9 +101,9 @@
   if (!pool || timeout_s <= 0) return {};
   lock.unlock();
   const PeerCall forwarded{std::string(call.method), std::string(call.target), std::string(call.body)};
-  const auto answer = pool->call(pack(forwarded), timeout_s);
-  auto reply = answer ? unpack_reply(*answer, sent_at) : std::nullopt;
-  if (answer && !reply) spdlog::error("forwarding: malformed answer from the leader");
+  const auto reply_frame = pool->call(pack(forwarded), timeout_s);
+  auto reply = reply_frame ? unpack_reply(*reply_frame, sent_at) : std::nullopt;
+  if (reply_frame && !reply) spdlog::error("forwarding: malformed answer from the leader");
   lock.lock();
   return {std::move(reply), true};
 }
@@ -128,7 +128,7 @@
   return error_reply(status, reason);
 }
 
-UserAnswer RequestHandler::submit(Lock& lock, std::string_view body) {
+UserReply RequestHandler::submit(Lock& lock, std::string_view body) {
   JobSpec spec;
   std::string malformed;
   try {
@@ -193,7 +193,7 @@
   return std::nullopt;
 }
 
-UserAnswer RequestHandler::await_acceptance(Lock& lock, const std::string& uid, std::uint64_t ticket) {
+UserReply RequestHandler::await_acceptance(Lock& lock, const std::string& uid, std::uint64_t ticket) {
   const auto term = shared_.term_number;
   const double wait_started_at = steady_now();
   if (!commit_queue_.wait_applied(lock, ticket, kCommitWaitS) || !shared_.is_term(term) || !shared_.may_decide())
@@ -204,17 +204,17 @@
   ++metrics_.counters.accepted;
   const ClusterState& cluster_state = *shared_.term->cluster_state;
   const JobIndex job = cluster_state.find(uid);
-  return job.valid() ? describe(cluster_state.job(job), 201, false) : UserAnswer(unavailable_reply());
+  return job.valid() ? describe(cluster_state.job(job), 201, false) : UserReply(unavailable_reply());
 }
 
-UserAnswer RequestHandler::describe(const Job& job, unsigned status, bool with_counts) {
+UserReply RequestHandler::describe(const Job& job, unsigned status, bool with_counts) {
   const auto running = job.ended() ? 0 : job.running();
   const JobStatus status_shown = job.ended() ? job.status : running ? JobStatus::running : JobStatus::queued;
   HttpReply reply{status,
                   with_counts ? status_body(job.uid, status_shown, job.done, running) : acknowledgement_body(job.uid, status_shown)};
   // An ended job stays ended under any leader, so this needs no certain leadership.
   if (job.ended())
-    return may_confirm_status(shared_, job) ? UserAnswer::final_answer(std::move(reply)) : UserAnswer(unconfirmed_cancellation_reply());
+    return may_confirm_status(shared_, job) ? UserReply::final_reply(std::move(reply)) : UserReply(unconfirmed_cancellation_reply());
   if (!shared_.may_decide()) return unavailable_reply();
   return reply;
 }
@@ -226,14 +226,14 @@
   return unavailable_reply("cancelled, not confirmed yet");
 }
 
-UserAnswer RequestHandler::poll(const std::string& uid) {
+UserReply RequestHandler::poll(const std::string& uid) {
   const ClusterState& cluster_state = *shared_.term->cluster_state;
   if (const JobIndex job = cluster_state.find(uid); job.valid()) return describe(cluster_state.job(job), 200, true);
   if (!shared_.may_decide()) return unavailable_reply();
   return error_reply(404, "no such job");
 }
 
-UserAnswer RequestHandler::cancel(Lock& lock, const std::string& uid) {
+UserReply RequestHandler::cancel(Lock& lock, const std::string& uid) {
   const JobIndex index = shared_.term->cluster_state->find(uid);
   if (index.valid() && shared_.term->cluster_state->job(index).ended())
     return describe(shared_.term->cluster_state->job(index), 200, false);
--- a/src/controller/scale_out_manager.cpp
+++ b/src/controller/scale_out_manager.cpp
@@ -35,12 +35,12 @@
   if (!sent) return false;
   const auto& offer = sent->request.offer;
   const auto body = rent_body(sent->name, sent->machine_type, offer.zone, offer.spot, sent->request.count);
-  const auto response = cloud.post(kRentPath, body, kCloudTimeoutS);
-  // A request without an answer is repeated under the same name; under another name the cloud could grant it twice.
-  if (response.delivery == Delivery::outcome_unknown || response.is(429)) return false;
+  const auto reply = cloud.post(kRentPath, body, kCloudTimeoutS);
+  // A request without a reply is repeated under the same name; under another name the cloud could grant it twice.
+  if (reply.delivery == Delivery::outcome_unknown || reply.is(429)) return false;
   Lock lock(shared_.mutex);
   unacknowledged_.reset();
-  return shared_.is_term(sent->term) && apply_response(*sent, response);
+  return shared_.is_term(sent->term) && apply_reply(*sent, reply);
 }
 
 std::optional<ScaleOutManager::NamedRequest> ScaleOutManager::next_request() {
@@ -75,16 +75,16 @@
   return choose_scale_out(input);
 }
 
-bool ScaleOutManager::apply_response(const NamedRequest& sent, const HttpResult& response) {
-  if (response.ok()) {
+bool ScaleOutManager::apply_reply(const NamedRequest& sent, const HttpResult& reply) {
+  if (reply.ok()) {
     try {
-      apply_granted(sent, response.body);
+      apply_granted(sent, reply.body);
     } catch (const ProtocolError& e) {
       spdlog::error("cloud: malformed scale-out answer: {}", e.what());
     }
     return true;
   }
-  if (!response.is(503) || !reports_no_capacity(response.body)) return false;
+  if (!reply.is(503) || !reports_no_capacity(reply.body)) return false;
   suspend_offer(sent);
   return true;
 }
@@ -105,7 +105,7 @@
     const NodeIndex index = cluster_state.find_or_add_node(name);
     Node& node = cluster_state.node(index);
     node.instance.requested_at = now;
-    // The instance may have booted and sent a heartbeat before this answer arrived.
+    // The instance may have booted and sent a heartbeat before this reply arrived.
     if (node.agent.has_reported || node.instance.listed) continue;
     cluster_state.set_node_attributes(index, "", sent.machine_type, offer.zone, offer.spot);
     node.instance.listed = true;
--- a/src/controller/scale_out_manager.hpp
+++ b/src/controller/scale_out_manager.hpp
@@ -30,8 +30,8 @@
   // The unacknowledged request, if there is one, else a new one; nullopt if nothing is to be requested.
   std::optional<NamedRequest> next_request();
   std::optional<ScaleOutRequest> choose_request(double now);
-  // Returns whether the response settles the request: granted, or refused for lack of capacity.
-  bool apply_response(const NamedRequest& sent, const HttpResult& response);
+  // Returns whether the reply settles the request: granted, or refused for lack of capacity.
+  bool apply_reply(const NamedRequest& sent, const HttpResult& reply);
   void apply_granted(const NamedRequest& sent, const std::string& body);
   void suspend_offer(const NamedRequest& sent);
   // Whether instances may be requested for this job now.
@@ -41,7 +41,7 @@
 
   SharedState& shared_;
   // Used only by CloudManager's thread:
-  std::optional<NamedRequest> unacknowledged_;  // the latest request, until it is answered
+  std::optional<NamedRequest> unacknowledged_;  // the latest request, until its reply arrives
   std::uint64_t request_count_ = 0;
 };
 
--- a/src/controller/store_client.cpp
+++ b/src/controller/store_client.cpp
@@ -5,7 +5,7 @@
 namespace thistlefront {
 
 namespace {
-// The store answers within milliseconds, occasionally within a few hundred.
+// The store replies within milliseconds, occasionally within a few hundred.
 constexpr double kTimeoutS = 1.5;
 constexpr double kListTimeoutS = 5.0;
 
--- a/src/controller/store_client.hpp
+++ b/src/controller/store_client.hpp
@@ -15,7 +15,7 @@
   missing,        // 404: no such key or lease
   conflict,       // 409: a condition did not hold
   unavailable,    // 503, 429, or no connection: not executed
-  indeterminate,  // no answer: the request may have been executed, or may be later
+  indeterminate,  // no reply: the request may have been executed, or may be later
   refused,        // 400 or an unexpected status: the request itself is invalid
 };
 
--- a/src/controller/term.hpp
+++ b/src/controller/term.hpp
@@ -62,7 +62,7 @@
   HeartbeatDeltaDecoder relayed_heartbeats;
   bool accepts_heartbeat_batches = false;  // from relaying peers; never reset within the term
   AgentBalancer balancer;
-  double commands_failing_since = 0;    // steady seconds since when direct commands remain unanswered; 0: the latest one was answered
+  double commands_failing_since = 0;    // steady seconds since when direct commands remain without a reply; 0: the latest one got a reply
   std::size_t direct_agent_count = 0;   // agents that send heartbeats to this controller itself, as of the latest count
   double direct_agents_counted_at = 0;  // steady seconds
 
--- a/src/controller/user_answer.cpp
+++ b/src/controller/user_reply.cpp
@@ -1,4 +1,4 @@
-#include "controller/user_answer.hpp"
+#include "controller/user_reply.hpp"
 
 #include "protocol/messages.hpp"
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -12,12 +12,12 @@
 
 /// Kind of a frame between controllers.
 enum class PeerFrameKind : std::uint8_t {
-  peer_heartbeat = 1,      ///< leader to peer: PeerHeartbeat
-  peer_heartbeat_ack,      ///< peer to leader: PeerHeartbeatAck
-  call,                    ///< PeerCall: a forwarded request of a user or heartbeat of an agent, or a query such as kRelaySupportTarget
-  reply,                   ///< the HttpReply to a call
-  heartbeat_batch,         ///< relay to leader: HeartbeatBatch, see relay_messages.hpp
-  heartbeat_batch_answer,  ///< leader to relay: HeartbeatBatchAnswer
+  peer_heartbeat = 1,     ///< leader to peer: PeerHeartbeat
+  peer_heartbeat_ack,     ///< peer to leader: PeerHeartbeatAck
+  call,                   ///< PeerCall: a forwarded request of a user or heartbeat of an agent, or a query such as kRelaySupportTarget
+  reply,                  ///< the HttpReply to a call
+  heartbeat_batch,        ///< relay to leader: HeartbeatBatch, see relay_messages.hpp
+  heartbeat_batch_reply,  ///< leader to relay: HeartbeatBatchReply
 };
 
 /// Target of a call that asks the leader whether it accepts batches of heartbeats. Older builds reply 404.
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -151,19 +151,19 @@
   return make_frame(PeerFrameKind::heartbeat_batch, out);
 }
 
-Frame pack(const HeartbeatBatchAnswer& answer) {
+Frame pack(const HeartbeatBatchReply& reply) {
   Packer out;
   out.integer(kRelayMessageVersion)
-      .integer(answer.takeover_token)
-      .integer(answer.fencing_token)
-      .integer(answer.redirect_count)
-      .text(answer.redirect_target);
-  out.integer(static_cast<std::uint32_t>(answer.answers.size()));
-  for (const auto& heartbeat_answer : answer.answers) {
-    out.integer(static_cast<std::uint8_t>(heartbeat_answer.outcome)).integer(static_cast<std::uint32_t>(heartbeat_answer.commands.size()));
-    for (const auto& command : heartbeat_answer.commands) write(out, command);
+      .integer(reply.takeover_token)
+      .integer(reply.fencing_token)
+      .integer(reply.redirect_count)
+      .text(reply.redirect_target);
+  out.integer(static_cast<std::uint32_t>(reply.replies.size()));
+  for (const auto& heartbeat_reply : reply.replies) {
+    out.integer(static_cast<std::uint8_t>(heartbeat_reply.outcome)).integer(static_cast<std::uint32_t>(heartbeat_reply.commands.size()));
+    for (const auto& command : heartbeat_reply.commands) write(out, command);
   }
-  return make_frame(PeerFrameKind::heartbeat_batch_answer, out);
+  return make_frame(PeerFrameKind::heartbeat_batch_reply, out);
 }
 
 std::optional<HeartbeatBatch> unpack_heartbeat_batch(const Frame& frame) {
@@ -180,25 +180,25 @@
   return batch;
 }
 
-std::optional<HeartbeatBatchAnswer> unpack_heartbeat_batch_answer(const Frame& frame) {
+std::optional<HeartbeatBatchReply> unpack_heartbeat_batch_reply(const Frame& frame) {
   Unpacker in(frame.payload);
-  if (!read_header(frame, PeerFrameKind::heartbeat_batch_answer, in)) return std::nullopt;
+  if (!read_header(frame, PeerFrameKind::heartbeat_batch_reply, in)) return std::nullopt;
   bool valid = true;
-  HeartbeatBatchAnswer answer;
-  answer.takeover_token = in.integer<std::uint64_t>();
-  answer.fencing_token = in.integer<std::uint64_t>();
-  answer.redirect_count = in.integer<std::uint32_t>();
-  answer.redirect_target = in.text();
+  HeartbeatBatchReply reply;
+  reply.takeover_token = in.integer<std::uint64_t>();
+  reply.fencing_token = in.integer<std::uint64_t>();
+  reply.redirect_count = in.integer<std::uint32_t>();
+  reply.redirect_target = in.text();
   for (auto remaining = read_count(in, kMaxHeartbeatsInBatch, valid); remaining > 0 && valid && in.ok(); --remaining) {
-    HeartbeatAnswer heartbeat_answer;
-    heartbeat_answer.outcome = read_enum(in, HeartbeatAnswer::Outcome::retry_later, valid, 1);
+    HeartbeatReply heartbeat_reply;
+    heartbeat_reply.outcome = read_enum(in, HeartbeatReply::Outcome::retry_later, valid, 1);
     for (auto remaining_commands = read_count(in, kMaxTasksInHeartbeat, valid); remaining_commands > 0 && valid && in.ok();
          --remaining_commands)
-      heartbeat_answer.commands.push_back(read_command(in, valid));
-    answer.answers.push_back(std::move(heartbeat_answer));
+      heartbeat_reply.commands.push_back(read_command(in, valid));
+    reply.replies.push_back(std::move(heartbeat_reply));
   }
   if (!valid || !in.is_fully_read()) return std::nullopt;
-  return answer;
+  return reply;
 }
 
 }  // namespace thistlefront
--- a/src/protocol/relay_messages.hpp
+++ b/src/protocol/relay_messages.hpp
@@ -1,5 +1,5 @@
 // Messages of the heartbeat relay, packed into frames: a follower receives heartbeats of agents and sends them to the leader in
-// batches, and the leader answers each batch. The packed bytes of an existing version never change.
+// batches, and the leader replies to each batch. The packed bytes of an existing version never change.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -45,8 +45,8 @@
   std::vector<HeartbeatDelta> heartbeats;
 };
 
-/// The leader's answer to one heartbeat.
-struct HeartbeatAnswer {
+/// The leader's reply to one heartbeat.
+struct HeartbeatReply {
   /// Outcome of the heartbeat.
   enum class Outcome : std::uint8_t {
     renewed = 1,    ///< the node's lease is renewed; `commands` are for its agent
@@ -58,12 +58,12 @@
   std::vector<Command> commands;
 };
 
-/// The leader's answer to a batch.
-struct HeartbeatBatchAnswer {
-  std::uint64_t takeover_token = 0, fencing_token = 0;  ///< of the leader that sent the answer
+/// The leader's reply to a batch.
+struct HeartbeatBatchReply {
+  std::uint64_t takeover_token = 0, fencing_token = 0;  ///< of the leader that sent the reply
   std::uint32_t redirect_count = 0;                     ///< agents that the relay must redirect; 0 unless the relay serves too many
   std::string redirect_target;                          ///< label of the controller to redirect them to
-  std::vector<HeartbeatAnswer> answers;                 ///< one per heartbeat, in the order of the batch
+  std::vector<HeartbeatReply> replies;                  ///< one per heartbeat, in the order of the batch
 };
 
 /// Upper bound for the packed size of a delta, in bytes.
@@ -71,9 +71,9 @@
 
 /// Packs a message into a frame.
 Frame pack(const HeartbeatBatch& batch);
-Frame pack(const HeartbeatBatchAnswer& answer);
+Frame pack(const HeartbeatBatchReply& reply);
 /// Unpacks a frame; nothing if it has another kind or version, or if any part of it is malformed.
 std::optional<HeartbeatBatch> unpack_heartbeat_batch(const Frame& frame);
-std::optional<HeartbeatBatchAnswer> unpack_heartbeat_batch_answer(const Frame& frame);
+std::optional<HeartbeatBatchReply> unpack_heartbeat_batch_reply(const Frame& frame);
 
 }  // namespace thistlefront
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-std::string heartbeat_response_body(std::uint64_t fencing_token, const std::vector<Command>& commands) {
+std::string heartbeat_reply_body(std::uint64_t fencing_token, const std::vector<Command>& commands) {
   std::string out = "{\"epoch\":" + std::to_string(fencing_token) + ",";
   append_commands(out, commands);
   return out + "}";
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -18,7 +18,7 @@
 /// Parses and validates a heartbeat; throws ProtocolError.
 Heartbeat parse_heartbeat(std::string_view body);
 /// Reply to a heartbeat: renews the node's lease under this fencing token and carries commands.
-std::string heartbeat_response_body(std::uint64_t fencing_token, const std::vector<Command>& commands);
+std::string heartbeat_reply_body(std::uint64_t fencing_token, const std::vector<Command>& commands);
 /// Body of a request that sends commands outside of heartbeats, to one incarnation of the agent.
 std::string commands_body(std::uint64_t fencing_token, std::uint64_t agent_incarnation, const std::vector<Command>& commands);
 /// Redirects an agent to another controller. If the target is empty, the agent chooses one.
--- a/src/scheduling/victim_search.cpp
+++ b/src/scheduling/victim_search.cpp
@@ -48,7 +48,7 @@
 }
 
 // Checked before any node is searched: searching every node for each of hundreds of waiting tasks of the lowest priority took
-// most of the time of a pass. The answer is the same for all jobs with the same key.
+// most of the time of a pass. The result is the same for all jobs with the same key.
 bool VictimSearch::may_preempt_any(const PlanJob& preemptor) {
   const Job& job = cluster_state_.job(preemptor.job);
   const bool within = in_.within_guarantee.contains(preemptor.job);
--- a/src/transport/frames.hpp
+++ b/src/transport/frames.hpp
@@ -86,7 +86,7 @@
   bool ok_ = true;
 };
 
-// Answers each request frame with the handler's reply. Each connection has a thread of its own.
+// Replies to each request frame with the handler's reply. Each connection has a thread of its own.
 class FrameServer {
  public:
   using Handler = std::function<Frame(const Frame&)>;
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -113,7 +113,7 @@
     if (!ec) http::read(*stream_, buffer, parser, ec);
     stream_->set_deadline(deadline);
     if (!ec) {
-      HttpResult result{Delivery::answered, parser.get().result_int(), std::move(parser.get().body())};
+      HttpResult result{Delivery::replied, parser.get().result_int(), std::move(parser.get().body())};
       if (!parser.get().keep_alive()) disconnect();
       return result;
     }
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -35,7 +35,7 @@
   bool evict_last = false;  // whether other connections are evicted before this one
 };
 
-// Answers requests with the handler's replies. Each connection has a thread of its own.
+// Replies to requests with the handler's replies. Each connection has a thread of its own.
 class HttpServer {
  public:
   using Handler = std::function<HttpReply(const HttpCall&)>;
@@ -51,18 +51,18 @@
 
 // What the client knows about the execution of a request.
 enum class Delivery {
-  answered,         // a complete response was received
+  replied,          // a complete response was received
   unsent,           // connecting failed: the request was not executed
   outcome_unknown,  // sent, but no complete response was received: the request may have been executed, or may be later
 };
 
-// The outcome of a call; `status` and `body` are set only if it was answered.
+// The outcome of a call; `status` and `body` are set only if a complete response was received.
 struct HttpResult {
   Delivery delivery = Delivery::unsent;
   unsigned status = 0;
   std::string body;
-  [[nodiscard]] bool ok() const { return delivery == Delivery::answered && status == 200; }
-  [[nodiscard]] bool is(unsigned expected) const { return delivery == Delivery::answered && status == expected; }
+  [[nodiscard]] bool ok() const { return delivery == Delivery::replied && status == 200; }
+  [[nodiscard]] bool is(unsigned expected) const { return delivery == Delivery::replied && status == expected; }
 };
 
 // One keep-alive connection to one address, opened by the first call and reopened when it is broken. Only abort() is thread-safe.
--- a/src/worker_control/command_queue.hpp
+++ b/src/worker_control/command_queue.hpp
@@ -10,7 +10,7 @@
 
 namespace thistlefront {
 
-// Each node is served by one sender at a time. A node that did not answer its latest command is slow. At most `max_slow` senders
+// Each node is served by one sender at a time. A node that did not reply to its latest command is slow. At most `max_slow` senders
 // serve slow nodes at the same time, so that slow nodes never delay the others.
 class CommandQueue {
  public:
@@ -25,9 +25,9 @@
   void enqueue(NodeIndex node, bool announce_leader, double now);
   // Returns the next node to serve. The sender must call `complete` or `back_off` for it.
   std::optional<Item> dequeue();
-  // The node answered.
+  // The node replied.
   void complete(NodeIndex node);
-  // The node did not answer. It is not queued again before `until`.
+  // The node did not reply. It is not queued again before `until`.
   void back_off(NodeIndex node, double until);
   [[nodiscard]] bool has_ready() const { return !regular_nodes_.empty() || (!slow_nodes_.empty() && slow_in_service_ < max_slow_); }
   [[nodiscard]] std::size_t size() const { return regular_nodes_.size() + slow_nodes_.size(); }
--- a/src/worker_control/heartbeat_application.hpp
+++ b/src/worker_control/heartbeat_application.hpp
@@ -1,4 +1,4 @@
-// Applies a message of an agent (a heartbeat, or its answer to a direct command) to the cluster state, and determines which tasks
+// Applies a message of an agent (a heartbeat, or its reply to a direct command) to the cluster state, and determines which tasks
 // have exited. Called by the leader for each message that it accepts. Pure. It never changes durable state: completed and removed
 // tasks are returned as records, and take effect when these are in the ledger.
 #pragma once
@@ -18,7 +18,7 @@
   std::vector<Record> records;         // completed and removed tasks, to be written to the ledger
 };
 
-// `is_heartbeat`: the message is a heartbeat and not the answer to a direct command. The agent has then executed or dropped the
+// `is_heartbeat`: the message is a heartbeat and not the reply to a direct command. The agent has then executed or dropped the
 // replies to all of its earlier heartbeats.
 // `takeover_token`: the fencing token of this leader's takeover. An agent that has seen it executes no command of an earlier leader.
 HeartbeatOutcome apply_heartbeat(ClusterState& cluster_state, const Heartbeat& heartbeat, Timestamps now, bool is_heartbeat,
--- a/src/worker_control/lease_expiry.cpp
+++ b/src/worker_control/lease_expiry.cpp
@@ -24,13 +24,13 @@
 
 void record_lease_renewal(Node& node, bool stale, double steady_now) {
   const double renewed_at = stale ? std::min(node.agent.last_message_at, steady_now) : steady_now;
-  node.agent.last_answered_heartbeat_at = std::max(node.agent.last_answered_heartbeat_at, renewed_at);
+  node.agent.last_replied_heartbeat_at = std::max(node.agent.last_replied_heartbeat_at, renewed_at);
 }
 
 bool is_lease_expired(const Node& node, const FencingState& fencing_state, double lease_s, double steady_now) {
   // Replies of an earlier leader may have renewed the lease until the agent was known to have seen this leader's token. Without
   // `fenced_at`, the lease of an agent whose first contact was a direct command would seem expired, as this leader never renewed it.
-  double renewed_at = std::max(node.agent.last_answered_heartbeat_at, node.agent.fenced_at);
+  double renewed_at = std::max(node.agent.last_replied_heartbeat_at, node.agent.fenced_at);
   // A peer that is partitioned from this leader may renew the leases in its own zone for a limited time.
   renewed_at = std::max(renewed_at, latest_renewal_in_zone_of(node, fencing_state.latest_renewal_by_zone));
   if (node.agent.highest_token < fencing_state.fencing_token) {
--- a/src/worker_control/lease_renewal_policy.hpp
+++ b/src/worker_control/lease_renewal_policy.hpp
@@ -47,9 +47,9 @@
 // except under a partition lease. `agent_has_tasks`: the agent reported tasks.
 LeaseRenewal decide_lease_renewal(const LeadershipEvidence& evidence, bool agent_has_tasks);
 
-// Returns for how many seconds the answer of a peer counts towards the quorum of a leader whose leadership is uncertain. Once a majority
-// knows of its successor, the leader may still renew leases for this long. A lease renewed at the end of that time must still end in
-// time for the cancellations that the successor confirms. 0 if `cancel_s` is too short for that.
+// Returns for how many seconds the acknowledgement of a peer counts towards the quorum of a leader whose leadership is uncertain. Once a
+// majority knows of its successor, the leader may still renew leases for this long. A lease renewed at the end of that time must still end
+// in time for the cancellations that the successor confirms. 0 if `cancel_s` is too short for that.
 double quorum_grace_s(double cancel_s, double lease_s);
 
 // Whether the node may still execute a start of a job that this leader cancelled more than `min_cancellation_age_s` ago, and no message
--- a/src/worker_control/one_way_partition.cpp
+++ b/src/worker_control/one_way_partition.cpp
@@ -29,18 +29,18 @@
   AgentState& agent = node.agent;
   if (std::pair(heartbeat.agent_incarnation, heartbeat.serial) <= std::pair(agent.incarnation, agent.serial)) return;
   const bool new_incarnation = agent.incarnation > 0 && heartbeat.agent_incarnation > agent.incarnation;
-  const bool replied_within_lease = agent.last_answered_heartbeat_at > 0 && now - agent.last_answered_heartbeat_at < lease_s;
+  const bool replied_within_lease = agent.last_replied_heartbeat_at > 0 && now - agent.last_replied_heartbeat_at < lease_s;
   if (new_incarnation && is_heartbeat && replied_within_lease) {
     if (agent.unresponsive_since == 0) agent.unresponsive_since = now;
     agent.unresponsive_token = heartbeat.fencing_token;
     return;
   }
   if (agent.unresponsive_since == 0) return;
-  const bool answered_command = !is_heartbeat;
+  const bool replied_to_command = !is_heartbeat;
   const bool saw_new_token = heartbeat.fencing_token > agent.unresponsive_token;
   const bool outlived_lease =
       !new_incarnation && agent.incarnation_since > 0 && now - agent.incarnation_since > kResponsiveAfterLeases * lease_s;
-  if (answered_command || saw_new_token || outlived_lease) agent.unresponsive_since = 0;
+  if (replied_to_command || saw_new_token || outlived_lease) agent.unresponsive_since = 0;
 }
 
 bool is_unresponsive(const Node& node, double wall_now, double heartbeat_interval_s) {
--- a/tests/heartbeat_delta_test.cpp
+++ b/tests/heartbeat_delta_test.cpp
@@ -179,28 +179,28 @@
   EXPECT_EQ(decoder.decode(delta), nullptr) << "repeated delta: its base is no longer the newest heartbeat";
 }
 
-TEST(HeartbeatDelta, BatchAnswerIsUnchangedByPackingAndUnpacking) {
-  HeartbeatBatchAnswer answer;
-  answer.takeover_token = 7;
-  answer.fencing_token = 9;
-  answer.redirect_count = 3;
-  answer.redirect_target = "host-2";
-  answer.answers = {{HeartbeatAnswer::Outcome::renewed, {{CommandType::run, {"j-1", 4}, 2, 0}, {CommandType::kill, {"j-2", 0}, 1, 4.5}}},
-                    {HeartbeatAnswer::Outcome::full_required, {}},
-                    {HeartbeatAnswer::Outcome::refused, {}},
-                    {HeartbeatAnswer::Outcome::retry_later, {}}};
-  const auto got = unpack_heartbeat_batch_answer(pack(answer));
+TEST(HeartbeatDelta, BatchReplyIsUnchangedByPackingAndUnpacking) {
+  HeartbeatBatchReply reply;
+  reply.takeover_token = 7;
+  reply.fencing_token = 9;
+  reply.redirect_count = 3;
+  reply.redirect_target = "host-2";
+  reply.replies = {{HeartbeatReply::Outcome::renewed, {{CommandType::run, {"j-1", 4}, 2, 0}, {CommandType::kill, {"j-2", 0}, 1, 4.5}}},
+                   {HeartbeatReply::Outcome::full_required, {}},
+                   {HeartbeatReply::Outcome::refused, {}},
+                   {HeartbeatReply::Outcome::retry_later, {}}};
+  const auto got = unpack_heartbeat_batch_reply(pack(reply));
   ASSERT_TRUE(got);
   EXPECT_EQ(got->takeover_token, 7u);
   EXPECT_EQ(got->fencing_token, 9u);
   EXPECT_EQ(got->redirect_count, 3u);
   EXPECT_EQ(got->redirect_target, "host-2");
-  ASSERT_EQ(got->answers.size(), 4u);
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(got->answers[i].outcome, answer.answers[i].outcome);
-  ASSERT_EQ(got->answers[0].commands.size(), 2u);
-  EXPECT_EQ(got->answers[0].commands[0].type, CommandType::run);
-  EXPECT_EQ(got->answers[0].commands[1].id.uid, "j-2");
-  EXPECT_DOUBLE_EQ(got->answers[0].commands[1].grace_period_s, 4.5);
+  ASSERT_EQ(got->replies.size(), 4u);
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(got->replies[i].outcome, reply.replies[i].outcome);
+  ASSERT_EQ(got->replies[0].commands.size(), 2u);
+  EXPECT_EQ(got->replies[0].commands[0].type, CommandType::run);
+  EXPECT_EQ(got->replies[0].commands[1].id.uid, "j-2");
+  EXPECT_DOUBLE_EQ(got->replies[0].commands[1].grace_period_s, 4.5);
 }
 
 TEST(HeartbeatDelta, MalformedBatchIsRejectedCompletely) {
--- a/tests/heartbeat_relay_controllers_test.cpp
+++ b/tests/heartbeat_relay_controllers_test.cpp
@@ -208,16 +208,16 @@
   const auto leader = cluster->leader();
   FrameConnectionPool peer(cluster->settings(leader).peer_listen, 2);
   for (const std::string& payload : {std::string(), std::string("\1\2\3"), std::string(5000, '\xff'), std::string(64, '\1')}) {
-    const auto answer = peer.call({static_cast<std::uint8_t>(PeerFrameKind::heartbeat_batch), payload}, 2);
-    ASSERT_TRUE(answer) << payload.size();
-    const auto reply = unpack_reply(*answer, steady_now());
+    const auto reply_frame = peer.call({static_cast<std::uint8_t>(PeerFrameKind::heartbeat_batch), payload}, 2);
+    ASSERT_TRUE(reply_frame) << payload.size();
+    const auto reply = unpack_reply(*reply_frame, steady_now());
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 400u);
   }
   // A well-formed batch for another leader is refused.
-  const auto answer = peer.call(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
-  ASSERT_TRUE(answer);
-  const auto refusal = unpack_heartbeat_batch_answer(*answer);
+  const auto reply_frame = peer.call(pack(HeartbeatBatch{"host-9", 1000000, 1, {}}), 2);
+  ASSERT_TRUE(reply_frame);
+  const auto refusal = unpack_heartbeat_batch_reply(*reply_frame);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->takeover_token, 0u);
   wait(kTimes.lease_s);
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -94,7 +94,7 @@
   start("j-1", 1, {0, 1});
   cluster_state.apply(JobCancelledRecord{"j-1"});
   EXPECT_EQ(commands()[0].type, CommandType::kill);
-  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the answer to a direct command proves nothing about replies to heartbeats";
+  EXPECT_TRUE(heartbeat({}, false).records.empty()) << "the reply to a direct command proves nothing about replies to heartbeats";
   EXPECT_TRUE(heartbeat({}, true, kToken - 1).records.empty()) << "a start of an earlier leader may be in transit";
   node().commands.indeterminate_token = kToken;
   EXPECT_TRUE(heartbeat({}).records.empty()) << "the outcome of a start of this leader is unknown";
@@ -207,7 +207,7 @@
 // The randomised safety test found this case: a new incarnation of an agent lives for a whole lease without any reply.
 TEST_F(Reconciliation, GivesANewIncarnationAWholeLeaseFromItsFirstMessage) {
   heartbeat({});
-  node().agent.last_answered_heartbeat_at = 100;
+  node().agent.last_replied_heartbeat_at = 100;
   steady_s = 109;
   heartbeat({}, false, kToken, 2);
   const FencingState fencing_state{kToken, 50, 50};
@@ -226,7 +226,7 @@
   record_commands_sent(node(), serial, sent_commands);
   cluster_state.apply(JobCancelledRecord{"j-1"});
   commit_records(heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)}, false));
-  EXPECT_TRUE(commands().empty()) << "the answer to a command proves nothing about the reply to the heartbeat";
+  EXPECT_TRUE(commands().empty()) << "the reply to a command proves nothing about the reply to the heartbeat";
   heartbeat({task_report("j-1", 0, 1, TaskPhase::exited, ExitReason::stopped)});
   ASSERT_EQ(commands().size(), 1u) << "its next heartbeat shows that the reply has arrived or was dropped";
   EXPECT_EQ(commands()[0].type, CommandType::acknowledge_exit);
@@ -245,7 +245,7 @@
     record_lease_renewal(node(), outcome.stale, steady_s);
   }
   EXPECT_EQ(node().agent.last_heartbeat_at, received_at);
-  EXPECT_EQ(node().agent.last_answered_heartbeat_at, received_at);
+  EXPECT_EQ(node().agent.last_replied_heartbeat_at, received_at);
   EXPECT_TRUE(is_lease_expired(node(), {kToken, 1, 1}, 10, received_at + 11)) << "it expires as early as without the copies";
 
   constexpr std::uint64_t kLaterToken = kToken + 5;
@@ -295,7 +295,7 @@
   EXPECT_EQ(find_unresponsive_nodes_to_replace(cluster_state, steady_s + 3 * kLeaseS, kLeaseS).size(), 1u)
       << "replaced if it stays unresponsive";
   receive(false);
-  EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS)) << "it answered a command";
+  EXPECT_FALSE(is_unresponsive(node(), steady_s, kHeartbeatIntervalS)) << "it replied to a command";
   // An agent that hung for longer than its lease has received all replies.
   ++agent_incarnation, serial = 0, steady_s += 11;
   receive(true);
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -482,8 +482,8 @@
 }
 
 TEST(WireFormatWorkers, EncodesHeartbeatReplyWithFencingTokenAndCommands) {
-  EXPECT_EQ(heartbeat_response_body(41, {}), R"({"epoch":41,"orders":[]})");
-  EXPECT_EQ(heartbeat_response_body(41, command_of_each_type()),
+  EXPECT_EQ(heartbeat_reply_body(41, {}), R"({"epoch":41,"orders":[]})");
+  EXPECT_EQ(heartbeat_reply_body(41, command_of_each_type()),
             R"({"epoch":41,"orders":[{"verb":"run","piece":"j-000412/4","try":2},{"verb":"kill","piece":"j-000377/1",)"
             R"("try":1,"windDownS":10},{"verb":"kill","piece":"j-000377/2","try":1,"windDownS":2.5},{"verb":"reap",)"
             R"("piece":"j-000398/0","try":1}]})");
@@ -1727,41 +1727,41 @@
     EXPECT_EQ(tasks[kPhasesInOrder.size() + i].exit_reason, kExitReasonsInOrder[i]) << i;
 }
 
-HeartbeatAnswer answer_of(HeartbeatAnswer::Outcome outcome) {
-  HeartbeatAnswer answer;
-  answer.outcome = outcome;
-  return answer;
+HeartbeatReply reply_of(HeartbeatReply::Outcome outcome) {
+  HeartbeatReply reply;
+  reply.outcome = outcome;
+  return reply;
 }
 
-constexpr std::string_view kBatchAnswerBytes =
+constexpr std::string_view kBatchReplyBytes =
     "06 "
     "01070000000000000009000000000000001400000006000000686f73742d3304000000010300000000030000006a2d3104000000020000000000000000000000010300"
     "00006a2d32010000000100000000000000c409000002030000006a2d3300000000010000000000000000000000020000000003000000000400000000";
 
-TEST(WireFormatControllers, PacksAndUnpacksBatchAnswer) {
-  HeartbeatBatchAnswer answer;
-  answer.takeover_token = 7;
-  answer.fencing_token = 9;
-  answer.redirect_count = 20;
-  answer.redirect_target = "host-3";
-  answer.answers = {answer_of(HeartbeatAnswer::Outcome::renewed), answer_of(HeartbeatAnswer::Outcome::refused),
-                    answer_of(HeartbeatAnswer::Outcome::full_required), answer_of(HeartbeatAnswer::Outcome::retry_later)};
-  answer.answers[0].commands = {command(CommandType::run, "j-1", 4, 2), command(CommandType::kill, "j-2", 1, 1, 2.5),
-                                command(CommandType::acknowledge_exit, "j-3", 0, 1)};
-  EXPECT_EQ(hex_of(pack(answer)), kBatchAnswerBytes);
-
-  const auto read = unpack_heartbeat_batch_answer(frame_of(kBatchAnswerBytes));
+TEST(WireFormatControllers, PacksAndUnpacksBatchReply) {
+  HeartbeatBatchReply reply;
+  reply.takeover_token = 7;
+  reply.fencing_token = 9;
+  reply.redirect_count = 20;
+  reply.redirect_target = "host-3";
+  reply.replies = {reply_of(HeartbeatReply::Outcome::renewed), reply_of(HeartbeatReply::Outcome::refused),
+                   reply_of(HeartbeatReply::Outcome::full_required), reply_of(HeartbeatReply::Outcome::retry_later)};
+  reply.replies[0].commands = {command(CommandType::run, "j-1", 4, 2), command(CommandType::kill, "j-2", 1, 1, 2.5),
+                               command(CommandType::acknowledge_exit, "j-3", 0, 1)};
+  EXPECT_EQ(hex_of(pack(reply)), kBatchReplyBytes);
+
+  const auto read = unpack_heartbeat_batch_reply(frame_of(kBatchReplyBytes));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->takeover_token, 7u);
   EXPECT_EQ(read->fencing_token, 9u);
   EXPECT_EQ(read->redirect_count, 20u);
   EXPECT_EQ(read->redirect_target, "host-3");
-  ASSERT_EQ(read->answers.size(), 4u);
-  EXPECT_EQ(read->answers[0].outcome, HeartbeatAnswer::Outcome::renewed);
-  EXPECT_EQ(read->answers[1].outcome, HeartbeatAnswer::Outcome::refused);
-  EXPECT_EQ(read->answers[2].outcome, HeartbeatAnswer::Outcome::full_required);
-  EXPECT_EQ(read->answers[3].outcome, HeartbeatAnswer::Outcome::retry_later);
-  const auto& commands = read->answers[0].commands;
+  ASSERT_EQ(read->replies.size(), 4u);
+  EXPECT_EQ(read->replies[0].outcome, HeartbeatReply::Outcome::renewed);
+  EXPECT_EQ(read->replies[1].outcome, HeartbeatReply::Outcome::refused);
+  EXPECT_EQ(read->replies[2].outcome, HeartbeatReply::Outcome::full_required);
+  EXPECT_EQ(read->replies[3].outcome, HeartbeatReply::Outcome::retry_later);
+  const auto& commands = read->replies[0].commands;
   ASSERT_EQ(commands.size(), 3u);
   EXPECT_EQ(commands[0].type, CommandType::run);
   EXPECT_EQ(commands[0].id.uid, "j-1");
@@ -1776,7 +1776,7 @@
   auto batch = frame_of(kFullHeartbeatBytes);
   batch.payload[0] = 2;
   EXPECT_FALSE(unpack_heartbeat_batch(batch));
-  EXPECT_FALSE(unpack_heartbeat_batch_answer(frame_of(kFullHeartbeatBytes)));
+  EXPECT_FALSE(unpack_heartbeat_batch_reply(frame_of(kFullHeartbeatBytes)));
   EXPECT_FALSE(unpack_peer_heartbeat(frame_of(kPeerHeartbeatAckBytes)));
   EXPECT_FALSE(unpack_peer_heartbeat_ack(frame_of(kPeerHeartbeatBytes)));
   EXPECT_FALSE(unpack_call(frame_of(kReplyBytes)));
