--- a/testbed/fault_run.cpp
+++ b/testbed/fault_run.cpp
@@ -87,9 +87,9 @@
 
 // ---- the report
 
-std::size_t FaultRun::count_unanswered(const std::vector<std::string>& uids) {
+std::size_t FaultRun::count_jobs_without_reply(const std::vector<std::string>& uids) {
   unsigned address_random = options.cluster.seed;
-  std::size_t unanswered = 0;
+  std::size_t jobs_without_reply = 0;
   for (const auto& uid : uids) {
     bool known = false;
     for (int tries = 0; tries < kMaxLastPollTries && !known; ++tries) {
@@ -98,16 +98,16 @@
       known = reply.is(200) || reply.is(404);
       if (!known) wait(0.2);
     }
-    if (!known) ++unanswered;
+    if (!known) ++jobs_without_reply;
   }
-  return unanswered;
+  return jobs_without_reply;
 }
 
 bool FaultRun::report(const std::string& scenario_figures) {
   cluster.stop_users();
   const auto accepted = cluster.checker.accepted_jobs();
   RunReport report;
-  report.unanswered = count_unanswered(accepted);
+  report.jobs_without_reply = count_jobs_without_reply(accepted);
   report.seed = options.cluster.seed;
   report.events = events;
   report.accepted = accepted.size();
--- a/testbed/fault_run.hpp
+++ b/testbed/fault_run.hpp
@@ -103,7 +103,7 @@
   void hang_worker();
   void kill_all();
 
-  std::size_t count_unanswered(const std::vector<std::string>& uids);
+  std::size_t count_jobs_without_reply(const std::vector<std::string>& uids);
 
   std::vector<bool> runs_newer_build_;              // by controller: whether it runs the newer build
   std::map<std::string, std::size_t> fault_pairs_;  // faults injected as pairs: names -> count
--- a/testbed/scenarios.cpp
+++ b/testbed/scenarios.cpp
@@ -65,8 +65,8 @@
   bool run();
 
  private:
-  // Whether a controller answers within this time with a 404, which only a leader returns.
-  bool wait_until_leader_answers(double within_s);
+  // Whether a controller replies within this time with a 404, which only a leader returns.
+  bool wait_until_leader_replies(double within_s);
   void inject_some_faults();
   void kill_several_times();
   void kill_all();
@@ -82,7 +82,7 @@
 
 bool RestartScenario::run() {
   run_.start_all(true);
-  passed_ = wait_until_leader_answers(10);
+  passed_ = wait_until_leader_replies(10);
   run_.all_newer_at = steady_now();
   if (run_.options.format_version >= kDependenciesFormatVersion) {
     passed_ = run_.wait_for_format_version(run_.options.format_version, run_.options.settle_s) && passed_;
@@ -97,12 +97,12 @@
     }
   }
   run_.end_faults();
-  passed_ = wait_until_leader_answers(10) && passed_;
+  passed_ = wait_until_leader_replies(10) && passed_;
   wait(8);
   return run_.report(recovery_figures()) && passed_ && not_recovered_count_ == 0;
 }
 
-bool RestartScenario::wait_until_leader_answers(double within_s) {
+bool RestartScenario::wait_until_leader_replies(double within_s) {
   auto address_random = static_cast<unsigned>(run_.random());
   for (const double until = steady_now() + within_s; steady_now() < until; wait(0.01))
     if (run_.cluster.call("GET", "/v1/jobs/j-9", "", address_random).is(404)) return true;
@@ -113,7 +113,7 @@
   for (auto k = 1 + run_.draw(3); k > 0; --k, wait(0.3)) run_.inject_fault();
   run_.end_faults();
   run_.start_all(true);
-  passed_ = wait_until_leader_answers(15) && passed_;
+  passed_ = wait_until_leader_replies(15) && passed_;
 }
 
 void RestartScenario::kill_several_times() {
@@ -133,7 +133,7 @@
     wait(std::uniform_real_distribution<double>(0.05, run_.options.restart_after_s)(run_.random));
     for (const auto i : killed) run_.start(i, true);
   }
-  if (wait_until_leader_answers(10)) {
+  if (wait_until_leader_replies(10)) {
     recovery_times_s_.push_back(steady_now() - last_kill_at);
   } else {
     ++not_recovered_count_;
--- a/testbed/worker.cpp
+++ b/testbed/worker.cpp
@@ -155,7 +155,7 @@
 // ---- commands
 
 HttpReply Worker::handle_call(const HttpCall& call) {
-  // A hanging agent answers when it resumes.
+  // A hanging agent replies when it resumes.
   while (steady_now() < hangs_until_) std::this_thread::sleep_for(std::chrono::milliseconds(20));
   // A command that does not reach the agent: its sender times out.
   if (steady_now() < loses_replies_until_ || drops_commands_) {
--- a/testbed/worker.hpp
+++ b/testbed/worker.hpp
@@ -38,7 +38,7 @@
   [[nodiscard]] const std::string& name() const { return name_; }
   [[nodiscard]] const std::string& zone() const { return zone_; }
   [[nodiscard]] const std::string& address() const { return address_; }
-  // Freezes the agent until the given time (steady seconds): it neither sends nor answers, and its tasks run until its lease expires.
+  // Freezes the agent until the given time (steady seconds): it neither sends nor replies, and its tasks run until its lease expires.
   void hang_until(double until) { hangs_until_ = until; }
   // One-way partition until the given time (steady seconds): heartbeats arrive, but neither replies nor commands reach the agent.
   void lose_replies_until(double until) { loses_replies_until_ = until; }
--- a/tests/concurrent_polls_test.cpp
+++ b/tests/concurrent_polls_test.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kSufficientCalls = 10;  // a deposed leader must receive more calls than this during a fault
 constexpr double kMaxFaultS = 20;
 
-// The leader's answer to a request forwarded by a follower is delayed until the next leader has given a user a newer answer. The follower
-// must not deliver the older answer to its user then.
+// The leader's reply to a request forwarded by a follower is delayed until the next leader has given a user a newer reply. The follower
+// must not deliver the older reply to its user then.
 struct DelayedRequest {
   const char* name;
   bool job_accepted;  // the job is accepted before the request
@@ -25,11 +25,11 @@
   const char *method, *path, *body;
   friend std::ostream& operator<<(std::ostream& out, const DelayedRequest& request) { return out << request.name; }
 };
-class DelayedAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<DelayedRequest> {
+class DelayedReply : public test_support::ClusterFixture, public testing::WithParamInterface<DelayedRequest> {
  protected:
-  DelayedAnswer() : ClusterFixture(kTimes) {}
+  DelayedReply() : ClusterFixture(kTimes) {}
 };
-TEST_P(DelayedAnswer, IsNotDeliveredAfterANewerOne) {
+TEST_P(DelayedReply, IsNotDeliveredAfterANewerOne) {
   const DelayedRequest& request = GetParam();
   Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 500;  // another controller takes over well within the follower's forwarding time-out
@@ -46,13 +46,13 @@
     // Keeps the follower from learning of the next leader.
     network_relays.at({next, follower})->set_partitioned(true);
     network_relays.at({follower, leader})->hold_replies(true);
-    HttpResult answer;
-    double answered_at = 0;
+    HttpResult reply;
+    double replied_at = 0;
     std::jthread user([&] {
-      answer = request.method ? cluster->ask(follower, request.method, "/v1/jobs/" + uid + request.path, "")
-                              : cluster->ask(follower, "POST", "/v1/jobs",
-                                             request.body ? R"({"uid":")" + uid + request.body : test_support::job_body(uid));
-      answered_at = steady_now();
+      reply = request.method ? cluster->ask(follower, request.method, "/v1/jobs/" + uid + request.path, "")
+                             : cluster->ask(follower, "POST", "/v1/jobs",
+                                            request.body ? R"({"uid":")" + uid + request.body : test_support::job_body(uid));
+      replied_at = steady_now();
     });
     wait(0.1);
     cluster->store.endpoint(leader).rejects_requests = cluster->store.endpoint(follower).rejects_requests = true;
@@ -64,21 +64,21 @@
       if (newer_status == "unknown") newer_status = status_of(cluster->submit(next, uid));  // the delayed submission was refused
       return !newer_status.empty();
     });
-    delayed_past_takeover = !newer_status.empty() && answered_at == 0;
+    delayed_past_takeover = !newer_status.empty() && replied_at == 0;
     const double released_at = steady_now();
     network_relays.at({follower, leader})->hold_replies(false);
     user.join();
-    // The round counts only if the answer arrived on its release and not at the follower's time-out.
-    delayed_past_takeover = delayed_past_takeover && answered_at - released_at < 0.3;
+    // The round counts only if the reply arrived on its release and not at the follower's time-out.
+    delayed_past_takeover = delayed_past_takeover && replied_at - released_at < 0.3;
     if (delayed_past_takeover) {
-      EXPECT_TRUE(answer.is(503)) << request.name << ": " << answer.status << " " << answer.body << " after " << newer_status;
+      EXPECT_TRUE(reply.is(503)) << request.name << ": " << reply.status << " " << reply.body << " after " << newer_status;
     }
     cluster->store.endpoint(leader).rejects_requests = cluster->store.endpoint(follower).rejects_requests = false;
     network_relays.at({next, follower})->set_partitioned(false);
   }
-  EXPECT_TRUE(delayed_past_takeover) << "in no round was the answer delayed until another controller led";
+  EXPECT_TRUE(delayed_past_takeover) << "in no round was the reply delayed until another controller led";
 }
-INSTANTIATE_TEST_SUITE_P(RequestKinds, DelayedAnswer,
+INSTANTIATE_TEST_SUITE_P(RequestKinds, DelayedReply,
                          testing::Values(DelayedRequest{"poll", true, "GET", "", nullptr},
                                          DelayedRequest{"first_submission", false, nullptr, nullptr, nullptr},
                                          DelayedRequest{"repeated_submission", true, nullptr, nullptr, nullptr},
@@ -91,10 +91,10 @@
  protected:
   ConcurrentPolls() : ClusterFixture(kTimes) {}
   void poll_or_submit(const std::string& uid, std::size_t controller, bool submission) {
-    const bool is_deposed = deposed == controller && newer_answer_given.load();
+    const bool is_deposed = deposed == controller && newer_reply_given.load();
     const auto status = submission ? submit(controller, uid) : poll(controller, uid);
     if (is_deposed && deposed == controller) ++calls_to_deposed;
-    if (status == "done" || status == "aborted") ++final_answers;
+    if (status == "done" || status == "aborted") ++final_replies;
   }
   // Calls all controllers at the same time, each four times: two polls and two submissions.
   void call_all_controllers(const std::string& uid) {
@@ -119,7 +119,7 @@
       };
       while (!stop_users && !accepted()) wait(0.05);
       if (stop_users) break;
-      newer_answer_given = true;
+      newer_reply_given = true;
       if (!cancels || random() % 2) call_all_controllers(uid);
       for (const double until = steady_now() + 6; steady_now() < until && !stop_users; wait(0.02)) {
         const auto controller = random() % cluster->client_addresses.size();
@@ -130,11 +130,11 @@
       }
     }
   }
-  // Calls to a deposed leader that does not know of its successor, made after other controllers gave newer answers.
+  // Calls to a deposed leader that does not know of its successor, made after other controllers gave newer replies.
   std::atomic<std::size_t> calls_to_deposed{0};
-  std::atomic<std::size_t> final_answers{0};   // "done" or "aborted"
+  std::atomic<std::size_t> final_replies{0};   // "done" or "aborted"
   std::atomic<std::size_t> deposed{SIZE_MAX};  // index of the controller; SIZE_MAX: none
-  std::atomic<bool> newer_answer_given{false}, stop_users{false};
+  std::atomic<bool> newer_reply_given{false}, stop_users{false};
 };
 
 TEST_P(ConcurrentPolls, NoControllerRepliesWithAnOlderStateThanBefore) {
@@ -152,7 +152,7 @@
       const auto current = cluster->store.leader();
       return !current.empty() && current != "host-" + std::to_string(leader);
     }));
-    newer_answer_given = false;  // only answers given from now on count
+    newer_reply_given = false;  // only replies given from now on count
     deposed = leader;
     const auto before = calls_to_deposed.load();
     wait(for_s);
@@ -172,12 +172,12 @@
   });
   EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that is partitioned";
   leader = cluster->leader();
-  // The leader reaches only its agents and users; the store executes its requests but does not answer.
+  // The leader reaches only its agents and users; the store executes its requests but does not reply.
   depose(leader, 2, kSufficientCalls + 1, [&](bool faulty) {
     set_partition(leader, faulty);
     cluster->store.endpoint(leader).holds_replies = faulty;
   });
-  EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that gets no answers from the store";
+  EXPECT_GT(calls_by_fault.back(), kSufficientCalls) << "calls to a deposed leader that gets no replies from the store";
   for (const double pause : {0.05, 0.0}) {
     leader = cluster->leader();
     cluster->stop(leader);
@@ -187,7 +187,7 @@
   }
   stop_users = true;
   users.clear();
-  EXPECT_GT(final_answers.load(), 50u);
+  EXPECT_GT(final_replies.load(), 50u);
 }
 // Without any fault: a cancellation coincides with the completion of the last task, and with a poll and a repeated submission at other
 // controllers. The job is either done or cancelled, and all users receive the same status.
--- a/tests/format_versions_test.cpp
+++ b/tests/format_versions_test.cpp
@@ -216,19 +216,18 @@
   void expand(const ModelState& state, const Visitor& visit) {
     for (std::size_t t = 0; t < state.pending.size(); ++t) {
       const PendingTransaction transaction = state.pending[t];
-      for (const bool is_answered : {true, false}) {
+      for (const bool has_reply : {true, false}) {
         ModelState next = state;
         next.pending.erase(next.pending.begin() + static_cast<long>(t));
         const bool is_applied = next.execute(transaction.step);
         if (is_applied) applied.insert(transaction.step.kind);
         const auto violation = is_applied ? find_violation(state, next, transaction) : "";
         auto& controller = next.controllers[transaction.sender];
-        if (is_answered && controller.is_running && controller.incarnation == transaction.incarnation)
+        if (has_reply && controller.is_running && controller.incarnation == transaction.incarnation)
           receive_reply(next, controller, transaction, is_applied);
-        visit(
-            std::move(next),
-            std::string(is_applied ? "applied" : "rejected") + (is_answered ? "" : ", reply lost,") + " for " + kLabels[transaction.sender],
-            violation);
+        visit(std::move(next),
+              std::string(is_applied ? "applied" : "rejected") + (has_reply ? "" : ", reply lost,") + " for " + kLabels[transaction.sender],
+              violation);
       }
       ModelState lost = state;
       lost.pending.erase(lost.pending.begin() + static_cast<long>(t));
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -29,12 +29,12 @@
 TEST_F(FrameConnectionPoolTest, CallsBeyondMaxConnectionsWaitForAConnection) {
   reply_delay_s = 0.2;
   FrameConnectionPool pool(address, 1);
-  std::atomic<int> answered{0};
+  std::atomic<int> replied{0};
   {
     std::vector<std::jthread> callers;
-    for (int i = 0; i < 3; ++i) callers.emplace_back([&] { answered += pool.call(Frame{1, "x"}, 5).has_value(); });
+    for (int i = 0; i < 3; ++i) callers.emplace_back([&] { replied += pool.call(Frame{1, "x"}, 5).has_value(); });
   }
-  EXPECT_EQ(answered, 3);
+  EXPECT_EQ(replied, 3);
   reply_delay_s = 2;
   std::jthread long_call([&] { pool.call(Frame{1, "x"}, 5); });
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
--- a/tests/hand_over_test.cpp
+++ b/tests/hand_over_test.cpp
@@ -23,7 +23,7 @@
  protected:
   HandOver() : ClusterFixture(kTimes) {}
   struct CancelRequest {
-    double sent_at = 0, answered_at = 0;  // steady seconds
+    double sent_at = 0, replied_at = 0;  // steady seconds
     std::size_t controller = 0;
     bool confirmed = false;
   };
@@ -74,10 +74,10 @@
   bool cancel_once(const std::string& uid, std::size_t controller) {
     CancelRequest request{steady_now(), 0, controller, false};
     const auto r = cluster->ask(request.controller, "POST", "/v1/jobs/" + uid + "/withdraw");
-    request.answered_at = steady_now();
+    request.replied_at = steady_now();
     request.confirmed = r.is(200);
     EXPECT_TRUE(r.is(200) || r.is(503) || !r.status) << r.status << " " << r.body;
-    if (request.confirmed) checker.record_reply(uid, "aborted", request.sent_at, request.answered_at);
+    if (request.confirmed) checker.record_reply(uid, "aborted", request.sent_at, request.replied_at);
     std::lock_guard lock(mutex);
     requests.push_back(request);
     return request.confirmed;
@@ -87,10 +87,10 @@
     const double window_s = GetParam() > 0 ? 8 : 1.5;  // a lost reply costs more than a second
     std::size_t before = 0, refused = 0, after = 0, across = 0;
     for (const auto& request : requests) {
-      before += request.confirmed && request.answered_at < handed_over_at && request.answered_at > handed_over_at - window_s;
+      before += request.confirmed && request.replied_at < handed_over_at && request.replied_at > handed_over_at - window_s;
       after += request.confirmed && request.sent_at > handed_over_at && request.sent_at < handed_over_at + window_s;
-      refused += !request.confirmed && request.answered_at > handed_over_at - window_s && request.sent_at < handed_over_at + window_s;
-      across += request.sent_at < handed_over_at && request.answered_at > handed_over_at;
+      refused += !request.confirmed && request.replied_at > handed_over_at - window_s && request.sent_at < handed_over_at + window_s;
+      across += request.sent_at < handed_over_at && request.replied_at > handed_over_at;
     }
     std::cout << before << " confirmed shortly before the hand-over, " << refused << " not confirmed around it, " << across
               << " sent before and answered after, " << after << " confirmed shortly after\n";
@@ -123,7 +123,7 @@
   first = cluster->leader();
   const auto other = (first + 1) % 3;
   ASSERT_TRUE(cluster->eventually(20, [&] { return cluster->metric(first, "placed_tasks") == "thistlefront_placed_tasks 24"; }));
-  for (auto& w : workers) w->drop_commands(true);  // the leader probes some agents, and none answers
+  for (auto& w : workers) w->drop_commands(true);  // the leader probes some agents, and none replies
   cluster->store.endpoint(first).reply_loss_probability = GetParam();
   std::jthread heartbeats([&](const std::stop_token& stop) { send_heartbeats_through(other, stop); });
   std::jthread watch([&] { wait_for_hand_over(); });
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -71,9 +71,9 @@
   EXPECT_EQ(c.store.unfenced_writes(), 0u);
 }
 
-// The store's responses, including those to lease renewals, are delayed for longer than the session lease. The leader's replies must not
+// The store's replies, including those to lease renewals, are delayed for longer than the session lease. The leader's replies must not
 // be older than those of its successor.
-TEST(Leadership, SendsNoOutdatedReplyWhileTheStoreDoesNotRespond) {
+TEST(Leadership, SendsNoOutdatedReplyWhileTheStoreDoesNotReply) {
   Cluster c(3);
   ASSERT_TRUE(c.submit_until("j-1", 20));
   const auto first = c.leader();
@@ -198,7 +198,7 @@
   const auto other = (c.leader() + 1) % 3;
   c.stop(other);
   auto& endpoint = c.store.endpoint(other);
-  endpoint.requests_before_crash = 1;  // the second request gets no response
+  endpoint.requests_before_crash = 1;  // the second request gets no reply
   c.start(other, {});
   EXPECT_TRUE(c.eventually(0.5, [&] { return endpoint.requests_before_crash == 0; })) << "it reads the leader key";
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
--- a/tests/lost_answers_test.cpp
+++ b/tests/lost_replies_test.cpp
@@ -23,12 +23,12 @@
   }
 };
 
-class LostAnswer : public test_support::ClusterFixture, public testing::WithParamInterface<RecordCase> {
+class LostReply : public test_support::ClusterFixture, public testing::WithParamInterface<RecordCase> {
  protected:
-  LostAnswer() : ClusterFixture(kTimes) {}
+  LostReply() : ClusterFixture(kTimes) {}
 };
 
-TEST_P(LostAnswer, RecordTakesEffectOnce) {
+TEST_P(LostReply, RecordTakesEffectOnce) {
   const RecordCase& record_case = GetParam();
   const std::string name = record_case.name;
   Options options = test_support::fixed_version_options();
@@ -81,7 +81,7 @@
   EXPECT_EQ(cluster->store.unfenced_writes(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Records, LostAnswer,
+    Records, LostReply,
     testing::Values(RecordCase{"accepted", "unknown", "queued", false}, RecordCase{"accepted", "unknown", "queued", true},
                     RecordCase{"cancelled", "running", "aborted", false}, RecordCase{"cancelled", "running", "aborted", true},
                     RecordCase{"ended", "queued or running", "done", false}, RecordCase{"ended", "queued or running", "done", true}),
@@ -89,7 +89,7 @@
 
 // The other controllers see the new leader before it knows that it leads. It then finds that the leader key is attached to its own
 // session lease.
-TEST(LostAnswerRecovery, RecognizesTheLeaderKeyThatItAcquired) {
+TEST(LostReplyRecovery, RecognizesTheLeaderKeyThatItAcquired) {
   Options options = test_support::fixed_version_options();
   options.leader_lease_ms = 4000;
   Cluster cluster(3, 1, {options});
@@ -115,7 +115,7 @@
 
 // The other controller sees the raised fencing token before the leader does. The leader then continues with that token and with its
 // queued records.
-TEST(LostAnswerRecovery, RecognizesTheFencingTokenThatItRaised) {
+TEST(LostReplyRecovery, RecognizesTheFencingTokenThatItRaised) {
   Cluster cluster(2);
   ASSERT_TRUE(cluster.submit_until("j-0", 20));
   const auto first = cluster.leader();
@@ -149,7 +149,7 @@
 
 // The other controllers read the new format version before the leader that activated it knows. The leader remains leader and writes in
 // that version.
-TEST(LostAnswerRecovery, RecognizesTheFormatVersionThatItActivated) {
+TEST(LostReplyRecovery, RecognizesTheFormatVersionThatItActivated) {
   Options options;
   options.format_version_soak_s = 0.2;
   Cluster cluster(3, 1, {options});
@@ -169,7 +169,7 @@
 }
 
 // The controller reads its registry record, finds it unchanged and does not write it again.
-TEST(LostAnswerRecovery, WritesTheRegistryRecordOnce) {
+TEST(LostReplyRecovery, WritesTheRegistryRecordOnce) {
   Cluster cluster(2);
   ASSERT_TRUE(cluster.submit_until("j-0", 20));
   const std::string key = std::string(kRegistryPrefix) + "host-1";
@@ -190,7 +190,7 @@
 
 // A controller removed the leader key of its earlier process but does not know it. Another controller leads by now, and its key must not
 // be removed.
-TEST(LostAnswerRecovery, DoesNotRemoveTheNextLeadersKey) {
+TEST(LostReplyRecovery, DoesNotRemoveTheNextLeadersKey) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.submit_until("j-1", 20));
   for (std::size_t i = 0; i < 3; ++i) cluster.stop(i);
@@ -210,7 +210,7 @@
 
 // Two successive leaders may write an entry at the same key with the same sequence number. The first one, which got no reply, must not
 // take the entry of the second one for its own: an entry is a leader's own only if its content is what that leader wrote.
-TEST(LostAnswerRecovery, MatchesAnEntryOnlyIfItsContentIsEqual) {
+TEST(LostReplyRecovery, MatchesAnEntryOnlyIfItsContentIsEqual) {
   for (const std::uint32_t format_version : {1u, 2u, 4u}) {
     const ClusterState cluster_state({Team{"red", {}, {}}});
     const auto entry_with = [&](const std::string& uid) {
--- a/tests/new_instances_test.cpp
+++ b/tests/new_instances_test.cpp
@@ -16,9 +16,9 @@
 class NewInstances : public test_support::ClusterFixture, public testing::WithParamInterface<bool> {
  protected:
   NewInstances() : ClusterFixture(kTimes) {
-    cloud = [this](const HttpCall& c) { return answer_as_cloud(c); };
+    cloud = [this](const HttpCall& c) { return reply_as_cloud(c); };
   }
-  HttpReply answer_as_cloud(const HttpCall& c) {
+  HttpReply reply_as_cloud(const HttpCall& c) {
     using nlohmann::json;
     if (c.target == kMachineTypesPath)
       return {200, R"({"hostKinds":[{"sku":"big","cores":8,"accelerators":0,"ramGb":32,"cacheGb":50,"fetchGbPerS":1,)"
--- a/tests/partition_lease_test.cpp
+++ b/tests/partition_lease_test.cpp
@@ -27,7 +27,7 @@
 
 // Guards against a grant that each peer heartbeat extends although the partitioned peer does not receive it. The leases of 24 nodes
 // then did not expire during the partition, and their replicas were not restarted for 80 s.
-TEST(PartitionLeaseGrant, ExpiresWhilePeerHeartbeatsStayUnanswered) {
+TEST(PartitionLeaseGrant, ExpiresWhilePeerHeartbeatsStayUnacknowledged) {
   PartitionLeaseGrant grant(kMaxDurationS, 50);
   EXPECT_EQ(grant.latest_possible_renewal(60), 0) << "nothing was granted in this term";
   EXPECT_EQ(grant.latest_possible_earlier_renewal(60), 60) << "an earlier leader may have granted a lease that is still valid";
--- a/tests/quorum_tracker_test.cpp
+++ b/tests/quorum_tracker_test.cpp
@@ -21,7 +21,7 @@
   std::uint64_t process = 1, known_token = 0;  // of the third controller
   bool stepped_down = false;
 
-  // `with_process_check`: answers count only if the process answered before, while the session lease was valid.
+  // `with_process_check`: acknowledgements count only if the process sent one before, while the session lease was valid.
   void third_controller_step(bool receives_from_earlier, bool receives_from_later, bool restarts, double now, bool with_process_check) {
     if (restarts) ++process, known_token = 0;
     if (receives_from_later) {
@@ -59,7 +59,7 @@
   return violations;
 }
 
-// The third controller has answered the earlier leader while its session lease was valid.
+// The third controller has sent the earlier leader an acknowledgement while its session lease was valid.
 Scenario initial_scenario() {
   Scenario scenario;
   scenario.third_controller_step(true, false, false, -1, true);
@@ -79,7 +79,7 @@
   EXPECT_NE(violation_path.find(":5"), std::string::npos) << violation_path;
 }
 
-TEST(QuorumTracker, LosesTheQuorumAfterTheGracePeriodUnlessAKnownProcessAnswers) {
+TEST(QuorumTracker, LosesTheQuorumAfterTheGracePeriodUnlessAKnownProcessAcknowledges) {
   QuorumTracker tracker(2, 0, kGraceS);
   tracker.record_ack(0, 1, 10, kEarlierToken, true);
   EXPECT_TRUE(tracker.has_quorum(11));
@@ -109,7 +109,7 @@
   }
   QuorumTracker of_two_controllers(1, 0, kGraceS);
   EXPECT_LT(of_two_controllers.sole_leader_since(kLaterToken, 1), 0)
-      << "the last answer of this controller counts for the earlier leader for one grace period";
+      << "the last acknowledgement of this controller counts for the earlier leader for one grace period";
   EXPECT_GT(of_two_controllers.sole_leader_since(kLaterToken, 1 + kGraceS + 1.1), 0);
 }
 
--- a/tests/repeated_heartbeats_test.cpp
+++ b/tests/repeated_heartbeats_test.cpp
@@ -108,7 +108,7 @@
       task_report.exit_reason = random_() % 2 ? ExitReason::completed : ExitReason::failed;
     }
   }
-  // Sends a heartbeat of the agent, or its answer to a direct command.
+  // Sends a heartbeat of the agent, or its reply to a direct command.
   void send_message(bool is_heartbeat) {
     Heartbeat heartbeat = heartbeat_of_node("m-1", agent_incarnation_, ++serial_, kToken, agent_tasks_);
     const bool repeats = is_heartbeat && last_tasks_text_ == tasks_text(heartbeat);
--- a/tests/resource_budget_test.cpp
+++ b/tests/resource_budget_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_FALSE(again->announce_leader);
 }
 
-TEST(CommandQueue, DoesNotDelayOtherNodesWhenSomeDoNotAnswer) {
+TEST(CommandQueue, DoesNotDelayOtherNodesWhenSomeDoNotReply) {
   CommandQueue queue(2);
   // Ten nodes fail together; one command to each fails.
   for (std::uint32_t i = 0; i < 10; ++i) queue.enqueue(NodeIndex{i}, false, 0);
@@ -71,7 +71,7 @@
   EXPECT_FALSE(queue.dequeue());  // at most two senders may wait for slow nodes
   queue.enqueue(NodeIndex{51}, false, 2);
   EXPECT_EQ(queue.dequeue()->node, NodeIndex{51});
-  queue.complete(NodeIndex{0});  // the node answers again
+  queue.complete(NodeIndex{0});  // the node replies again
   queue.enqueue(NodeIndex{0}, false, 2);
   EXPECT_EQ(queue.dequeue()->node, NodeIndex{0});
 }
@@ -102,18 +102,18 @@
     return reply;
   });
   std::vector<std::unique_ptr<Stream>> agents, users;
-  char answer[1000];
+  char response[1000];
   ErrorCode ec;
   const auto open_and_ask = [&](auto& streams, const std::string& target) {
     streams.push_back(std::make_unique<Stream>(connect_to(address, 2)));
     const std::string request = "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
     streams.back()->set_deadline(steady_now() + 2);
     EXPECT_TRUE(streams.back()->write_all(request.data(), request.size(), ec));
-    EXPECT_TRUE(streams.back()->read_exact(answer, 12, ec)) << "start of the status line";
+    EXPECT_TRUE(streams.back()->read_exact(response, 12, ec)) << "start of the status line";
   };
   const auto is_closed = [&](Stream& stream) {
     stream.set_deadline(steady_now() + 0.2);
-    stream.read_exact(answer, sizeof answer, ec);  // the rest of the answer, then the end of the stream or a time-out
+    stream.read_exact(response, sizeof response, ec);  // the rest of the response, then the end of the stream or a time-out
     return ec == boost::asio::error::eof;
   };
   open_and_ask(agents, "/evict-last");
@@ -124,7 +124,7 @@
   EXPECT_FALSE(is_closed(*users[3]));
 }
 
-TEST(HttpClient, NotifiesOnceWhenACallIsLateAndStillReturnsItsAnswer) {
+TEST(HttpClient, NotifiesOnceWhenACallIsLateAndStillReturnsItsReply) {
   const auto address = test_support::free_address();
   HttpServer server(address, 10, [](const HttpCall&) {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
--- a/tests/safety_agents.cpp
+++ b/tests/safety_agents.cpp
@@ -29,7 +29,7 @@
   if (!has_valid_lease(agent)) {
     agent.tasks.clear();
     ++agent.agent_incarnation;
-    agent.last_answered_sent_at = now_;
+    agent.last_replied_sent_at = now_;
     agent.awaited_serial = 0;
     agent.next_heartbeat_at = now_;
   }
@@ -109,7 +109,7 @@
                return;
              agent.awaited_serial = 0;
              agent.fencing_token = reply.fencing_token;
-             agent.last_answered_sent_at = std::max(agent.last_answered_sent_at, sent_at);
+             agent.last_replied_sent_at = std::max(agent.last_replied_sent_at, sent_at);
              execute(agent, reply.commands);
            });
 }
--- a/tests/safety_world.hpp
+++ b/tests/safety_world.hpp
@@ -102,8 +102,8 @@
   struct Agent {
     std::string name, zone;
     std::uint64_t agent_incarnation = 1, serial = 0, fencing_token = 0, awaited_serial = 0;
-    // `last_answered_sent_at`: when the latest heartbeat that got a reply was sent.
-    double last_answered_sent_at = 0, next_heartbeat_at = 0, reply_deadline = -1, hangs_until = 0;
+    // `last_replied_sent_at`: when the latest heartbeat that got a reply was sent.
+    double last_replied_sent_at = 0, next_heartbeat_at = 0, reply_deadline = -1, hangs_until = 0;
     double sends_nothing_until = 0, receives_nothing_until = 0;  // one-way partitions
     std::map<std::tuple<std::string, std::uint32_t, std::uint64_t>, AgentTask> tasks;
     std::deque<std::function<void()>> delayed_messages;  // arrived while the node hung
@@ -210,7 +210,7 @@
   void check_start(const Agent& agent, const Command& command);
   void check_rules(Agent& agent);
   // The tasks of a hanging node end when its lease expires, although it can report that only later.
-  [[nodiscard]] bool has_valid_lease(const Agent& agent) const { return now_ - agent.last_answered_sent_at <= kLeaseS; }
+  [[nodiscard]] bool has_valid_lease(const Agent& agent) const { return now_ - agent.last_replied_sent_at <= kLeaseS; }
   [[nodiscard]] bool is_partitioned(const Agent& agent) const { return agent.zone == "y" && now_ < partitioned_until_; }
 
   double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
